--- a/Makefile
+++ b/Makefile
@@ -43,6 +43,7 @@
 
 tools: ## Build the pinned tools into .bin/
 	cd tools && GOBIN=$(TOOLS) go install github.com/google/wire/cmd/wire mvdan.cc/gofumpt github.com/mgechev/revive github.com/atombender/go-jsonschema
+	cd tools/gopls && GOBIN=$(TOOLS) go install golang.org/x/tools/gopls
 
 generate: tools ## Generate code from the schemas, and the wiring
 	schema/generate.sh $(TOOLS)
@@ -56,6 +57,7 @@
 	scripts/check-prose.sh
 	go mod tidy -diff
 	cd tools && go mod tidy -diff
+	cd tools/gopls && go mod tidy -diff
 
 clean: ## Remove what was built
 	rm -rf $(BIN) $(TOOLS)
