--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -30,7 +30,7 @@
 
 // ExpectedOf returns what a choice reckons with.
 func ExpectedOf(c route.Choice) Expected {
-	return Expected{Queued: c.Queued, Own: c.Wait - c.Queued, Least: c.Least}
+	return Expected{Queued: c.Queued, Own: c.Wait - c.Queued, Least: c.LeastQueued}
 }
 
 // Thresholds of a refusal, for reviews, summaries and questions on engines that are half
--- a/pkg/app/control/shards.go
+++ b/pkg/app/control/shards.go
@@ -122,7 +122,7 @@
 func (a *App) ownEndpoints() []endpoint.Info {
 	var own []endpoint.Info
 	for _, info := range a.endpoints.View().Infos() {
-		if !info.Takes() {
+		if !info.AcceptsWork() {
 			continue
 		}
 		if _, ok := a.holds(info.ID); ok {
--- a/pkg/app/entry/admin.go
+++ b/pkg/app/entry/admin.go
@@ -102,7 +102,7 @@
 	}
 	return route.Query{
 		Target:       route.Target{Model: s.Model(), Version: s.Version(), Adapter: s.Adapter()},
-		PromptTokens: explainPrompt, AnswerTokens: min(explainAnswer, s.MaxTokens()), Stake: 1,
+		PromptTokens: explainPrompt, AnswerTokens: min(explainAnswer, s.MaxTokens()), RiskWeight: 1,
 	}
 }
 
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -110,7 +110,7 @@
 }
 
 func newRouter(endpoints *endpoint.Directory, estimator *hazard.Estimator, self membership.Node) *route.Router {
-	return route.New(endpoints, estimator, route.Home{Node: self.ID, DataCenter: self.DataCenter}, rand.Uint64())
+	return route.New(endpoints, estimator, route.Location{Node: self.ID, DataCenter: self.DataCenter}, rand.Uint64())
 }
 
 func newEngines(client *http.Client) engine.API { return engine.New(client, engineTime) }
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -83,7 +83,7 @@
 func (a *App) readReports(ctx context.Context) {
 	limiter := rate.NewLimiter(rate.Limit(a.settings.loadPolls), 1)
 	for limiter.Wait(ctx) == nil {
-		if info, ok := a.router.Stalest(now()); ok {
+		if info, ok := a.router.NextToPoll(now()); ok {
 			go a.readReport(ctx, info)
 		}
 	}
@@ -104,7 +104,7 @@
 	if report.Incarnation != info.Incarnation {
 		return
 	}
-	a.router.Report(info.Ref(), report)
+	a.router.ApplyReport(info.Ref(), report)
 	if heard := fromReport(info, report); heard != info {
 		a.spread(heard)
 	}
@@ -153,7 +153,7 @@
 func (a *App) share(context.Context) {
 	nodes := a.nodes.Serving()
 	serving := max(len(nodes), 1)
-	a.router.SetEntries(serving)
+	a.router.SetEntryCount(serving)
 	a.shareLimits(nodes)
 	a.gates.Resize(func(t route.Target) int { return a.gateCapacity(t, serving) })
 	load := int(math.Round(10 * min(a.gates.Load(), 2)))
@@ -173,7 +173,7 @@
 	if a.config.Current().Revision() == 0 {
 		return
 	}
-	known := len(a.router.InUse()) > 0
+	known := len(a.router.Endpoints()) > 0
 	if known || now().Sub(time.UnixMilli(a.self.Incarnation)) > readyTime {
 		a.peers.Send(a.mesh.SetReady())
 	}
@@ -181,12 +181,12 @@
 
 func (a *App) gateCapacity(t route.Target, serving int) int {
 	if t.Model == "" {
-		return a.router.Size(t) * plainRoom
+		return a.router.EndpointCount(t) * plainRoom
 	}
-	slots := a.router.Slots(t)
+	slots := a.router.TotalSlots(t)
 	if slots == 0 {
-		if other, ok := a.router.Other(t); ok {
-			slots = a.router.Slots(other)
+		if other, ok := a.router.OtherVersion(t); ok {
+			slots = a.router.TotalSlots(other)
 		}
 	}
 	return int(math.Ceil(limit.Room * float64(slots) / float64(serving)))
@@ -214,7 +214,7 @@
 func (a *App) countHosts() {
 	hosts := map[hazard.Place]int{}
 	for _, info := range a.endpoints.View().Infos() {
-		if info.Reclaimable && info.Takes() {
+		if info.Reclaimable && info.AcceptsWork() {
 			hosts[hazard.Place{DataCenter: info.DataCenter, Class: info.Class}]++
 		}
 	}
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -101,7 +101,7 @@
 
 // start begins what an entry does beside serving.
 func (a *App) start(ctx context.Context) {
-	a.endpoints.OnLeave(func(info endpoint.Info) { a.onLeave(ctx, info) })
+	a.endpoints.OnLeaving(func(info endpoint.Info) { a.onLeave(ctx, info) })
 	a.runner.OnReport(a.takeReport)
 	a.api.Notices.OnLeave(a.spread)
 	go a.peers.Run()
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -100,7 +100,7 @@
 	if members.IsLeveled() {
 		return roster.Pace(heartbeat, members.CoreSize())
 	}
-	serving := n.router.HasOwn() || len(n.counter.Recent()) > 0
+	serving := n.router.HasInFlight() || len(n.counter.Recent()) > 0
 	if serving || members.Advertises(n.settings.Node) {
 		pace := roster.Pace(heartbeat, members.Advertised())
 		if serving || !n.view.IsRelayed() {
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -16,7 +16,7 @@
 	}
 	var works []roster.Work
 	for _, service := range current.Services() {
-		if rate := n.router.Work(route.Target{Service: service.Name}, now); service.Scaling != nil && rate > 0 {
+		if rate := n.router.EngineDemand(route.Target{Service: service.Name}, now); service.Scaling != nil && rate > 0 {
 			works = append(works, roster.Work{Service: service.Name, Rate: rate})
 		}
 	}
@@ -32,7 +32,7 @@
 			LeaseVersion: n.leases.Version(dutyShard),
 		},
 		Spent:   n.limits.Own(now),
-		Placed:  n.router.TakePlacements(),
+		Placed:  n.router.DrainPlacements(),
 		Cases:   n.poison.Reports(now),
 		Notices: n.notices.Reports(now),
 	}
@@ -82,7 +82,7 @@
 func (n *node) updateOf(endpoints []string) gossip.Update {
 	return gossip.Update{
 		Status:  roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loads.OwnAt(endpoints)},
-		Placed:  n.router.TakePlacements(),
+		Placed:  n.router.DrainPlacements(),
 		Notices: n.notices.ReportsOf(endpoints, n.clock.Now()),
 	}
 }
@@ -115,7 +115,7 @@
 func (n *node) applyLoads() {
 	now := n.clock.Now()
 	n.view.Roster().MergeSelf(n.host(), now)
-	if members := n.view.Roster(); !members.IsLeveled() || members.InCore(n.settings.Node) || n.router.HasOwn() {
+	if members := n.view.Roster(); !members.IsLeveled() || members.InCore(n.settings.Node) || n.router.HasInFlight() {
 		// Others receive no loads.
 		n.loads.Apply(now)
 	}
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -275,7 +275,7 @@
 	return func(address string) bool {
 		if used == nil {
 			used = map[string]bool{}
-			for _, info := range n.router.InUse() {
+			for _, info := range n.router.Endpoints() {
 				used[info.Address] = true
 			}
 		}
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -51,7 +51,7 @@
 // engineFigures are used until answers have shown an engine's speed: a large
 // model on a current accelerator reads some 50 tokens a millisecond and makes
 // one in about 7 ms.
-var engineFigures = route.Figures{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanAnswer: time.Second}
+var engineFigures = route.EngineSpeed{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanRequestTime: time.Second}
 
 // Incarnation names one life of a process on a host.
 type Incarnation string
@@ -96,7 +96,9 @@
 	return relay.NewCopy(clock.Now, says)
 }
 
-func newHome(s Settings) route.Home { return route.Home{Node: s.Node, DataCenter: s.DataCenter} }
+func newHome(s Settings) route.Location {
+	return route.Location{Node: s.Node, DataCenter: s.DataCenter}
+}
 
 func newRollouts(s Settings) *rollout.Switch { return rollout.New(s.Rollouts) }
 
@@ -111,14 +113,14 @@
 	return rolloutsync.NewDesk(rollouts, rollout.Prices(), writer, platform, fleet, clock, held, logger)
 }
 
-func newView(platform Platform, s Settings, clock *storeclock.Clock, home route.Home, self Incarnation, rollouts *rollout.Switch, logger *log.Logger) *storeview.View {
+func newView(platform Platform, s Settings, clock *storeclock.Clock, home route.Location, self Incarnation, rollouts *rollout.Switch, logger *log.Logger) *storeview.View {
 	members := roster.New(silence, gossip.Interval)
 	return storeview.New(platform, s.EndpointHeartbeat, clock, members, home, string(self), rollouts, logger)
 }
 
-func newRouter(view *storeview.View, home route.Home, clock *storeclock.Clock) *route.Router {
+func newRouter(view *storeview.View, home route.Location, clock *storeclock.Clock) *route.Router {
 	seed := uint64(clock.Now().UnixNano())
-	return route.NewWithFigures(view.Directory(), hazard.New(), home, seed, engineFigures)
+	return route.NewWithEngineSpeed(view.Directory(), hazard.New(), home, seed, engineFigures)
 }
 
 func newLoads(router *route.Router, view *storeview.View, self Incarnation) *loadsync.Sync {
@@ -163,8 +165,8 @@
 	return autoscale.NewOrderer(cloud, logger)
 }
 
-func newBudget(s Settings) *retry.Window {
-	return retry.NewWindow(s.Retry.Share, s.Retry.Slack, s.Retry.Window)
+func newBudget(s Settings) *retry.WindowBudget {
+	return retry.NewWindowBudget(s.Retry.Share, s.Retry.Slack, s.Retry.Window)
 }
 
 func newWatch(registry *prometheus.Registry, logger *log.Logger) *poison.Watch {
@@ -183,7 +185,7 @@
 	return notice.New(view.Directory(), router, logger)
 }
 
-func newForwarder(platform Platform, view *storeview.View, home route.Home, router *route.Router, limits *limit.Shared, budget *retry.Window,
+func newForwarder(platform Platform, view *storeview.View, home route.Location, router *route.Router, limits *limit.Shared, budget *retry.WindowBudget,
 	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -146,7 +146,7 @@
 		directory.Merge(info)
 	}
 	estimator := hazard.New()
-	router := route.New(directory, estimator, route.Home{Node: name}, 1)
+	router := route.New(directory, estimator, route.Location{Node: name}, 1)
 	budget := retry.New(0.1, time.Now())
 	watch := poison.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	board := notice.New(directory, router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -75,7 +75,7 @@
 
 // sendRepeatable sends a call until one endpoint answers, within the budget.
 func (p plainCall) sendRepeatable(ctx context.Context, body []byte) (plainservice.Answer, error) {
-	p.api.Budget.Sent(time.Now())
+	p.api.Budget.RecordFirstSend(time.Now())
 	var avoid []endpoint.Ref
 	var last error
 	for try := 1; try <= mostSends; try++ {
@@ -119,7 +119,7 @@
 }
 
 func (p plainCall) choose(avoid []endpoint.Ref) (route.Choice, bool) {
-	q := route.Query{Target: targetOf(p.service), Stake: 1, Avoid: avoid}
+	q := route.Query{Target: targetOf(p.service), RiskWeight: 1, Avoid: avoid}
 	return p.api.Router.Choose(q, strategyOf(p.config), time.Now())
 }
 
--- a/pkg/chat/body.go
+++ b/pkg/chat/body.go
@@ -180,7 +180,7 @@
 			Messages: b.messages, Options: b.options, MaxTokens: maxTokens, Seed: seed, Priority: s.Priority(),
 		},
 		Service:      s.Name(),
-		Prefix:       route.Hash(nil, b.messages),
+		Prefix:       route.HashPrefixes(nil, b.messages),
 		PromptTokens: (len(b.messages) + bytesPerToken - 1) / bytesPerToken,
 		Stake:        stakeOf(s),
 	}
--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -142,7 +142,7 @@
 		return
 	}
 	if info.State == endpoint.Leaving {
-		r.left[id] = info.Born
+		r.left[id] = info.StartedMS
 	}
 	info.State = endpoint.Gone
 	r.directory.Merge(info)
@@ -166,7 +166,7 @@
 		// or what its earlier life said, as that it leaves, would hold for ever.
 		heard.Incarnation = row.Version
 	}
-	if born, left := r.left[row.Key]; left && born == heard.Born {
+	if born, left := r.left[row.Key]; left && born == heard.StartedMS {
 		// A heartbeat that the store applied late must not bring it back.
 		heard.State = endpoint.Leaving
 	}
@@ -177,4 +177,6 @@
 }
 
 // startedAnew reports whether an endpoint has started again since what is held of it.
-func startedAnew(held, heard endpoint.Info) bool { return held.Born > 0 && heard.Born > held.Born }
+func startedAnew(held, heard endpoint.Info) bool {
+	return held.StartedMS > 0 && heard.StartedMS > held.StartedMS
+}
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 func decode(id string, value []byte) (endpoint.Info, error) {
 	info := endpoint.Info{ID: id, State: endpoint.Live, Service: "svc", Kind: endpoint.Plain}
 	text, born, _ := strings.Cut(string(value), " ")
-	info.Born, _ = strconv.ParseInt(born, 10, 64)
+	info.StartedMS, _ = strconv.ParseInt(born, 10, 64)
 	switch text {
 	case "live":
 	case "leaving":
@@ -61,7 +61,7 @@
 func (s *site) want(t *testing.T, when, id string, takes bool) {
 	t.Helper()
 	info, ok := s.directory.Get(id)
-	if got := ok && info.Takes(); got != takes {
+	if got := ok && info.AcceptsWork(); got != takes {
 		t.Errorf("%s, %s takes work: got %v, want %v", when, id, got, takes)
 	}
 }
@@ -185,7 +185,7 @@
 	s.rows(true, "e1", "live 5", "e2", "live 5")
 	s.rows(false, "e1", "leaving 5")
 	info, _ := s.directory.Get("e2")
-	s.directory.Leave(info.Ref(), func(i *endpoint.Info) { i.State = endpoint.Leaving })
+	s.directory.Update(info.Ref(), func(i *endpoint.Info) { i.State = endpoint.Leaving })
 	s.rows(false, "e1", "live 5", "e2", "live 5")
 	s.want(t, "heartbeats after the word", "e1", false)
 	s.want(t, "heartbeats after the word", "e2", false)
--- a/pkg/endpoint/directory.go
+++ b/pkg/endpoint/directory.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is how many parts a directory's digest has: peers that differ send
+// BucketCount is how many parts a directory's digest has: peers that differ send
 // only the parts in which they do.
-const Buckets = 64
+const BucketCount = 64
 
 // shardCount is how many locks a directory is spread over.
 const shardCount = 16
@@ -24,7 +24,7 @@
 	view       atomic.Pointer[View]
 	viewMu     sync.Mutex
 	sumMu      sync.Mutex
-	sums       [Buckets]uint64
+	sums       [BucketCount]uint64
 	onLeave    atomic.Pointer[func(Info)]
 }
 
@@ -60,7 +60,7 @@
 }
 
 // Bucket returns the part of the digest an id belongs to.
-func Bucket(id string) int { return int(xxhash.Sum64String(id) >> 8 % Buckets) }
+func Bucket(id string) int { return int(xxhash.Sum64String(id) >> 8 % BucketCount) }
 
 // Merge takes in what was heard and returns what is now known, and whether
 // that was news.
@@ -93,13 +93,13 @@
 	}
 }
 
-// OnLeave sets what is called, on a goroutine of its own, when an endpoint is
+// OnLeaving sets what is called, on a goroutine of its own, when an endpoint is
 // found to be leaving, and again when it is learned when.
-func (d *Directory) OnLeave(call func(Info)) { d.onLeave.Store(&call) }
+func (d *Directory) OnLeaving(call func(Info)) { d.onLeave.Store(&call) }
 
-// Leave marks an incarnation as leaving and reports the result and whether that
+// Update marks an incarnation as leaving and reports the result and whether that
 // was news. An endpoint that is not known, or of another incarnation, is left.
-func (d *Directory) Leave(ref Ref, change func(*Info)) (Info, bool) {
+func (d *Directory) Update(ref Ref, change func(*Info)) (Info, bool) {
 	held, known := d.Get(ref.ID)
 	if !known || held.Incarnation != ref.Incarnation {
 		return held, false
@@ -134,15 +134,15 @@
 	return v
 }
 
-// Sums returns the digest, part by part.
-func (d *Directory) Sums() [Buckets]uint64 {
+// BucketSums returns the digest, part by part.
+func (d *Directory) BucketSums() [BucketCount]uint64 {
 	d.sumMu.Lock()
 	defer d.sumMu.Unlock()
 	return d.sums
 }
 
 // InBuckets returns the endpoints of the parts for which want is true.
-func (d *Directory) InBuckets(want [Buckets]bool) []Info {
+func (d *Directory) InBuckets(want [BucketCount]bool) []Info {
 	return d.collect(func(i Info) bool { return want[Bucket(i.ID)] })
 }
 
--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -48,10 +48,10 @@
 	ID string
 	// Incarnation grows with each start; a later one supersedes all before.
 	Incarnation int64
-	// Born is the Unix millisecond of the incarnation's start by the endpoint's own word, 0
+	// StartedMS is the Unix millisecond of the incarnation's start by the endpoint's own word, 0
 	// if it did not tell.
-	Born  int64
-	State State
+	StartedMS int64
+	State     State
 	// Counter grows with each change of the fields below in one incarnation.
 	Counter    int64
 	DataCenter string
@@ -87,8 +87,8 @@
 // Ref returns the incarnation this information is about.
 func (i Info) Ref() Ref { return Ref{i.ID, i.Incarnation} }
 
-// Takes reports whether the endpoint may get new work.
-func (i Info) Takes() bool { return i.State == Live }
+// AcceptsWork reports whether the endpoint may get new work.
+func (i Info) AcceptsWork() bool { return i.State == Live }
 
 // Merge returns the newer of what is held and what was heard, and whether that
 // differs from what is held. A later incarnation wins; within one the later
--- a/pkg/endpoint/notice.go
+++ b/pkg/endpoint/notice.go
@@ -80,9 +80,9 @@
 	return strings.Join(said, ", ")
 }
 
-// BackoffOf returns the backoff of a number of seconds as an answer gives it; what is no
+// BackoffFromSeconds returns the backoff of a number of seconds as an answer gives it; what is no
 // length of time is none.
-func BackoffOf(seconds float64) time.Duration {
+func BackoffFromSeconds(seconds float64) time.Duration {
 	switch {
 	case seconds >= MaxBackoff.Seconds():
 		return MaxBackoff
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -50,7 +50,7 @@
 	tables   Tables
 	router   *route.Router
 	limits   *limit.Shared
-	budget   *retry.Window
+	budget   *retry.WindowBudget
 	pool     *upstream.Pool
 	runs     Runs
 	fleet    Fleet
@@ -80,7 +80,7 @@
 )
 
 // New returns a forwarder.
-func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.Shared, budget *retry.Window, pool *upstream.Pool,
+func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.Shared, budget *retry.WindowBudget, pool *upstream.Pool,
 	runs Runs, fleet Fleet, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
 ) *Forwarder {
 	return &Forwarder{
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -306,7 +306,7 @@
 func TestLeavingEndpointGetsNothing(t *testing.T) {
 	s := newSite(t, spec(), true, whole("old"))
 	s.addEndpoint("new", whole("new"))
-	s.directory.Leave(endpoint.Ref{ID: "e0", Incarnation: 1}, func(i *endpoint.Info) { i.State = endpoint.Leaving })
+	s.directory.Update(endpoint.Ref{ID: "e0", Incarnation: 1}, func(i *endpoint.Info) { i.State = endpoint.Leaving })
 	for range 10 {
 		if got := s.ask("POST", "/once/x", "body"); got.body != "new" {
 			t.Errorf("answered by %q, want new", got.body)
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -153,15 +153,15 @@
 		s.addEndpoint("e"+strconv.Itoa(i), answer)
 	}
 	now := time.Now()
-	figures := route.Figures{TokenGap: time.Millisecond, Prefill: time.Microsecond, MeanAnswer: time.Millisecond}
-	router := route.NewWithFigures(s.directory, hazard.New(), route.Home{}, 1, figures)
+	figures := route.EngineSpeed{TokenGap: time.Millisecond, Prefill: time.Microsecond, MeanRequestTime: time.Millisecond}
+	router := route.NewWithEngineSpeed(s.directory, hazard.New(), route.Location{}, 1, figures)
 	s.router = router
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: &s.lines}}
 	registry := prometheus.NewRegistry()
 	s.watch = poison.NewWatch(registry, logger)
 	board := notice.New(s.directory, router, logger)
 	forwarder := forward.New(protocol{}, tables{routetable.New(spec), fresh}, router, limit.NewShared(limit.Tolerance{}, now.Add(-time.Hour)),
-		retry.NewWindow(0.2, 58, 10*time.Second), upstream.New(time.Second), s.runs, oneHost{}, s.rollouts, s.watch, board,
+		retry.NewWindowBudget(0.2, 58, 10*time.Second), upstream.New(time.Second), s.runs, oneHost{}, s.rollouts, s.watch, board,
 		func() forward.Phase { return forward.Phase(s.phase.Load()) }, time.Now, forward.NewMetrics(registry), logger)
 	s.server = httptest.NewServer(forwarder)
 	t.Cleanup(s.server.Close)
--- a/pkg/forward/refuse.go
+++ b/pkg/forward/refuse.go
@@ -40,7 +40,7 @@
 // comeBackFree is when an endpoint takes the request: at once, or when the first of them has
 // rested or takes another by its limit. A caller that came before would be refused again.
 func (c *call) comeBackFree() time.Duration {
-	return max(c.f.router.FreeIn(c.query(), c.f.clock()), comeBackSoon)
+	return max(c.f.router.TimeUntilAvailable(c.query(), c.f.clock()), comeBackSoon)
 }
 
 var errCallerLeft = errors.New("the caller left")
--- a/pkg/forward/relay.go
+++ b/pkg/forward/relay.go
@@ -94,7 +94,7 @@
 	e := begun.exchange
 	c.writeHead(e.Status(), e.Header())
 	s := &stream{call: c, lastEvent: c.meta.LastEvent}
-	shown := route.Result{Started: true, FirstToken: first}
+	shown := route.Result{PrefillDone: true, FirstToken: first}
 	for {
 		began := c.f.clock()
 		s.events = 0
@@ -142,7 +142,7 @@
 		c.noteRun(ctx, choice, last)
 		c.showAnswer(ctx, tracked, last)
 		if s, isStream := last.(streaming); isStream {
-			c.f.router.Started(choice)
+			c.f.router.PrefillDone(choice)
 			s.tracked = tracked
 			return choice, s, true
 		}
--- a/pkg/forward/run.go
+++ b/pkg/forward/run.go
@@ -31,15 +31,15 @@
 		Connected:    c.connected,
 	}
 	if c.f.fleet.Advertised() >= staleFleet {
-		q.Sample = staleSample
+		q.SampleSize = staleSample
 	}
 	covered := 0
 	for _, part := range c.meta.Prefix {
 		covered += part.Tokens
-		q.Prefix = append(q.Prefix, part.Hash)
+		q.PrefixHashes = append(q.PrefixHashes, part.Hash)
 		q.PrefixTokens = append(q.PrefixTokens, covered)
 	}
-	q.Shared = max(len(q.Prefix)-1, 0)
+	q.SharedPrefixes = max(len(q.PrefixHashes)-1, 0)
 	return q
 }
 
@@ -58,7 +58,7 @@
 
 // run sends the request until it is answered or given up.
 func (c *call) run(ctx context.Context) error {
-	c.f.budget.Sent(c.service.Name, c.f.clock())
+	c.f.budget.RecordFirstSend(c.service.Name, c.f.clock())
 	c.pickSide()
 	var last result = notRun{err: errors.New("no endpoint takes work")}
 	for {
@@ -147,7 +147,7 @@
 	switch r := r.(type) {
 	case streaming:
 		c.began()
-		c.f.router.Started(choice)
+		c.f.router.PrefillDone(choice)
 		r.tracked = tracked
 		return r
 	case answered:
--- a/pkg/forward/sweep_test.go
+++ b/pkg/forward/sweep_test.go
@@ -17,7 +17,7 @@
 	const rounds = 20_000
 	s := &site{t: t, directory: endpoint.NewDirectory()}
 	s.addEndpoint("e0", whole("answer"))
-	router := route.New(s.directory, hazard.New(), route.Home{}, 1)
+	router := route.New(s.directory, hazard.New(), route.Location{}, 1)
 	pool := upstream.New(time.Second)
 	if got := pool.Look(context.Background(), s.endpoint("e0").Address, 0); got != upstream.Accepting {
 		t.Fatalf("look: got %v, want accepting", got)
@@ -37,7 +37,7 @@
 	}()
 	go func() {
 		for range rounds {
-			pool.Sweep(func(address string) bool { return address == router.InUse()[0].Address })
+			pool.Sweep(func(address string) bool { return address == router.Endpoints()[0].Address })
 		}
 		done <- "sweeps"
 	}()
--- a/pkg/forward/version.go
+++ b/pkg/forward/version.go
@@ -28,7 +28,7 @@
 // done ends a choice.
 func (c *call) done(choice route.Choice, tracked *rollout.Send, r route.Result) {
 	now := c.f.clock()
-	r.Untried = c.side == rollout.Target
+	r.Canary = c.side == rollout.Target
 	c.f.router.Done(choice, r, now)
 	c.f.rollouts.End(tracked, now)
 }
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -148,7 +148,7 @@
 		Works:  []roster.Work{{Service: "svc", Rate: 0.5}},
 		Counts: []roster.Count{{Window: 7, Team: "red", Begun: 4}},
 	}
-	placed := []route.Placement{{Endpoint: "e1", Prefix: []uint64{1, 1 << 63}}}
+	placed := []route.Placement{{Endpoint: "e1", PrefixHashes: []uint64{1, 1 << 63}}}
 	run(t, self, members, gossip.Update{Status: want, Placed: placed}, other)
 	other.mu.Lock()
 	defer other.mu.Unlock()
@@ -376,7 +376,7 @@
 		for i := range boards {
 			directories[i] = endpoint.NewDirectory()
 			directories[i].Merge(endpoint.Info{ID: id, Incarnation: int64(i + 1), State: endpoint.Live, Kind: endpoint.Plain, Service: "s"})
-			router := route.New(directories[i], hazard.New(), route.Home{}, 1)
+			router := route.New(directories[i], hazard.New(), route.Location{}, 1)
 			boards[i] = notice.New(directories[i], router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 		}
 		report := func(told []notice.Report, now time.Time) {
@@ -397,7 +397,7 @@
 		}
 		without := 0
 		for _, d := range directories {
-			if info, _ := d.Get(id); info.Takes() {
+			if info, _ := d.Get(id); info.AcceptsWork() {
 				without++
 			}
 		}
--- a/pkg/gossip/notices.go
+++ b/pkg/gossip/notices.go
@@ -42,7 +42,7 @@
 func (m eventMessage) notices() []notice.Report {
 	var list []notice.Report
 	for _, w := range m.Notices {
-		backoff := endpoint.BackoffOf(float64(w.BackoffMS) / millisecondsASecond)
+		backoff := endpoint.BackoffFromSeconds(float64(w.BackoffMS) / millisecondsASecond)
 		list = append(list, notice.Report{Endpoint: w.Endpoint, Born: w.Born, Notice: endpoint.Notice{Leaving: w.Leaving, Backoff: backoff}})
 	}
 	for _, w := range m.Limits {
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -83,7 +83,7 @@
 		Brief: update.Brief, Rollouts: update.Rollouts, Spent: encodeSpent(update.Spent), Counts: encodeCounts(update.Counts),
 	}
 	for _, p := range update.Placed {
-		m.Placed = append(m.Placed, placement{Endpoint: p.Endpoint, Prefix: p.Prefix})
+		m.Placed = append(m.Placed, placement{Endpoint: p.Endpoint, Prefix: p.PrefixHashes})
 	}
 	for _, w := range update.Works {
 		m.Works = append(m.Works, work{Service: w.Service, Rate: float32(w.Rate)})
@@ -128,7 +128,7 @@
 		t.Loads = append(t.Loads, roster.Load{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	for _, p := range m.Placed {
-		t.Placed = append(t.Placed, route.Placement{Endpoint: p.Endpoint, Prefix: p.Prefix})
+		t.Placed = append(t.Placed, route.Placement{Endpoint: p.Endpoint, PrefixHashes: p.Prefix})
 	}
 	for _, w := range m.Works {
 		t.Works = append(t.Works, roster.Work{Service: w.Service, Rate: float64(w.Rate)})
--- a/pkg/httpx/notice.go
+++ b/pkg/httpx/notice.go
@@ -28,5 +28,5 @@
 		return endpoint.Notice{}
 	}
 	seconds, _ := strconv.ParseFloat(h.Get(HeaderRetryAfter), 64)
-	return endpoint.Notice{Backoff: endpoint.BackoffOf(seconds)}
+	return endpoint.Notice{Backoff: endpoint.BackoffFromSeconds(seconds)}
 }
--- a/pkg/job/worker.go
+++ b/pkg/job/worker.go
@@ -198,7 +198,7 @@
 		if w.superseded(j) {
 			return
 		}
-		pause.For(w.ctx, retry.Pause(try, entropy.Rand))
+		pause.For(w.ctx, retry.Delay(try, entropy.Rand))
 	}
 }
 
--- a/pkg/lab/host.go
+++ b/pkg/lab/host.go
@@ -45,7 +45,7 @@
 }
 
 // prior is what a process holds of engines before any answer.
-var prior = route.Figures{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanAnswer: time.Second}
+var prior = route.EngineSpeed{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanRequestTime: time.Second}
 
 // start begins a life of the host's process, of which it knows nothing but the
 // endpoints.
@@ -54,8 +54,8 @@
 	h.self.Incarnation = fmt.Sprintf("%s.%d", h.self.Node, h.lives)
 	h.sequence = 0
 	h.directory = directory
-	home := route.Home{Node: h.self.Node, DataCenter: h.self.DataCenter}
-	h.router = route.NewWithFigures(directory, hazard.New(), home, h.play.seed+uint64(h.number), prior)
+	home := route.Location{Node: h.self.Node, DataCenter: h.self.DataCenter}
+	h.router = route.NewWithEngineSpeed(directory, hazard.New(), home, h.play.seed+uint64(h.number), prior)
 	h.members = roster.New(silence, gossip.Interval)
 	h.loads = loadsync.New(h.router, h.members, h.self.Incarnation)
 }
@@ -93,7 +93,7 @@
 func (h *host) tell(told roster.Status, brief bool) {
 	h.sequence++
 	told.Sequence = h.sequence
-	placed := h.router.TakePlacements()
+	placed := h.router.DrainPlacements()
 	for _, other := range h.play.hosts {
 		if other == h || h.play.random.Float64() < h.play.fleet.Loss {
 			continue
@@ -140,7 +140,7 @@
 
 func query(r *request) route.Query {
 	return route.Query{
-		Target: route.Target{Service: service}, Prefix: r.prefix, PrefixTokens: r.covered, Shared: len(r.prefix) - 1,
+		Target: route.Target{Service: service}, PrefixHashes: r.prefix, PrefixTokens: r.covered, SharedPrefixes: len(r.prefix) - 1,
 		PromptTokens: r.promptTokens(), AnswerTokens: r.hint,
 	}
 }
@@ -154,11 +154,11 @@
 	var first time.Duration
 	at.first = func() {
 		first = h.play.line.Now()
-		router.Started(choice)
+		router.PrefillDone(choice)
 		h.play.served(r, choice)
 	}
 	at.done = func() {
-		result := route.Result{Started: true, FirstToken: first - sent + h.play.fleet.Way, Tokens: r.answer - 1, Decode: h.play.line.Now() - first}
+		result := route.Result{PrefillDone: true, FirstToken: first - sent + h.play.fleet.Way, Tokens: r.answer - 1, Decode: h.play.line.Now() - first}
 		router.Done(choice, result, h.play.time())
 	}
 	if !h.play.engines[choice.Endpoint.ID].accept(at) {
--- a/pkg/loadsync/loadsync.go
+++ b/pkg/loadsync/loadsync.go
@@ -28,7 +28,7 @@
 // Own returns what this host has under way, by endpoint.
 func (s *Sync) Own() []roster.Load {
 	var loads []roster.Load
-	for _, l := range s.router.OwnLoads() {
+	for _, l := range s.router.LocalLoads() {
 		loads = append(loads, roster.Load{Endpoint: l.Endpoint.ID, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	return loads
@@ -38,7 +38,7 @@
 func (s *Sync) OwnAt(endpoints []string) []roster.Load {
 	var loads []roster.Load
 	for _, id := range endpoints {
-		own := s.router.OwnLoad(id)
+		own := s.router.LocalLoad(id)
 		loads = append(loads, roster.Load{Endpoint: id, Running: own.Running, PrefillTokens: own.PrefillTokens})
 	}
 	return loads
@@ -59,23 +59,23 @@
 // ApplyPlacements applies where another process sent prompts.
 func (s *Sync) ApplyPlacements(placed []route.Placement) {
 	for _, p := range placed {
-		s.router.Place(p)
+		s.router.ApplyPlacement(p)
 	}
 }
 
 // Apply hands the loads of all other processes to the router.
 func (s *Sync) Apply(now time.Time) {
 	loads := s.members.Loads(s.self, now)
-	for _, info := range s.router.InUse() {
+	for _, info := range s.router.Endpoints() {
 		s.report(info, loads[info.ID], now)
 	}
 }
 
 // report hands the load of one endpoint to the router.
 func (s *Sync) report(info endpoint.Info, others roster.Load, now time.Time) {
-	s.router.Report(info.Ref(), engine.Report{
+	s.router.ApplyReport(info.Ref(), engine.Report{
 		Sequence:     now.UnixMilli(),
-		Running:      others.Running + s.router.OwnLoad(info.ID).Running,
+		Running:      others.Running + s.router.LocalLoad(info.ID).Running,
 		Slots:        max(info.Slots, 1),
 		QueuedTokens: others.PrefillTokens,
 		QueuedAt:     others.At,
--- a/pkg/loadsync/loadsync_test.go
+++ b/pkg/loadsync/loadsync_test.go
@@ -25,7 +25,7 @@
 func newHost(name string) host {
 	directory := endpoint.NewDirectory()
 	directory.Merge(endpoint.Info{ID: id, Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 8})
-	router := route.New(directory, hazard.New(), route.Home{Node: name}, 1)
+	router := route.New(directory, hazard.New(), route.Location{Node: name}, 1)
 	members := roster.New(time.Minute, func(int) time.Duration { return time.Second })
 	return host{router, members, loadsync.New(router, members, name)}
 }
@@ -33,7 +33,7 @@
 func prompt() route.Query {
 	return route.Query{
 		Target: route.Target{Service: "s"}, PromptTokens: 9000, AnswerTokens: 10,
-		Prefix: []uint64{1, 2}, PrefixTokens: []int{8000, 9000}, Shared: 1,
+		PrefixHashes: []uint64{1, 2}, PrefixTokens: []int{8000, 9000}, SharedPrefixes: 1,
 	}
 }
 
@@ -49,10 +49,10 @@
 		}
 		if brief {
 			b.members.ApplyStatus(roster.Status{Host: told.Host, Sequence: 1}, now)
-			b.loads.ApplyBrief("a", 2, a.loads.OwnAt([]string{id}), a.router.TakePlacements(), now)
+			b.loads.ApplyBrief("a", 2, a.loads.OwnAt([]string{id}), a.router.DrainPlacements(), now)
 		} else {
 			b.members.ApplyStatus(told, now)
-			b.loads.ApplyPlacements(a.router.TakePlacements())
+			b.loads.ApplyPlacements(a.router.DrainPlacements())
 			b.loads.Apply(now)
 		}
 		c, ok := b.router.Choose(prompt(), route.Expected, now)
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -81,7 +81,7 @@
 		}
 		x, _ := a.Get("e")
 		y, _ := b.Get("e")
-		if x != y || a.Sums() != b.Sums() {
+		if x != y || a.BucketSums() != b.BucketSums() {
 			rt.Fatalf("got %+v and %+v, want the same", x, y)
 		}
 	})
--- a/pkg/notice/board.go
+++ b/pkg/notice/board.go
@@ -86,7 +86,7 @@
 	}
 	// A row may have lapsed and come back since the choice: that is the same life.
 	held, ok := b.directory.Get(from.ID)
-	if !ok || held.Born != from.Born {
+	if !ok || held.StartedMS != from.StartedMS {
 		return
 	}
 	if !n.Moved && b.applyAnswerLimit(held, n, sent, now) && b.onLeave.Load() == nil {
@@ -114,7 +114,7 @@
 	if n.Moved {
 		backoff, reason = movedBackoff, "moved"
 	}
-	if backoff <= 0 || !b.router.Backoff(held.Ref(), now.Add(backoff), now) {
+	if backoff <= 0 || !b.router.SetBackoff(held.Ref(), now.Add(backoff), now) {
 		return time.Time{}
 	}
 	b.log.Info().Str("endpoint", held.ID).Str("service", held.Service).Dur("backoff", backoff).Str("reason", reason).Msg("backing off from endpoint")
@@ -141,8 +141,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, ok := b.pending[from.ID]
-	if !ok || e.born != from.Born {
-		e = &entry{born: from.Born}
+	if !ok || e.born != from.StartedMS {
+		e = &entry{born: from.StartedMS}
 		b.pending[from.ID] = e
 	}
 	e.leaving = e.leaving || leaves
@@ -206,7 +206,7 @@
 func (b *Board) ApplyReports(list []Report, now time.Time) {
 	for _, report := range list {
 		info, ok := b.directory.Get(report.Endpoint)
-		if !ok || info.Born != report.Born {
+		if !ok || info.StartedMS != report.Born {
 			continue
 		}
 		if report.LimitVersion > 0 {
@@ -216,7 +216,7 @@
 			b.applyLeaving(info, "another host")
 		}
 		if report.Notice.Backoff > 0 {
-			b.router.PeerBackoff(info.Ref(), now.Add(report.Notice.Backoff), now)
+			b.router.SetPeerBackoff(info.Ref(), now.Add(report.Notice.Backoff), now)
 		}
 	}
 }
--- a/pkg/notice/board_test.go
+++ b/pkg/notice/board_test.go
@@ -28,9 +28,9 @@
 func newHost(incarnation int64, born int64, endpoints int) host {
 	directory := endpoint.NewDirectory()
 	for i := range endpoints {
-		directory.Merge(endpoint.Info{ID: id(i), Incarnation: incarnation, Born: born, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 8})
+		directory.Merge(endpoint.Info{ID: id(i), Incarnation: incarnation, StartedMS: born, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 8})
 	}
-	router := route.New(directory, hazard.New(), route.Home{Node: "n"}, 1)
+	router := route.New(directory, hazard.New(), route.Location{Node: "n"}, 1)
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	return host{notice.New(directory, router, logger), directory, router}
 }
@@ -38,8 +38,8 @@
 // newNamedHost returns a host with one endpoint that does not rest at the tests' times.
 func newNamedHost(name string) host {
 	directory := endpoint.NewDirectory()
-	directory.Merge(endpoint.Info{ID: id(0), Incarnation: 1, Born: 5, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 1 << 20})
-	router := route.New(directory, hazard.New(), route.Home{Node: name}, 1)
+	directory.Merge(endpoint.Info{ID: id(0), Incarnation: 1, StartedMS: 5, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 1 << 20})
+	router := route.New(directory, hazard.New(), route.Location{Node: name}, 1)
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	return host{notice.New(directory, router, logger), directory, router}
 }
@@ -116,7 +116,7 @@
 		t.Error("the host that was told chooses the same life, whose row had lapsed meanwhile")
 	}
 	later := before
-	later.Incarnation, later.Born = 3, 6
+	later.Incarnation, later.StartedMS = 3, 6
 	a.directory.Merge(later)
 	a.ApplyAnswer(before, endpoint.Notice{Leaving: true, Backoff: restTime}, now, now)
 	if !a.takes(0, now) {
--- a/pkg/notice/limits.go
+++ b/pkg/notice/limits.go
@@ -52,11 +52,11 @@
 	b.limitsMu.Lock()
 	defer b.limitsMu.Unlock()
 	state, ok := b.limits[held.ID]
-	if !ok || state.born != held.Born {
+	if !ok || state.born != held.StartedMS {
 		if n.Limit == 0 {
 			return false
 		}
-		state = &limitState{born: held.Born}
+		state = &limitState{born: held.StartedMS}
 		b.limits[held.ID] = state
 	}
 	changes := state.changedBy(n.Limit, sent)
@@ -87,7 +87,7 @@
 // applyLimit has the choice keep to a limit. The limits' lock is held, so that the choice gets
 // changes in their order.
 func (b *Board) applyLimit(held endpoint.Info, limit endpoint.Limit, by string, now time.Time) {
-	b.router.Limit(held.Ref(), limit, now)
+	b.router.SetLimit(held.Ref(), limit, now)
 	b.log.Info().Str("endpoint", held.ID).Str("service", held.Service).Float64("limit", float64(limit)).Str("by", by).Msg("applied endpoint limit")
 }
 
@@ -96,8 +96,8 @@
 	b.limitsMu.Lock()
 	defer b.limitsMu.Unlock()
 	state, ok := b.limits[held.ID]
-	if !ok || state.born != held.Born {
-		state = &limitState{born: held.Born}
+	if !ok || state.born != held.StartedMS {
+		state = &limitState{born: held.StartedMS}
 		b.limits[held.ID] = state
 		b.limitCount.Store(int64(len(b.limits)))
 	}
@@ -134,7 +134,7 @@
 	for id, state := range b.limits {
 		info, ok := b.directory.Get(id)
 		switch {
-		case !ok || info.State == endpoint.Gone || info.Born != state.born, state.limit == 0 && now.Sub(state.changed) > withdrawnKept:
+		case !ok || info.State == endpoint.Gone || info.StartedMS != state.born, state.limit == 0 && now.Sub(state.changed) > withdrawnKept:
 			delete(b.limits, id)
 		case state.limit > 0 && now.Sub(state.confirmed) > b.keptFor(id):
 			state.limit, state.changed = 0, now
--- a/pkg/notice/limits_test.go
+++ b/pkg/notice/limits_test.go
@@ -354,7 +354,7 @@
 		t.Error("another instance's answer: got the limit withdrawn, want it kept")
 	}
 	later := h.info(0)
-	later.Incarnation, later.Born = later.Incarnation+1, later.Born+1
+	later.Incarnation, later.StartedMS = later.Incarnation+1, later.StartedMS+1
 	h.directory.Merge(later)
 	if limited(6) {
 		t.Error("the endpoint's next life: got limited, want not")
--- a/pkg/operatorapi/operatorwire/wire.go
+++ b/pkg/operatorapi/operatorwire/wire.go
@@ -165,7 +165,7 @@
 func FromCandidate(c route.Candidate) Candidate {
 	return Candidate{
 		Endpoint: c.Endpoint.ID, DataCenter: c.Endpoint.DataCenter, Usable: c.Usable, WaitMS: ms(c.Wait),
-		DecodeMS: ms(c.Decode), RiskMS: ms(c.Risk), TotalMS: ms(c.Total), Cached: c.Cached, Running: c.Running,
+		DecodeMS: ms(c.Decode), RiskMS: ms(c.Risk), TotalMS: ms(c.Total), Cached: c.CachedTokens, Running: c.Running,
 		HazardPerHour: c.HazardPerHour,
 	}
 }
--- a/pkg/peer/news.go
+++ b/pkg/peer/news.go
@@ -32,7 +32,7 @@
 		pull.Nodes = sums[:]
 	}
 	if d.Endpoints != endpoints {
-		sums := m.endpoints.Sums()
+		sums := m.endpoints.BucketSums()
 		pull.Endpoints = sums[:]
 	}
 	return m.send(nil, link, pull)
@@ -43,7 +43,7 @@
 	for i, sum := range m.nodes.Sums() {
 		nodes ^= sum * uint64(2*i+1)
 	}
-	for i, sum := range m.endpoints.Sums() {
+	for i, sum := range m.endpoints.BucketSums() {
 		endpoints ^= sum * uint64(2*i+1)
 	}
 	// CBOR's integers are signed here: the top bit is left out.
@@ -60,9 +60,9 @@
 		}
 		news.Nodes = m.nodes.InBuckets(want)
 	}
-	if len(p.Endpoints) == endpoint.Buckets {
-		var want [endpoint.Buckets]bool
-		for i, sum := range m.endpoints.Sums() {
+	if len(p.Endpoints) == endpoint.BucketCount {
+		var want [endpoint.BucketCount]bool
+		for i, sum := range m.endpoints.BucketSums() {
 			want[i] = sum != p.Endpoints[i]
 		}
 		news.Endpoints = m.endpoints.InBuckets(want)
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -71,7 +71,7 @@
 	}
 	centres := map[string][]endpoint.Info{}
 	for _, i := range infos {
-		if i.Kind == endpoint.Model && i.Takes() {
+		if i.Kind == endpoint.Model && i.AcceptsWork() {
 			centres[i.DataCenter] = append(centres[i.DataCenter], i)
 		}
 	}
@@ -206,7 +206,7 @@
 func Naive(shares []Share, infos []endpoint.Info) []Assignment {
 	var plan []Assignment
 	for _, i := range infos {
-		if i.Kind != endpoint.Model || !i.Takes() || len(shares) == 0 {
+		if i.Kind != endpoint.Model || !i.AcceptsWork() || len(shares) == 0 {
 			continue
 		}
 		want := shares[xxhash.Sum64String(i.ID)%uint64(len(shares))].Load
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -139,14 +139,14 @@
 	}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	watch := poison.NewWatch(registry, logger)
-	home := route.Home{Node: fmt.Sprintf("n%d", number), DataCenter: r.fleet.Centres[number%len(r.fleet.Centres)]}
+	home := route.Location{Node: fmt.Sprintf("n%d", number), DataCenter: r.fleet.Centres[number%len(r.fleet.Centres)]}
 	e.router = route.New(e.directory, e.hazard, home, r.seed+uint64(number))
 	board := notice.New(e.directory, e.router, logger)
 	e.runner = stream.New(e.router, r.direct, e.budget, e.hazard, e.counters, watch, board, noop.NewTracerProvider().Tracer(""))
 	for _, centre := range r.fleet.Centres {
 		e.hazard.SetPrior(hazard.Place{DataCenter: centre, Class: "standard"}, priorHazard, time.Now())
 	}
-	e.directory.OnLeave(func(info endpoint.Info) {
+	e.directory.OnLeaving(func(info endpoint.Info) {
 		e.hazard.Reclaimed(hazard.Place{DataCenter: info.DataCenter, Class: info.Class}, 1, time.Now())
 		e.runner.Leaving(context.Background(), info, !r.policy.Move)
 	})
@@ -208,12 +208,14 @@
 	time.Sleep(phase)
 	target := route.Target{Model: "m", Version: "1"}
 	for r.live() {
-		for _, info := range e.router.InUse() {
+		for _, info := range e.router.Endpoints() {
 			if report, err := r.direct.Load(context.Background(), info.Address); err == nil {
-				e.router.Report(info.Ref(), report)
+				e.router.ApplyReport(info.Ref(), report)
 			}
 		}
-		e.gates.Resize(func(route.Target) int { return int(math.Ceil(limit.Room * float64(e.router.Slots(target)) / entries)) })
+		e.gates.Resize(func(route.Target) int {
+			return int(math.Ceil(limit.Room * float64(e.router.TotalSlots(target)) / entries))
+		})
 		time.Sleep(lag)
 	}
 }
@@ -293,7 +295,7 @@
 		request.Prompt.Priority = a.Class.Priority
 	}
 	if r.policy.Affinity {
-		request.Prefix = route.Hash(nil, []byte(a.Messages))
+		request.Prefix = route.HashPrefixes(nil, []byte(a.Messages))
 	}
 	if r.policy.Risk {
 		request.Stake = 4
--- a/pkg/reclaim/reclaim.go
+++ b/pkg/reclaim/reclaim.go
@@ -44,7 +44,7 @@
 // takes reports whether the destination has room for a stream. Work that can
 // wait needs memory alone: its cache is kept there until its turn comes.
 func (d *Destination) takes(w Work) bool {
-	return d.Endpoint.Takes() && d.FreeTokens >= w.KVTokens+w.Remaining && (w.MayWait || d.Running < d.Slots)
+	return d.Endpoint.AcceptsWork() && d.FreeTokens >= w.KVTokens+w.Remaining && (w.MayWait || d.Running < d.Slots)
 }
 
 // Limits are what the notice leaves.
--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -40,8 +40,8 @@
 	b.share = share
 }
 
-// Sent notes a first send.
-func (b *Budget) Sent(now time.Time) {
+// RecordFirstSend notes a first send.
+func (b *Budget) RecordFirstSend(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
@@ -84,9 +84,9 @@
 	mostPause  = 2 * time.Second
 )
 
-// Pause returns how long to wait before a try, counted from 1: full jitter
+// Delay returns how long to wait before a try, counted from 1: full jitter
 // below a bound that doubles, so that many callers do not come back together.
-func Pause(try int, random *rand.Rand) time.Duration {
+func Delay(try int, random *rand.Rand) time.Duration {
 	bound := mostPause
 	if try < 8 {
 		bound = min(mostPause, firstPause<<try)
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -17,7 +17,7 @@
 	b := retry.New(0.1, start)
 	for i := range 6000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-		b.Sent(now)
+		b.RecordFirstSend(now)
 		for range 4 {
 			b.Take(now)
 		}
@@ -44,7 +44,7 @@
 	for try := 1; try <= 40; try++ {
 		least, most := time.Hour, time.Duration(0)
 		for range 200 {
-			p := retry.Pause(try, random)
+			p := retry.Delay(try, random)
 			least, most = min(least, p), max(most, p)
 		}
 		if most > 2*time.Second || least <= 0 || least*2 > most {
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Window bounds what one node sends again to a service, so that all nodes
+// WindowBudget bounds what one node sends again to a service, so that all nodes
 // together stay under a share of the service's requests plus a slack in
 // any span of one window's length. It needs no word from other nodes: the share
 // is of this node's own requests, the slack is divided by their number. It
 // is safe for concurrent use.
-type Window struct {
+type WindowBudget struct {
 	share, slack float64
 	step         time.Duration
 
@@ -32,13 +32,13 @@
 	at int64
 }
 
-// NewWindow returns a budget of share x requests + slack in each window.
-func NewWindow(share, slack float64, window time.Duration) *Window {
-	return &Window{share: share, slack: slack, step: window / steps, services: map[string]*counts{}}
+// NewWindowBudget returns a budget of share x requests + slack in each window.
+func NewWindowBudget(share, slack float64, window time.Duration) *WindowBudget {
+	return &WindowBudget{share: share, slack: slack, step: window / steps, services: map[string]*counts{}}
 }
 
-// Sent notes a first send to a service.
-func (w *Window) Sent(service string, now time.Time) {
+// RecordFirstSend notes a first send to a service.
+func (w *WindowBudget) RecordFirstSend(service string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service, now)
@@ -47,7 +47,7 @@
 
 // Take reports whether a request may be sent to a service again, and counts it
 // if so. nodes is how many nodes share the slack, at least 1.
-func (w *Window) Take(service string, nodes int, now time.Time) bool {
+func (w *WindowBudget) Take(service string, nodes int, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c := w.counts(service, now)
@@ -65,7 +65,7 @@
 }
 
 // counts returns a service's counts moved on to now.
-func (w *Window) counts(service string, now time.Time) *counts {
+func (w *WindowBudget) counts(service string, now time.Time) *counts {
 	at := now.UnixNano() / int64(w.step)
 	c := w.services[service]
 	if c == nil {
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -18,9 +18,9 @@
 		step  = 50 * time.Millisecond
 	)
 	start := time.Unix(1000, 0)
-	var budgets []*retry.Window
+	var budgets []*retry.WindowBudget
 	for range nodes {
-		budgets = append(budgets, retry.NewWindow(share, slack, span))
+		budgets = append(budgets, retry.NewWindowBudget(share, slack, span))
 	}
 	var first, again []int
 	for i := range 1200 {
@@ -29,7 +29,7 @@
 		for n, b := range budgets {
 			// Traffic comes and goes, and one node has most of it.
 			if i%400 < 200 && (n == 0 || i%7 == 0) {
-				b.Sent("svc", now)
+				b.RecordFirstSend("svc", now)
 				f++
 			}
 			if b.Take("svc", nodes, now) {
@@ -60,7 +60,7 @@
 
 func TestWindowIsOfEachService(t *testing.T) {
 	now := time.Unix(1000, 0)
-	w := retry.NewWindow(0, 2.5, time.Second)
+	w := retry.NewWindowBudget(0, 2.5, time.Second)
 	for i, want := range []bool{true, true, false} {
 		if got := w.Take("a", 1, now); got != want {
 			t.Errorf("retry %d of a: got %v, want %v", i, got, want)
--- a/pkg/rollout/count.go
+++ b/pkg/rollout/count.go
@@ -291,7 +291,7 @@
 	for i := range infos {
 		info := &infos[i]
 		switch {
-		case info.Service != order.Service || !info.Takes():
+		case info.Service != order.Service || !info.AcceptsWork():
 		case info.Release == order.Target:
 			targets = append(targets, info)
 		case !slices.Contains(v.excluded, info.Release):
--- a/pkg/route/backoff.go
+++ b/pkg/route/backoff.go
@@ -24,9 +24,9 @@
 // maxBackoffs is how many backoffs are kept before those that are over are dropped.
 const maxBackoffs = 256
 
-// Backoff keeps requests of this entry from an endpoint until a time, or a later one that was
+// SetBackoff keeps requests of this entry from an endpoint until a time, or a later one that was
 // set before. It reports whether that begins a backoff.
-func (r *Router) Backoff(ref endpoint.Ref, until, now time.Time) (begins bool) {
+func (r *Router) SetBackoff(ref endpoint.Ref, until, now time.Time) (begins bool) {
 	r.changeBackoff(ref, now, func(held *backoff) {
 		begins = !now.Before(held.own)
 		held.own = later(held.own, until)
@@ -34,8 +34,8 @@
 	return begins
 }
 
-// PeerBackoff notes that an endpoint asked another entry for backoff until a time.
-func (r *Router) PeerBackoff(ref endpoint.Ref, until, now time.Time) {
+// SetPeerBackoff notes that an endpoint asked another entry for backoff until a time.
+func (r *Router) SetPeerBackoff(ref endpoint.Ref, until, now time.Time) {
 	r.changeBackoff(ref, now, func(held *backoff) { held.penalty = later(held.penalty, until) })
 }
 
@@ -99,10 +99,10 @@
 	return backoff{incarnation: ref.Incarnation}
 }
 
-// FreeIn returns how long it takes until some endpoint's backoff is over or its limit leaves
+// TimeUntilAvailable returns how long it takes until some endpoint's backoff is over or its limit leaves
 // room; 0 where one takes work now, or there is none. Endpoints to be
 // avoided count: the caller's next try may go there.
-func (r *Router) FreeIn(q Query, now time.Time) time.Duration {
+func (r *Router) TimeUntilAvailable(q Query, now time.Time) time.Duration {
 	g, _ := r.groupFor(q.Target)
 	hosts := r.sharers()
 	g.mu.Lock()
--- a/pkg/route/backoff_test.go
+++ b/pkg/route/backoff_test.go
@@ -33,13 +33,13 @@
 	for _, strategy := range strategies {
 		r, directory, _ := newRouter(2)
 		at := info(0)
-		if !r.Backoff(at.Ref(), now.Add(restTime), now) {
+		if !r.SetBackoff(at.Ref(), now.Add(restTime), now) {
 			t.Fatal("got a rest that was there before, want one that begins")
 		}
-		if r.Backoff(at.Ref(), now.Add(restTime/2), now) {
+		if r.SetBackoff(at.Ref(), now.Add(restTime/2), now) {
 			t.Error("shorter rest: got one that begins, want the one that holds")
 		}
-		r.SetEntries(3)
+		r.SetEntryCount(3)
 		gone := info(1)
 		gone.Counter++
 		directory.Merge(gone)
@@ -58,7 +58,7 @@
 // An endpoint that has started again has asked for nothing.
 func TestRestEndsWithTheLife(t *testing.T) {
 	r, directory, _ := newRouter(1)
-	r.Backoff(info(0).Ref(), now.Add(restTime), now)
+	r.SetBackoff(info(0).Ref(), now.Add(restTime), now)
 	next := info(0)
 	next.Incarnation++
 	directory.Merge(next)
@@ -71,7 +71,7 @@
 // bind: it is chosen where it is the only one.
 func TestRestOfAnotherHostIsHeeded(t *testing.T) {
 	r, directory, _ := newRouter(2)
-	r.PeerBackoff(info(0).Ref(), now.Add(restTime), now)
+	r.SetPeerBackoff(info(0).Ref(), now.Add(restTime), now)
 	if got := chosen(r, info(0).ID, route.Expected, now); got != 0 {
 		t.Errorf("while another is free: got %d choices, want 0", got)
 	}
@@ -87,13 +87,13 @@
 // for failures are tried sooner than all callers are turned away.
 func TestFreeIn(t *testing.T) {
 	r, _, _ := newRouter(3)
-	if got := r.FreeIn(query(), now); got != 0 {
+	if got := r.TimeUntilAvailable(query(), now); got != 0 {
 		t.Errorf("none rests: got %v left, want 0", got)
 	}
 	for i := range 2 {
-		r.Backoff(info(i).Ref(), now.Add(restTime*time.Duration(i+1)), now)
+		r.SetBackoff(info(i).Ref(), now.Add(restTime*time.Duration(i+1)), now)
 	}
-	if got := r.FreeIn(query(), now); got != 0 {
+	if got := r.TimeUntilAvailable(query(), now); got != 0 {
 		t.Errorf("one takes work: got %v left, want 0", got)
 	}
 	for range 3 {
@@ -106,11 +106,11 @@
 	if c, ok := r.Choose(query(), route.Expected, now); !ok || c.Endpoint.ID != info(2).ID {
 		t.Errorf("two rest and one has failed: got %+v, %v, want the one that failed", c.Endpoint, ok)
 	}
-	r.Backoff(info(2).Ref(), now.Add(restTime*3), now)
+	r.SetBackoff(info(2).Ref(), now.Add(restTime*3), now)
 	if _, ok := r.Choose(query(), route.Expected, now); ok {
 		t.Error("all rest: got a choice, want none")
 	}
-	if got := r.FreeIn(query(), now.Add(time.Second)); got != restTime-time.Second {
+	if got := r.TimeUntilAvailable(query(), now.Add(time.Second)); got != restTime-time.Second {
 		t.Errorf("all rest: got %v left, want %v", got, restTime-time.Second)
 	}
 }
--- a/pkg/route/explore_test.go
+++ b/pkg/route/explore_test.go
@@ -19,7 +19,7 @@
 			Address: fmt.Sprint("a", i), DataCenter: "dc0", Slots: 16, Counter: 1,
 		})
 	}
-	router := route.New(directory, hazard.New(), route.Home{Node: "n", DataCenter: "dc0"}, 1)
+	router := route.New(directory, hazard.New(), route.Location{Node: "n", DataCenter: "dc0"}, 1)
 	connected := map[string]bool{"a0": true, "a1": true, "a2": true}
 	q := route.Query{Target: route.Target{Service: "svc"}, AnswerTokens: 1, Connected: func(address string) bool { return connected[address] }}
 	at, opened := now, 0
--- a/pkg/route/feedback.go
+++ b/pkg/route/feedback.go
@@ -16,8 +16,8 @@
 	// Refused says that the endpoint turned the request away: it has shown neither a
 	// failure nor that it serves.
 	Refused bool
-	// Started says that Router.Started was called for the choice.
-	Started bool
+	// PrefillDone says that Router.PrefillDone was called for the choice.
+	PrefillDone bool
 	// FirstToken is the time to the first token, 0 if there was none.
 	FirstToken time.Duration
 	// Tokens and Decode give the gap between tokens; 0 if not measured.
@@ -26,10 +26,10 @@
 	// PromptTokens and CachedTokens are the engine's own account, 0 if it gave
 	// none. Measured says whether it did.
 	PromptTokens, CachedTokens int
-	Measured                   bool
-	// Untried says that the endpoint is of a version that is tried: what it shows is no
+	TokensReported             bool
+	// Canary says that the endpoint is of a version that is tried: what it shows is no
 	// measure of the service's speed.
-	Untried bool
+	Canary bool
 }
 
 // Done ends a choice and learns from it.
@@ -56,7 +56,7 @@
 func (s *slot) done(c Choice, result Result, now time.Time) {
 	l := &s.load
 	l.ownRunning = max(l.ownRunning-1, 0)
-	if !result.Started {
+	if !result.PrefillDone {
 		l.ownPrefill = max(l.ownPrefill-c.uncached, 0)
 	}
 	// Requests sent before the report are in its count, later ones in ours.
@@ -74,43 +74,43 @@
 	}
 	s.group.succeed(s)
 	l.meanDuration = smooth(l.meanDuration, now.Sub(c.sent))
-	if !result.Untried {
+	if !result.Canary {
 		s.group.learn(c, result)
 	}
-	if result.Measured && c.CachedTokens > 0 {
+	if result.TokensReported && c.CachedTokens > 0 {
 		l.learnTrust(c.CachedTokens, result.CachedTokens)
 	}
 }
 
-// Started notes that a request's prompt has been prefilled: its first token is there. Where it is
+// PrefillDone notes that a request's prompt has been prefilled: its first token is there. Where it is
 // not called, Done does the same.
-func (r *Router) Started(c Choice) {
+func (r *Router) PrefillDone(c Choice) {
 	r.withSlot(c.Endpoint.Ref(), func(s *slot) { s.load.ownPrefill = max(s.load.ownPrefill-c.uncached, 0) })
 }
 
-// OwnLoad is what this entry has under way at an endpoint.
-type OwnLoad struct {
+// LocalLoad is what this entry has under way at an endpoint.
+type LocalLoad struct {
 	Endpoint endpoint.Info
 	Running  int
 	// PrefillTokens are of requests that have no first token yet.
 	PrefillTokens int
 }
 
-// HasOwn reports whether this entry has requests under way.
-func (r *Router) HasOwn() bool { return r.underWay.Load() > 0 }
+// HasInFlight reports whether this entry has requests under way.
+func (r *Router) HasInFlight() bool { return r.underWay.Load() > 0 }
 
-// OwnLoads returns the endpoints at which this entry has requests under way. One that has
+// LocalLoads returns the endpoints at which this entry has requests under way. One that has
 // none does not bring its groups up to date for that: most hosts of a large fleet take no
 // callers, and thousands of endpoints may come and go.
-func (r *Router) OwnLoads() []OwnLoad {
-	if !r.HasOwn() {
+func (r *Router) LocalLoads() []LocalLoad {
+	if !r.HasInFlight() {
 		return nil
 	}
-	var list []OwnLoad
+	var list []LocalLoad
 	for _, s := range r.slots() {
 		s.group.mu.Lock()
 		if s.load.ownRunning > 0 {
-			list = append(list, OwnLoad{s.info, s.load.ownRunning, s.load.ownPrefill})
+			list = append(list, LocalLoad{s.info, s.load.ownRunning, s.load.ownPrefill})
 		}
 		s.group.mu.Unlock()
 	}
@@ -120,7 +120,7 @@
 // learn takes what an answer shows into the estimate of speed.
 func (g *group) learn(c Choice, result Result) {
 	uncached := c.uncached
-	if result.Measured {
+	if result.TokensReported {
 		uncached = max(result.PromptTokens-result.CachedTokens, 0)
 	}
 	g.model.Learn(enginemodel.Answer{Tokens: uncached + c.ahead, First: result.FirstToken, Made: result.Tokens, Decode: result.Decode})
@@ -165,8 +165,8 @@
 	s.load.ejectedUntil = time.Time{}
 }
 
-// Report applies an endpoint's load report. An older one than held is dropped.
-func (r *Router) Report(ref endpoint.Ref, report engine.Report) {
+// ApplyReport applies an endpoint's load report. An older one than held is dropped.
+func (r *Router) ApplyReport(ref endpoint.Ref, report engine.Report) {
 	r.withSlot(ref, func(s *slot) { s.load.report(report) })
 }
 
@@ -190,9 +190,9 @@
 // freshFor is how long a report is good for: asking sooner shows nothing new.
 const freshFor = time.Second
 
-// Stalest returns the engine whose load was reported longest ago, if that is long enough, and
+// NextToPoll returns the engine whose load was reported longest ago, if that is long enough, and
 // notes it as asked.
-func (r *Router) Stalest(now time.Time) (endpoint.Info, bool) {
+func (r *Router) NextToPoll(now time.Time) (endpoint.Info, bool) {
 	var oldest *slot
 	var oldestAt time.Time
 	for _, s := range r.slots() {
@@ -214,14 +214,14 @@
 
 // Candidate is one line of an explanation.
 type Candidate struct {
-	Endpoint endpoint.Info
-	Usable   bool
-	Wait     time.Duration
-	Decode   time.Duration
-	Risk     time.Duration
-	Total    time.Duration
-	Cached   int
-	Running  int
+	Endpoint     endpoint.Info
+	Usable       bool
+	Wait         time.Duration
+	Decode       time.Duration
+	Risk         time.Duration
+	Total        time.Duration
+	CachedTokens int
+	Running      int
 	// Slots is how many run at once.
 	Slots int
 	// FreeTokens is KV memory left, in tokens, as last reported.
@@ -243,7 +243,7 @@
 		sc := r.score(s, q, now)
 		list = append(list, Candidate{
 			Endpoint: s.info, Usable: g.usable(s, q, now), Wait: sc.wait, Decode: sc.decode, Risk: sc.risk,
-			Total: sc.total, Cached: sc.cached, Running: s.load.running + s.load.sentSince - s.load.endedSince,
+			Total: sc.total, CachedTokens: sc.cached, Running: s.load.running + s.load.sentSince - s.load.endedSince,
 			Slots: s.load.slots, FreeTokens: s.load.freeTokens, HazardPerHour: s.load.rate,
 		})
 	}
@@ -289,8 +289,8 @@
 	return s.group.model.Figures().TokenGap
 }
 
-// Slots returns how many requests the endpoints of a target run at once.
-func (r *Router) Slots(t Target) int {
+// TotalSlots returns how many requests the endpoints of a target run at once.
+func (r *Router) TotalSlots(t Target) int {
 	g, _ := r.groupFor(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -301,21 +301,21 @@
 	return total
 }
 
-// Size returns how many endpoints take work for a target.
-func (r *Router) Size(t Target) int {
+// EndpointCount returns how many endpoints take work for a target.
+func (r *Router) EndpointCount(t Target) int {
 	g, _ := r.groupFor(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.slots)
 }
 
-// Other returns a target of the same model and adapter that some endpoint
+// OtherVersion returns a target of the same model and adapter that some endpoint
 // serves in another version: while versions are rolled, a service must not go
 // without. ok is false where there is none.
-func (r *Router) Other(t Target) (Target, bool) {
+func (r *Router) OtherVersion(t Target) (Target, bool) {
 	for _, info := range r.directory.View().Infos() {
 		other := TargetOf(info)
-		if info.Takes() && t.Model != "" && other.Model == t.Model && other.Adapter == t.Adapter {
+		if info.AcceptsWork() && t.Model != "" && other.Model == t.Model && other.Adapter == t.Adapter {
 			return other, true
 		}
 	}
--- a/pkg/route/limit.go
+++ b/pkg/route/limit.go
@@ -37,9 +37,9 @@
 	return r.alone
 }
 
-// Limit notes how many requests a second an endpoint takes from all hosts together, 0 for
+// SetLimit notes how many requests a second an endpoint takes from all hosts together, 0 for
 // no limit.
-func (r *Router) Limit(ref endpoint.Ref, limit endpoint.Limit, now time.Time) {
+func (r *Router) SetLimit(ref endpoint.Ref, limit endpoint.Limit, now time.Time) {
 	r.mu.Lock()
 	held := r.limits[ref.ID]
 	if held.incarnation != ref.Incarnation {
--- a/pkg/route/placement.go
+++ b/pkg/route/placement.go
@@ -5,8 +5,8 @@
 // Placement says that an endpoint was sent a prompt, and so has read its prefixes.
 type Placement struct {
 	Endpoint string
-	// Prefix is the prompt's shared prefixes, from its start.
-	Prefix []uint64
+	// PrefixHashes is the prompt's shared prefixes, from its start.
+	PrefixHashes []uint64
 }
 
 // mostPlaced bounds the placements of a target that wait to be sent; what is beyond is dropped.
@@ -14,14 +14,14 @@
 
 // place notes a prompt for the other entries. The group's lock is held.
 func (g *group) place(q Query, id string) {
-	if q.Shared > 0 && len(g.placed) < mostPlaced {
-		g.placed = append(g.placed, Placement{id, q.Prefix[:q.Shared]})
+	if q.SharedPrefixes > 0 && len(g.placed) < mostPlaced {
+		g.placed = append(g.placed, Placement{id, q.PrefixHashes[:q.SharedPrefixes]})
 	}
 }
 
-// TakePlacements returns where this entry sent prompts with shared prefixes since
+// DrainPlacements returns where this entry sent prompts with shared prefixes since
 // it was last asked.
-func (r *Router) TakePlacements() []Placement {
+func (r *Router) DrainPlacements() []Placement {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var list []Placement
@@ -34,15 +34,15 @@
 	return list
 }
 
-// Place notes where another entry sent a prompt.
-func (r *Router) Place(p Placement) {
+// ApplyPlacement notes where another entry sent a prompt.
+func (r *Router) ApplyPlacement(p Placement) {
 	s, ok := r.slots()[p.Endpoint]
 	if !ok {
 		return
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	s.group.index.note(p.Prefix, p.Endpoint)
+	s.group.index.note(p.PrefixHashes, p.Endpoint)
 }
 
 // Parameters of what the other entries are sent at once.
@@ -66,13 +66,13 @@
 	}
 }
 
-// OwnLoad returns what this entry has under way at one endpoint.
-func (r *Router) OwnLoad(id string) OwnLoad {
+// LocalLoad returns what this entry has under way at one endpoint.
+func (r *Router) LocalLoad(id string) LocalLoad {
 	s, ok := r.slots()[id]
 	if !ok {
-		return OwnLoad{}
+		return LocalLoad{}
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return OwnLoad{s.info, s.load.ownRunning, s.load.ownPrefill}
+	return LocalLoad{s.info, s.load.ownRunning, s.load.ownPrefill}
 }
--- a/pkg/route/placement_test.go
+++ b/pkg/route/placement_test.go
@@ -17,9 +17,9 @@
 	q := query()
 	q.PromptTokens = 7000
 	prompts++
-	q.Prefix = []uint64{1, 1000 + session, 1<<40 + prompts}
+	q.PrefixHashes = []uint64{1, 1000 + session, 1<<40 + prompts}
 	q.PrefixTokens = []int{2500, 6500, 7000}
-	q.Shared = 2
+	q.SharedPrefixes = 2
 	return q
 }
 
@@ -30,15 +30,15 @@
 	second, _, _ := newRouter(8)
 	third, _, _ := newRouter(8)
 	home, _ := third.Choose(chat(2), route.Expected, now)
-	first.Report(home.Endpoint.Ref(), engine.Report{Sequence: now.UnixMilli() + 1, Running: 200, Slots: 16, QueuedTokens: 100_000})
+	first.ApplyReport(home.Endpoint.Ref(), engine.Report{Sequence: now.UnixMilli() + 1, Running: 200, Slots: 16, QueuedTokens: 100_000})
 	placed, _ := first.Choose(chat(2), route.Expected, now)
 	if placed.Endpoint.ID == home.Endpoint.ID {
 		t.Fatal("first entry: got the loaded home, want another endpoint")
 	}
 	sent := chat(2)
-	for _, p := range first.TakePlacements() {
-		second.Place(p)
-		if p.Endpoint != placed.Endpoint.ID || fmt.Sprint(p.Prefix) != fmt.Sprint(sent.Prefix[:2]) {
+	for _, p := range first.DrainPlacements() {
+		second.ApplyPlacement(p)
+		if p.Endpoint != placed.Endpoint.ID || fmt.Sprint(p.PrefixHashes) != fmt.Sprint(sent.PrefixHashes[:2]) {
 			t.Errorf("placement: got %+v, want the shared prefixes at %s", p, placed.Endpoint.ID)
 		}
 	}
@@ -46,7 +46,7 @@
 	if followed.Endpoint.ID != placed.Endpoint.ID || followed.CachedTokens != 6500 {
 		t.Errorf("second entry: got %s with %d tokens cached, want %s with 6500", followed.Endpoint.ID, followed.CachedTokens, placed.Endpoint.ID)
 	}
-	if again := first.TakePlacements(); len(again) != 0 {
+	if again := first.DrainPlacements(); len(again) != 0 {
 		t.Errorf("placements taken again: got %v, want none", again)
 	}
 }
@@ -63,14 +63,14 @@
 		other = info(1).ID
 	}
 	fresh, _, _ := newRouter(8)
-	fresh.Place(route.Placement{Endpoint: other, Prefix: q.Prefix[:2]})
+	fresh.ApplyPlacement(route.Placement{Endpoint: other, PrefixHashes: q.PrefixHashes[:2]})
 	for _, c := range fresh.Explain(q, now) {
 		want := 0
 		if c.Endpoint.ID == other {
 			want = 6500
 		}
-		if c.Cached != want {
-			t.Errorf("%s: got %d tokens reckoned cached, want %d", c.Endpoint.ID, c.Cached, want)
+		if c.CachedTokens != want {
+			t.Errorf("%s: got %d tokens reckoned cached, want %d", c.Endpoint.ID, c.CachedTokens, want)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 func TestSessionIsFoundBehindASharedBase(t *testing.T) {
 	r, _, _ := newRouter(30)
 	for session := range 30 {
-		r.Place(route.Placement{Endpoint: info(session).ID, Prefix: chat(uint64(session)).Prefix[:2]})
+		r.ApplyPlacement(route.Placement{Endpoint: info(session).ID, PrefixHashes: chat(uint64(session)).PrefixHashes[:2]})
 	}
 	for session := range 30 {
 		c, _ := r.Choose(chat(uint64(session)), route.Expected, now)
@@ -119,7 +119,7 @@
 func TestToldQueueIsReadAsTimePasses(t *testing.T) {
 	r, _, _ := newRouter(1)
 	ref := info(0).Ref()
-	r.Report(ref, engine.Report{Sequence: now.UnixMilli() + 1, Slots: 16, QueuedTokens: 5000, QueuedAt: now})
+	r.ApplyReport(ref, engine.Report{Sequence: now.UnixMilli() + 1, Slots: 16, QueuedTokens: 5000, QueuedAt: now})
 	first, _ := r.Choose(query(), route.Expected, now.Add(time.Millisecond))
 	r.Done(first, route.Result{}, now)
 	second, _ := r.Choose(query(), route.Expected, now.Add(2*time.Second))
@@ -137,7 +137,7 @@
 	if c.CachedTokens != 0 {
 		t.Errorf("first prompt of a session: got %d tokens reckoned cached, want 0", c.CachedTokens)
 	}
-	if got := r.OwnLoad(c.Endpoint.ID).PrefillTokens; got != q.PromptTokens {
+	if got := r.LocalLoad(c.Endpoint.ID).PrefillTokens; got != q.PromptTokens {
 		t.Errorf("told to the others: got %d tokens to be read, want %d", got, q.PromptTokens)
 	}
 }
@@ -151,10 +151,10 @@
 	if c, ok := r.Choose(q, route.Expected, now); ok {
 		t.Fatalf("not accepted: got %s, want none", c.Endpoint.ID)
 	}
-	if got := r.TakePlacements(); len(got) != 0 {
+	if got := r.DrainPlacements(); len(got) != 0 {
 		t.Errorf("placements told: got %v, want none", got)
 	}
-	if got := r.OwnLoads(); len(got) != 0 {
+	if got := r.LocalLoads(); len(got) != 0 {
 		t.Errorf("loads told: got %v, want none", got)
 	}
 	again := chat(5)
--- a/pkg/route/prefix.go
+++ b/pkg/route/prefix.go
@@ -20,9 +20,9 @@
 	indexLimit = 1 << 15
 )
 
-// Hash appends the hashes of a prompt's prefixes, one for every full block,
+// HashPrefixes appends the hashes of a prompt's prefixes, one for every full block,
 // to dst. Prompts that share a prefix share its hashes.
-func Hash(dst []uint64, prompt []byte) []uint64 {
+func HashPrefixes(dst []uint64, prompt []byte) []uint64 {
 	digest := xxhash.New()
 	for end := blockBytes; end <= len(prompt) && len(dst) < MaxBlocks; end += blockBytes {
 		_, _ = digest.Write(prompt[end-blockBytes : end])
@@ -122,7 +122,7 @@
 // read has it no more than others. The group's lock is held.
 func (g *group) markCached(q Query, byID map[string]*slot) marked {
 	var m marked
-	if len(q.Prefix) == 0 {
+	if len(q.PrefixHashes) == 0 {
 		return m
 	}
 	known := false
@@ -130,18 +130,18 @@
 		set, _ := g.index.get(prefix)
 		for _, id := range set {
 			if s := byID[id]; s != nil && s.group == g {
-				depth := g.index.depth(q.Prefix, id)
-				known = known || depth >= q.Shared
+				depth := g.index.depth(q.PrefixHashes, id)
+				known = known || depth >= q.SharedPrefixes
 				m.add(s, q.tokensOf(depth))
 			}
 		}
 	}
-	if q.Shared > 0 {
-		mark(q.Prefix[q.Shared-1])
+	if q.SharedPrefixes > 0 {
+		mark(q.PrefixHashes[q.SharedPrefixes-1])
 	}
-	mark(q.Prefix[0])
-	if q.Shared > 0 && !known {
-		m.prefer(g.rendezvous(q.Prefix[q.Shared-1], &q.Rule), q.tokensOf(q.Shared))
+	mark(q.PrefixHashes[0])
+	if q.SharedPrefixes > 0 && !known {
+		m.prefer(g.rendezvous(q.PrefixHashes[q.SharedPrefixes-1], &q.Rule), q.tokensOf(q.SharedPrefixes))
 	}
 	return m
 }
--- a/pkg/route/query.go
+++ b/pkg/route/query.go
@@ -20,32 +20,32 @@
 // Query is one request for an endpoint.
 type Query struct {
 	Target Target
-	// Prefix is the prompt's prefix hashes (see Hash); it may be empty.
-	Prefix []uint64
+	// PrefixHashes is the prompt's prefix hashes (see Hash); it may be empty.
+	PrefixHashes []uint64
 	// PrefixTokens is how many tokens each prefix covers, from the prompt's
 	// start; nil where every one is one block longer than the one before.
 	PrefixTokens []int
-	// Shared is how many of the prefixes other requests have too. Requests that share
+	// SharedPrefixes is how many of the prefixes other requests have too. Requests that share
 	// a prefix go to the same endpoint from every entry, where it was sent before or
 	// has its home, unless its load speaks against it; 0 leaves that to what this entry
 	// has sent.
-	Shared int
+	SharedPrefixes int
 	// PromptTokens and AnswerTokens are what is expected, not known.
 	PromptTokens, AnswerTokens int
-	// Done is tokens of the answer had already, to be prefilled again.
-	Done int
-	// Stake is how many seconds a lost second of work counts for; 1 for work
+	// GeneratedTokens is tokens of the answer had already, to be prefilled again.
+	GeneratedTokens int
+	// RiskWeight is how many seconds a lost second of work counts for; 1 for work
 	// that waits, more for a caller at a counter, 0 to leave risk out.
-	Stake float64
+	RiskWeight float64
 	// Avoid lists endpoints that this request failed on.
 	Avoid []endpoint.Ref
 	// MayWait marks work that takes an endpoint only where that leaves room for
 	// callers who wait.
 	MayWait bool
-	// Sample is how many endpoints are looked at in addition to those that have the prefix, 0 for
+	// SampleSize is how many endpoints are looked at in addition to those that have the prefix, 0 for
 	// all up to a bound. Where many entries choose by old reports, a few at random spread better
 	// than the best of all (Mitzenmacher 2001).
-	Sample int
+	SampleSize int
 	// Rule says which endpoints may take the request.
 	Rule rollout.Rule
 	// Connected reports whether this entry has a connection to an address that the request can use;
@@ -71,9 +71,9 @@
 	Expected time.Duration
 	// Wait is the part of it before the first token.
 	Wait time.Duration
-	// Queued is the part of Wait for what was there before, Least the least such time
+	// Queued is the part of Wait for what was there before, LeastQueued the least such time
 	// at any endpoint that was looked at.
-	Queued, Least time.Duration
+	Queued, LeastQueued time.Duration
 	// CachedTokens is how much of the prompt was estimated to be cached there.
 	CachedTokens int
 	sent         time.Time
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -43,9 +43,9 @@
 type Router struct {
 	directory *endpoint.Directory
 	hazard    *hazard.Estimator
-	home      Home
+	home      Location
 	seed      uint64
-	figures   Figures
+	figures   EngineSpeed
 	// underWay is the choices that have not ended.
 	underWay atomic.Int64
 	// entries is how many entry hosts share the endpoints, 0 if not known.
@@ -70,34 +70,34 @@
 // Node returns the name of this process's node.
 func (r *Router) Node() string { return r.home.Node }
 
-// Home says where this process is.
-type Home struct {
+// Location says where this process is.
+type Location struct {
 	Node, DataCenter string
 }
 
-// Figures are those of a target's engines until answers have shown their speed.
-type Figures struct {
+// EngineSpeed are those of a target's engines until answers have shown their speed.
+type EngineSpeed struct {
 	// TokenGap is the time between tokens of one request, at little load.
 	TokenGap time.Duration
 	// Prefill is the time for one token of a prompt.
 	Prefill time.Duration
-	// MeanAnswer is how long a request runs.
-	MeanAnswer time.Duration
+	// MeanRequestTime is how long a request runs.
+	MeanRequestTime time.Duration
 }
 
-// DefaultFigures are those of a large model on one host.
-func DefaultFigures() Figures {
-	return Figures{TokenGap: startTokenGap, Prefill: startPrefill, MeanAnswer: startMeanAnswer}
+// DefaultEngineSpeed are those of a large model on one host.
+func DefaultEngineSpeed() EngineSpeed {
+	return EngineSpeed{TokenGap: startTokenGap, Prefill: startPrefill, MeanRequestTime: startMeanAnswer}
 }
 
 // New returns a router over a directory of endpoints. The seed makes its
 // samples repeatable.
-func New(directory *endpoint.Directory, estimator *hazard.Estimator, home Home, seed uint64) *Router {
-	return NewWithFigures(directory, estimator, home, seed, DefaultFigures())
+func New(directory *endpoint.Directory, estimator *hazard.Estimator, home Location, seed uint64) *Router {
+	return NewWithEngineSpeed(directory, estimator, home, seed, DefaultEngineSpeed())
 }
 
-// NewWithFigures is New with other figures to begin with.
-func NewWithFigures(directory *endpoint.Directory, estimator *hazard.Estimator, home Home, seed uint64, figures Figures) *Router {
+// NewWithEngineSpeed is New with other figures to begin with.
+func NewWithEngineSpeed(directory *endpoint.Directory, estimator *hazard.Estimator, home Location, seed uint64, figures EngineSpeed) *Router {
 	r := &Router{
 		figures:   figures,
 		directory: directory,
@@ -193,8 +193,8 @@
 	r.synced = view.Generation()
 }
 
-// SetEntries sets how many entry hosts share the endpoints.
-func (r *Router) SetEntries(entries int) {
+// SetEntryCount sets how many entry hosts share the endpoints.
+func (r *Router) SetEntryCount(entries int) {
 	if r.entries.Swap(int64(entries)) == int64(entries) {
 		return
 	}
@@ -204,8 +204,8 @@
 	r.sync(view)
 }
 
-// InUse returns the endpoints this entry may choose.
-func (r *Router) InUse() []endpoint.Info {
+// Endpoints returns the endpoints this entry may choose.
+func (r *Router) Endpoints() []endpoint.Info {
 	byID := r.slots()
 	infos := make([]endpoint.Info, 0, len(byID))
 	for _, s := range byID {
@@ -256,7 +256,7 @@
 	uncached := max(q.PromptTokens-score.cached, 0)
 	g.work.add(g.engineTime(uncached, q.AnswerTokens), now)
 	choice := Choice{
-		Endpoint: best.info, Expected: score.total, Wait: score.wait, Queued: score.queued, Least: score.least,
+		Endpoint: best.info, Expected: score.total, Wait: score.wait, Queued: score.queued, LeastQueued: score.least,
 		CachedTokens: score.cached, sent: now, uncached: uncached, ahead: score.ahead,
 	}
 	if q.Accepts != nil && !q.Accepts(choice) {
@@ -275,7 +275,7 @@
 	s.load.sentSince++
 	s.load.ownRunning++
 	s.load.ownPrefill += c.uncached
-	g.index.note(q.Prefix, s.info.ID)
+	g.index.note(q.PrefixHashes, s.info.ID)
 	g.place(q, s.info.ID)
 	if time.Duration(c.uncached)*g.model.Figures().Prefill >= heavyPrefill {
 		r.MarkUrgent(s.info.ID)
@@ -303,8 +303,8 @@
 		}
 	}
 	sample := scanLimit
-	if q.Sample > 0 {
-		sample = q.Sample
+	if q.SampleSize > 0 {
+		sample = q.SampleSize
 	}
 	if len(g.slots) <= sample {
 		g.each(consider)
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -39,15 +39,15 @@
 	for i := range count {
 		directory.Merge(info(i))
 	}
-	r := route.New(directory, estimator, route.Home{Node: "n", DataCenter: "dc0"}, 1)
+	r := route.New(directory, estimator, route.Location{Node: "n", DataCenter: "dc0"}, 1)
 	for i := range count {
-		r.Report(info(i).Ref(), engine.Report{Sequence: now.UnixMilli(), Slots: 16})
+		r.ApplyReport(info(i).Ref(), engine.Report{Sequence: now.UnixMilli(), Slots: 16})
 	}
 	return r, directory, estimator
 }
 
 func query() route.Query {
-	return route.Query{Target: target, PromptTokens: 500, AnswerTokens: 100, Stake: 1}
+	return route.Query{Target: target, PromptTokens: 500, AnswerTokens: 100, RiskWeight: 1}
 }
 
 // TestOwnSendsSpreadBeforeTheNextReport sends many requests between two reports.
@@ -77,7 +77,7 @@
 	r, _, _ := newRouter(10)
 	q := query()
 	q.PromptTokens = 4000
-	q.Prefix = route.Hash(nil, make([]byte, 16000))
+	q.PrefixHashes = route.HashPrefixes(nil, make([]byte, 16000))
 	first, _ := r.Choose(q, route.Expected, now)
 	r.Done(first, route.Result{}, now.Add(time.Second))
 	second, _ := r.Choose(q, route.Expected, now.Add(time.Second))
@@ -99,12 +99,12 @@
 func TestCacheThatForgetsLosesItsTrust(t *testing.T) {
 	r, _, _ := newRouter(1)
 	q := query()
-	q.Prefix = route.Hash(nil, make([]byte, 2000))
+	q.PrefixHashes = route.HashPrefixes(nil, make([]byte, 2000))
 	last := 0
 	for i := range 30 {
 		c, _ := r.Choose(q, route.Expected, now)
 		last = c.CachedTokens
-		r.Done(c, route.Result{Measured: true, PromptTokens: 500, CachedTokens: 0}, now.Add(time.Duration(i)*time.Second))
+		r.Done(c, route.Result{TokensReported: true, PromptTokens: 500, CachedTokens: 0}, now.Add(time.Duration(i)*time.Second))
 	}
 	if last > 100 {
 		t.Errorf("tokens reckoned cached: got %d, want few after 30 answers without any", last)
@@ -157,7 +157,7 @@
 	estimator.Reclaimed(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
 	q := query()
 	q.AnswerTokens = 3000
-	q.Stake = 4
+	q.RiskWeight = 4
 	for range 20 {
 		c, _ := r.Choose(q, route.Expected, now)
 		if c.Endpoint.DataCenter == "dc0" {
@@ -180,10 +180,10 @@
 			i := rapid.IntRange(0, count-1).Draw(rt, "endpoint")
 			switch rapid.IntRange(0, 4).Draw(rt, "event") {
 			case 0:
-				directory.Leave(info(i).Ref(), func(e *endpoint.Info) { e.State = endpoint.Leaving })
+				directory.Update(info(i).Ref(), func(e *endpoint.Info) { e.State = endpoint.Leaving })
 				left[info(i).ID] = true
 			case 1:
-				r.Report(info(i).Ref(), engine.Report{Sequence: at.UnixMilli(), Running: rapid.IntRange(0, 30).Draw(rt, "running"), Slots: 16})
+				r.ApplyReport(info(i).Ref(), engine.Report{Sequence: at.UnixMilli(), Running: rapid.IntRange(0, 30).Draw(rt, "running"), Slots: 16})
 			case 2:
 				if len(running) > 0 {
 					r.Done(running[0], route.Result{Failed: rapid.Bool().Draw(rt, "failed")}, at)
@@ -244,7 +244,7 @@
 func benchmarkChoose(b *testing.B, count, entries int) {
 	r, _, _ := newRouter(count)
 	if entries > 0 {
-		r.SetEntries(entries)
+		r.SetEntryCount(entries)
 	}
 	q := query()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -254,11 +254,11 @@
 		for j := range text {
 			text[j] = byte(random.IntN(256))
 		}
-		prefixes[i] = route.Hash(nil, text)
+		prefixes[i] = route.HashPrefixes(nil, text)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		q.Prefix = prefixes[i%len(prefixes)]
+		q.PrefixHashes = prefixes[i%len(prefixes)]
 		c, _ := r.Choose(q, route.Expected, now)
 		r.Done(c, route.Result{}, now)
 	}
@@ -279,11 +279,11 @@
 			q.PromptTokens = 1000 + 37*i
 			at := from.Add(time.Duration(i) * 20 * time.Millisecond)
 			c, _ := r.Choose(q, route.Expected, at)
-			r.Started(c)
+			r.PrefillDone(c)
 			took := 30*time.Millisecond + time.Duration(q.PromptTokens)*60*time.Microsecond
-			r.Done(c, route.Result{Started: true, FirstToken: took, Tokens: 100, Decode: 100 * 8 * time.Millisecond}, at.Add(time.Millisecond))
+			r.Done(c, route.Result{PrefillDone: true, FirstToken: took, Tokens: 100, Decode: 100 * 8 * time.Millisecond}, at.Add(time.Millisecond))
 		}
-		return r.Work(target, from.Add(4*time.Second))
+		return r.EngineDemand(target, from.Add(4*time.Second))
 	}
 	prior := newWork(t)
 	learned := work(now)
@@ -307,7 +307,7 @@
 		c, _ := r.Choose(q, route.Expected, at)
 		r.Done(c, route.Result{}, at)
 	}
-	return r.Work(target, now.Add(4*time.Second))
+	return r.EngineDemand(target, now.Add(4*time.Second))
 }
 
 // Of endpoints that are as good, one to which there is a connection is taken; one that is
@@ -319,7 +319,7 @@
 			ID: fmt.Sprint("e", i), Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Address: fmt.Sprint("a", i), Slots: 4,
 		})
 	}
-	router := route.New(directory, hazard.New(), route.Home{}, 1)
+	router := route.New(directory, hazard.New(), route.Location{}, 1)
 	now := time.Now()
 	query := route.Query{
 		Target: route.Target{Service: "s"}, PromptTokens: 100, AnswerTokens: 20,
@@ -336,7 +336,7 @@
 	if got := counts["e5"]; got < 1 || got > 4 {
 		t.Errorf("requests to the endpoint with a connection: got %d of 8, want 1 to 4, its places", got)
 	}
-	first := route.New(directory, hazard.New(), route.Home{}, 2)
+	first := route.New(directory, hazard.New(), route.Location{}, 2)
 	if choice, _ := first.Choose(query, route.Expected, now); choice.Endpoint.ID != "e5" {
 		t.Errorf("first choice: got %s, want e5", choice.Endpoint.ID)
 	}
@@ -347,24 +347,24 @@
 func TestIdleEntryDoesNotFollowEachChange(t *testing.T) {
 	const endpoints = 3000
 	directory := endpoint.NewDirectory()
-	r := route.New(directory, hazard.New(), route.Home{Node: "h"}, 1)
+	r := route.New(directory, hazard.New(), route.Location{Node: "h"}, 1)
 	for i := range endpoints {
 		directory.Merge(endpoint.Info{ID: fmt.Sprint("e", i), Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: "s"})
 	}
-	if got := testing.AllocsPerRun(10, func() { r.OwnLoads() }); got != 0 {
+	if got := testing.AllocsPerRun(10, func() { r.LocalLoads() }); got != 0 {
 		t.Errorf("own loads of an idle host: got %.0f allocations, want none", got)
 	}
 	now := time.Now()
 	target := route.Target{Service: "s"}
-	if got := testing.AllocsPerRun(10, func() { r.Work(target, now) }); got != 0 {
+	if got := testing.AllocsPerRun(10, func() { r.EngineDemand(target, now) }); got != 0 {
 		t.Errorf("work asked for at an idle host: got %.0f allocations, want none", got)
 	}
 	c, ok := r.Choose(route.Query{Target: target, AnswerTokens: 1}, route.Expected, now)
-	if got := len(r.OwnLoads()); !ok || got != 1 {
+	if got := len(r.LocalLoads()); !ok || got != 1 {
 		t.Errorf("own loads with a request under way: got %d, want 1", got)
 	}
 	r.Done(c, route.Result{}, now)
-	if got := len(r.OwnLoads()); got != 0 {
+	if got := len(r.LocalLoads()); got != 0 {
 		t.Errorf("own loads after it: got %d, want none", got)
 	}
 }
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -16,14 +16,14 @@
 	ahead int
 }
 
-// WaitingShare is the part of an endpoint's slots that work that can wait may
+// MayWaitShare is the part of an endpoint's slots that work that can wait may
 // fill; the rest is for callers who wait, also after a data centre is lost and
 // before anything new is bought.
-const WaitingShare = 0.6
+const MayWaitShare = 0.6
 
 // hasRoomForWaiting reports whether work that can wait may be sent.
 func (l *load) hasRoomForWaiting(stale bool) bool {
-	return l.waiting == 0 && float64(l.estimate(stale)) < WaitingShare*float64(l.slots)
+	return l.waiting == 0 && float64(l.estimate(stale)) < MayWaitShare*float64(l.slots)
 }
 
 // estimate is how many requests are thought to run, by the latest report and,
@@ -66,7 +66,7 @@
 		running = l.slots
 	}
 	cached := int(l.trust * float64(min(s.cached, q.PromptTokens)))
-	uncached := q.PromptTokens - cached + q.Done
+	uncached := q.PromptTokens - cached + q.GeneratedTokens
 	own := f.FirstToken(uncached)
 	wait := own
 	if running >= l.slots {
@@ -99,7 +99,7 @@
 
 // riskOf is the work a reclaim would lose times its probability, in time.
 func (r *Router) riskOf(s *slot, q Query, duration time.Duration, now time.Time) time.Duration {
-	if !s.info.Reclaimable || q.Stake == 0 {
+	if !s.info.Reclaimable || q.RiskWeight == 0 {
 		return 0
 	}
 	l := &s.load
@@ -109,6 +109,6 @@
 	}
 	probability := min(1, l.rate*duration.Seconds()/secondsAnHour)
 	// Half the answer is lost on average, and all of the prompt.
-	lost := duration/2 + time.Duration(q.PromptTokens+q.Done)*s.group.model.Figures().Prefill
-	return time.Duration(probability * q.Stake * float64(lost))
+	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.model.Figures().Prefill
+	return time.Duration(probability * q.RiskWeight * float64(lost))
 }
--- a/pkg/route/slot.go
+++ b/pkg/route/slot.go
@@ -100,7 +100,7 @@
 		slots = defaultSlots
 	}
 	return load{
-		slots: slots, meanDuration: r.figures.MeanAnswer, trust: 1, backoff: r.backoffOf(info.Ref()),
+		slots: slots, meanDuration: r.figures.MeanRequestTime, trust: 1, backoff: r.backoffOf(info.Ref()),
 		bucket: r.bucketOf(info.Ref()),
 	}
 }
--- a/pkg/route/subset.go
+++ b/pkg/route/subset.go
@@ -26,7 +26,7 @@
 func Subset(node string, entries int, infos []endpoint.Info) []endpoint.Info {
 	byTarget := map[Target][]endpoint.Info{}
 	for _, info := range infos {
-		if info.Takes() {
+		if info.AcceptsWork() {
 			target := TargetOf(info)
 			byTarget[target] = append(byTarget[target], info)
 		}
--- a/pkg/route/work.go
+++ b/pkg/route/work.go
@@ -36,9 +36,9 @@
 	return time.Duration(uncached)*f.Prefill + time.Duration(answer)*f.TokenGap/batchShare
 }
 
-// Work returns the engine time a second that this entry's requests for a
+// EngineDemand returns the engine time a second that this entry's requests for a
 // target ask for, averaged over some seconds: 1 is one endpoint, never idle.
-func (r *Router) Work(t Target, now time.Time) float64 {
+func (r *Router) EngineDemand(t Target, now time.Time) float64 {
 	r.mu.RLock()
 	g, known := r.groups[t]
 	r.mu.RUnlock()
--- a/pkg/storeview/idle_test.go
+++ b/pkg/storeview/idle_test.go
@@ -70,7 +70,7 @@
 	} {
 		members := roster.New(time.Minute, func(int) time.Duration { return time.Second })
 		logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-		view := storeview.New(decoder{}, time.Second, storeclock.New(), members, route.Home{Node: "self"}, "self", rollout.New(rollout.Bounds{}), logger)
+		view := storeview.New(decoder{}, time.Second, storeclock.New(), members, route.Location{Node: "self"}, "self", rollout.New(rollout.Bounds{}), logger)
 		ctx, cancel := context.WithCancel(context.Background())
 		view.Follow(ctx, rows{c.list, now}, false)
 		if got := view.IdleBefore(); got != c.want {
--- a/pkg/storeview/relays_test.go
+++ b/pkg/storeview/relays_test.go
@@ -47,7 +47,7 @@
 		members.ApplyStatus(roster.Status{Host: host(i), Sequence: 1}, now)
 	}
 	h := host(self)
-	home := route.Home{Node: h.Node, DataCenter: h.DataCenter}
+	home := route.Location{Node: h.Node, DataCenter: h.DataCenter}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	return storeview.New(decoder{}, time.Second, storeclock.New(), members, home, h.Incarnation, rollout.New(rollout.Bounds{}), logger)
 }
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -77,7 +77,7 @@
 	endpoints *discovery.Rows
 	roster    *roster.Roster
 	log       *log.Logger
-	home      route.Home
+	home      route.Location
 	self      string
 	lost      lossLog
 	// inTouchSince is since when the endpoints' feed has not failed, heardAt when it
@@ -96,7 +96,7 @@
 
 // New returns the view of a host whose process has the incarnation self. heartbeat
 // is the time between two writes of an endpoint's row.
-func New(decoder Decoder, heartbeat time.Duration, c *storeclock.Clock, members *roster.Roster, home route.Home, self string,
+func New(decoder Decoder, heartbeat time.Duration, c *storeclock.Clock, members *roster.Roster, home route.Location, self string,
 	rollouts *rollout.Switch, logger *log.Logger,
 ) *View {
 	directory := endpoint.NewDirectory()
--- a/pkg/stream/attempt.go
+++ b/pkg/stream/attempt.go
@@ -18,14 +18,14 @@
 
 func (r *Runner) query(p *progress) route.Query {
 	return route.Query{
-		Target:       p.target,
-		Prefix:       p.request.Prefix,
-		PromptTokens: p.request.PromptTokens,
-		AnswerTokens: max(r.expectedLength(p)-len(p.tokens), 1),
-		Done:         len(p.tokens),
-		Stake:        p.request.Stake,
-		Avoid:        p.avoid,
-		MayWait:      p.request.MayWait,
+		Target:          p.target,
+		PrefixHashes:    p.request.Prefix,
+		PromptTokens:    p.request.PromptTokens,
+		AnswerTokens:    max(r.expectedLength(p)-len(p.tokens), 1),
+		GeneratedTokens: len(p.tokens),
+		RiskWeight:      p.request.Stake,
+		Avoid:           p.avoid,
+		MayWait:         p.request.MayWait,
 	}
 }
 
@@ -42,7 +42,7 @@
 		if len(p.tokens) == 0 && now.Sub(since) > p.request.Patience {
 			return route.Choice{}, overdue{}
 		}
-		if !pause.For(ctx, retry.Pause(try, entropy.Rand)) {
+		if !pause.For(ctx, retry.Delay(try, entropy.Rand)) {
 			return route.Choice{}, r.endingOf(ctx, ctx.Err())
 		}
 	}
@@ -65,7 +65,7 @@
 		// An answer begun in one version is not continued in another.
 		return c, ok
 	}
-	other, ok := r.router.Other(p.target)
+	other, ok := r.router.OtherVersion(p.target)
 	if !ok {
 		return c, false
 	}
@@ -92,7 +92,7 @@
 	held := r.newRun(p, choice, cancel)
 	r.active.add(held)
 	defer r.active.remove(held)
-	if info, ok := r.router.Lookup(choice.Endpoint.ID); !ok || !info.Takes() {
+	if info, ok := r.router.Lookup(choice.Endpoint.ID); !ok || !info.AcceptsWork() {
 		// It left between the choice and our entry in the list of its streams.
 		r.router.Done(choice, route.Result{}, time.Now())
 		return refused{errLeft}
--- a/pkg/stream/frames.go
+++ b/pkg/stream/frames.go
@@ -99,7 +99,7 @@
 	}
 	if done, ok := end.(finished); ok {
 		usage := done.frame.Usage
-		result.Measured = usage.PromptTokens > 0
+		result.TokensReported = usage.PromptTokens > 0
 		result.PromptTokens = usage.PromptTokens
 		result.CachedTokens = usage.CachedTokens
 	}
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -30,7 +30,7 @@
 	Prompt engine.Prompt
 	// Service is whose answers' lengths this one's is reckoned from.
 	Service string
-	// Prefix is route.Hash of the messages, PromptTokens an estimate.
+	// Prefix is route.HashPrefixes of the messages, PromptTokens an estimate.
 	Prefix       []uint64
 	PromptTokens int
 	// Received are tokens of the answer had before: by the caller from another
@@ -216,7 +216,7 @@
 
 func (r *Runner) run(ctx context.Context, p *progress) (Result, error) {
 	request := p.request
-	r.budget.Sent(time.Now())
+	r.budget.RecordFirstSend(time.Now())
 	ctx, cancel := context.WithDeadline(ctx, request.Prompt.Deadline)
 	defer cancel()
 	if request.At != "" {
@@ -284,7 +284,7 @@
 		return code.New(code.StreamLost, fmt.Sprintf("gave up after %d attempts: %v", p.attempts, p.lastFail))
 	}
 	for {
-		if !pause.For(ctx, retry.Pause(p.tries, entropy.Rand)) {
+		if !pause.For(ctx, retry.Delay(p.tries, entropy.Rand)) {
 			return endOfWait(ctx, p)
 		}
 		// An attempt that was turned away unrun cost its endpoint nothing, but
--- a/pkg/stream/runner_test.go
+++ b/pkg/stream/runner_test.go
@@ -64,7 +64,7 @@
 	}
 	time.Sleep(time.Second)
 	estimator := hazard.New()
-	f.router = route.New(f.directory, estimator, route.Home{Node: "n", DataCenter: "dc"}, 1)
+	f.router = route.New(f.directory, estimator, route.Location{Node: "n", DataCenter: "dc"}, 1)
 	registry := prometheus.NewRegistry()
 	watch := poison.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	board := notice.New(f.directory, f.router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
@@ -74,9 +74,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.router.Report(info.Ref(), report)
+		f.router.ApplyReport(info.Ref(), report)
 	}
-	f.directory.OnLeave(func(info endpoint.Info) { f.runner.Leaving(context.Background(), info, false) })
+	f.directory.OnLeaving(func(info endpoint.Info) { f.runner.Leaving(context.Background(), info, false) })
 	return f
 }
 
@@ -197,7 +197,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 4)
 			if !planned {
-				f.directory.OnLeave(func(endpoint.Info) {})
+				f.directory.OnLeaving(func(endpoint.Info) {})
 			}
 			done := f.start(request("r", 400))
 			time.Sleep(2 * time.Second)
@@ -250,7 +250,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		f.direct.Kill("a0")
-		f.directory.Leave(f.infos[0].Ref(), func(i *endpoint.Info) { i.State = endpoint.Gone })
+		f.directory.Update(f.infos[0].Ref(), func(i *endpoint.Info) { i.State = endpoint.Gone })
 		begun := time.Now()
 		got := <-f.start(request("r", 5))
 		if number := code.Of(got.err).Number(); number != code.NoEndpoint.Number() {
