--- a/pkg/admission/admission.go
+++ b/pkg/admission/admission.go
@@ -19,18 +19,18 @@
 	Priority int
 }
 
-// Expected is what the choice of an endpoint reckons with.
-type Expected struct {
-	// Queued is the time behind other requests at the endpoint that was chosen, Own
+// QueueEstimate is what the choice of an endpoint reckons with.
+type QueueEstimate struct {
+	// Queue is the time behind other requests at the endpoint that was chosen, Processing
 	// the time from then to the stream's first event.
-	Queued, Own time.Duration
-	// Least is the least time behind other requests at any endpoint that was looked at.
-	Least time.Duration
+	Queue, Processing time.Duration
+	// MinQueue is the least time behind other requests at any endpoint that was looked at.
+	MinQueue time.Duration
 }
 
-// ExpectedOf returns what a choice reckons with.
-func ExpectedOf(c route.Choice) Expected {
-	return Expected{Queued: c.Queued, Own: c.Wait - c.Queued, Least: c.Least}
+// EstimateOf returns what a choice reckons with.
+func EstimateOf(c route.Choice) QueueEstimate {
+	return QueueEstimate{Queue: c.Queued, Processing: c.Wait - c.Queued, MinQueue: c.Least}
 }
 
 // Thresholds of a refusal, for reviews, summaries and questions on engines that are half
@@ -66,16 +66,16 @@
 	return max(left, time.Duration(longShare*float64(s.Objective)))
 }
 
-// Late reports whether a stream's first event would come too late while all engines
+// ShouldReject reports whether a stream's first event would come too late while all engines
 // are behind, and after what time its caller should be back: when the queue is down
 // to what the stream bears.
-func (s Stream) Late(e Expected) (comeBack time.Duration, late bool) {
-	if s.Objective <= 0 || e.Least <= time.Duration(freeShare*float64(s.Objective)) {
+func (s Stream) ShouldReject(e QueueEstimate) (comeBack time.Duration, late bool) {
+	if s.Objective <= 0 || e.MinQueue <= time.Duration(freeShare*float64(s.Objective)) {
 		return 0, false
 	}
-	bearable := s.bearable(e.Own)
-	if e.Queued <= bearable {
+	bearable := s.bearable(e.Processing)
+	if e.Queue <= bearable {
 		return 0, false
 	}
-	return max(e.Queued-bearable, comeBackSoon), true
+	return max(e.Queue-bearable, comeBackSoon), true
 }
--- a/pkg/app/node/life.go
+++ b/pkg/app/node/life.go
@@ -34,9 +34,9 @@
 	case !l.leaving():
 		return forward.Serving
 	case l.clock.Running()-time.Duration(l.leavingSince.Load()) < streamsTaken:
-		return forward.Leaving
+		return forward.Draining
 	default:
-		return forward.Ending
+		return forward.Stopping
 	}
 }
 
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -93,13 +93,13 @@
 	for name, values := range c.header {
 		h[name] = values
 	}
-	c.f.protocol.Encode(h, Hop{
-		Endpoint:    choice.Endpoint.ID,
-		Left:        time.Until(c.deadline),
+	c.f.protocol.EncodeAttempt(h, AttemptMeta{
+		EndpointID:  choice.Endpoint.ID,
+		Remaining:   time.Until(c.deadline),
 		Team:        c.teamName(),
 		Priority:    c.priority,
-		Prioritised: choice.Endpoint.Engine,
-		LastEvent:   lastEvent,
+		HasPriority: choice.Endpoint.Engine,
+		LastEventID: lastEvent,
 	})
 	return upstream.Request{
 		Method:  c.in.Method,
@@ -122,8 +122,8 @@
 
 // judge tells what an answer's head says and reads its body.
 func (c *call) judge(choice route.Choice, e *upstream.Exchange) result {
-	verdict := c.f.protocol.DecodeAnswer(e.Status(), e.Header())
-	if verdict.ID != c.meta.ID {
+	verdict := c.f.protocol.DecodeResponse(e.Status(), e.Header())
+	if verdict.RequestID != c.meta.ID {
 		e.Spoil()
 		e.Close()
 		return unclear{errForeign}
@@ -151,7 +151,7 @@
 // noticeOf returns what an answer says of the endpoint that was meant: that it is not there,
 // where another instance has its address. A success without a signature may be anybody's
 // bytes, and is not asked.
-func noticeOf(v Verdict) endpoint.Notice {
+func noticeOf(v ResponseMeta) endpoint.Notice {
 	if v.Moved {
 		return endpoint.Notice{Moved: true}
 	}
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -21,15 +21,15 @@
 	"ironhollow/pkg/upstream"
 )
 
-// Tables gives the configuration in force.
-type Tables interface {
+// RouteTableSource gives the configuration in force.
+type RouteTableSource interface {
 	// Current returns nil while no configuration is known. fresh is false while
 	// a newer one may be in force of which this process has not heard.
 	Current() (table *routetable.Table, fresh bool)
 }
 
-// Runs counts requests that began to run, for usage.
-type Runs interface{ Began(team string) }
+// RunCounter counts requests that began to run, for usage.
+type RunCounter interface{ RunStarted(team string) }
 
 // Fleet is what is known of the entry hosts.
 type Fleet interface {
@@ -47,12 +47,12 @@
 // Forwarder is the handler of callers' requests. It is safe for concurrent use.
 type Forwarder struct {
 	protocol Protocol
-	tables   Tables
+	tables   RouteTableSource
 	router   *route.Router
 	limits   *limit.Shared
 	budget   *retry.Window
 	pool     *upstream.Pool
-	runs     Runs
+	runs     RunCounter
 	fleet    Fleet
 	rollouts *rollout.Switch
 	poison   *poison.Watch
@@ -71,17 +71,17 @@
 const (
 	// Serving is all the time before a stop.
 	Serving Phase = iota
-	// Leaving asks callers to leave their connections, and serves.
-	Leaving
-	// Ending turns streams away: they would not be whole before the end.
-	Ending
+	// Draining asks callers to leave their connections, and serves.
+	Draining
+	// Stopping turns streams away: they would not be whole before the end.
+	Stopping
 	// Starting is until the process knows all that it needs to serve.
 	Starting
 )
 
 // New returns a forwarder.
-func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.Shared, budget *retry.Window, pool *upstream.Pool,
-	runs Runs, fleet Fleet, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
+func New(protocol Protocol, tables RouteTableSource, router *route.Router, limits *limit.Shared, budget *retry.Window, pool *upstream.Pool,
+	runs RunCounter, fleet Fleet, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
 ) *Forwarder {
 	return &Forwarder{
 		protocol: protocol, tables: tables, router: router, limits: limits, budget: budget, pool: pool,
@@ -106,7 +106,7 @@
 	f        *Forwarder
 	w        http.ResponseWriter
 	in       *http.Request
-	meta     Meta
+	meta     RequestMeta
 	table    *routetable.Table
 	route    *routetable.Route
 	team     *routetable.Team
@@ -142,7 +142,7 @@
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c := &call{f: f, w: w, in: r, started: f.clock()}
 	f.awaitStart(r.Context())
-	if phase := f.phase(); phase == Leaving || phase == Ending {
+	if phase := f.phase(); phase == Draining || phase == Stopping {
 		w.Header().Set("Connection", "close")
 	}
 	err := c.serve()
@@ -176,22 +176,22 @@
 
 func (c *call) serve() error {
 	var err error
-	if c.meta, err = c.f.protocol.Decode(c.in.Header); err != nil {
+	if c.meta, err = c.f.protocol.DecodeRequest(c.in.Header); err != nil {
 		return c.refuse(code.New(code.BadHeader, err.Error()), 0)
 	}
-	c.f.metrics.reserved.Add(float64(c.meta.Reserved))
+	c.f.metrics.reserved.Add(float64(c.meta.ReservedHeaders))
 	if err = c.findRoute(); err != nil {
 		return c.refuse(err, comeBackConfigured)
 	}
 	if err = c.authorize(); err != nil {
 		return c.refuse(err, comeBackSoon)
 	}
-	if c.route.Kind == routetable.Stream && c.f.phase() == Ending {
+	if c.route.Kind == routetable.Stream && c.f.phase() == Stopping {
 		return c.refuse(code.New(code.Stopping, "this host stops before the stream would end"), comeBackElsewhere)
 	}
 	c.deadline = time.Now().Add(c.route.Timeout)
-	if c.meta.HasWait {
-		c.deadline = time.Now().Add(min(c.route.Timeout, c.meta.Wait))
+	if c.meta.HasTimeout {
+		c.deadline = time.Now().Add(min(c.route.Timeout, c.meta.Timeout))
 	}
 	if err = c.readBody(); err != nil {
 		return c.refuse(err, 0)
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -337,10 +337,10 @@
 		leaves bool
 	}{
 		{forward.Serving, "/stream/x", 200, false},
-		{forward.Leaving, "/stream/x", 200, true},
-		{forward.Leaving, "/once/x", 200, true},
-		{forward.Ending, "/stream/x", 503, true},
-		{forward.Ending, "/once/x", 200, true},
+		{forward.Draining, "/stream/x", 200, true},
+		{forward.Draining, "/once/x", 200, true},
+		{forward.Stopping, "/stream/x", 503, true},
+		{forward.Stopping, "/once/x", 200, true},
 	}
 	for _, c := range cases {
 		s.phase.Store(int64(c.phase))
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -34,28 +34,28 @@
 // protocol is a way to mark requests made up for these tests.
 type protocol struct{}
 
-func (protocol) Decode(h http.Header) (forward.Meta, error) {
-	m := forward.Meta{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last-Event")}
+func (protocol) DecodeRequest(h http.Header) (forward.RequestMeta, error) {
+	m := forward.RequestMeta{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last-Event")}
 	if ms, err := strconv.Atoi(h.Get("Wait-Ms")); err == nil {
-		m.Wait, m.HasWait = time.Duration(ms)*time.Millisecond, true
+		m.Timeout, m.HasTimeout = time.Duration(ms)*time.Millisecond, true
 	}
 	return m, nil
 }
 
-func (protocol) Encode(h http.Header, hop forward.Hop) {
-	h.Set("Meant", hop.Endpoint)
+func (protocol) EncodeAttempt(h http.Header, hop forward.AttemptMeta) {
+	h.Set("Meant", hop.EndpointID)
 	h.Set("Team", hop.Team)
-	h.Set("Left-Ms", strconv.FormatInt(hop.Left.Milliseconds(), 10))
-	if hop.LastEvent != "" {
-		h.Set("Last-Event", hop.LastEvent)
+	h.Set("Left-Ms", strconv.FormatInt(hop.Remaining.Milliseconds(), 10))
+	if hop.LastEventID != "" {
+		h.Set("Last-Event", hop.LastEventID)
 	}
 }
 
-func (protocol) DecodeAnswer(status int, h http.Header) forward.Verdict {
+func (protocol) DecodeResponse(status int, h http.Header) forward.ResponseMeta {
 	rest, _ := time.ParseDuration(h.Get("Rest"))
 	limit, _ := strconv.ParseFloat(h.Get("Limit"), 64)
-	return forward.Verdict{
-		ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
+	return forward.ResponseMeta{
+		RequestID: h.Get("Id"), NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
 		Moved: status == http.StatusMisdirectedRequest, Signed: h.Get("Signed") != "",
 		Notice: endpoint.Notice{Leaving: h.Get("Leaving") != "", Backoff: rest, Limit: endpoint.Limit(limit)},
 	}
@@ -77,7 +77,7 @@
 	begun map[string]int
 }
 
-func (r *runs) Began(team string) {
+func (r *runs) RunStarted(team string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.begun[team]++
--- a/pkg/forward/intake.go
+++ b/pkg/forward/intake.go
@@ -117,7 +117,7 @@
 	if c.team.ByTokens {
 		cost = float64(c.team.DefaultTokens)
 		if c.meta.HasTokens {
-			cost = float64(c.meta.PromptTokens + c.meta.MostTokens)
+			cost = float64(c.meta.PromptTokens + c.meta.MaxTokens)
 		}
 	}
 	c.trail.cost = cost
--- a/pkg/forward/relay.go
+++ b/pkg/forward/relay.go
@@ -93,7 +93,7 @@
 func (c *call) relayStream(ctx context.Context, choice route.Choice, begun streaming, first time.Duration) error {
 	e := begun.exchange
 	c.writeHead(e.Status(), e.Header())
-	s := &stream{call: c, lastEvent: c.meta.LastEvent}
+	s := &stream{call: c, lastEvent: c.meta.LastEventID}
 	shown := route.Result{Started: true, FirstToken: first}
 	for {
 		began := c.f.clock()
--- a/pkg/forward/run.go
+++ b/pkg/forward/run.go
@@ -130,7 +130,7 @@
 		return true
 	}
 	stream := admission.Stream{Objective: c.route.Objective, Priority: c.priority}
-	comeBack, late := stream.Late(admission.ExpectedOf(choice))
+	comeBack, late := stream.ShouldReject(admission.EstimateOf(choice))
 	c.comeBack = comeBack
 	return !late
 }
@@ -164,7 +164,7 @@
 
 func (c *call) began() {
 	c.offered = true
-	c.f.runs.Began(c.teamName())
+	c.f.runs.RunStarted(c.teamName())
 }
 
 // mayResend reports whether the request may go to another endpoint after a
--- a/pkg/forward/types.go
+++ b/pkg/forward/types.go
@@ -16,48 +16,48 @@
 	Tokens int
 }
 
-// Meta is what a caller's request says about itself beside path and body.
-type Meta struct {
+// RequestMeta is what a caller's request says about itself beside path and body.
+type RequestMeta struct {
 	// ID is the caller's, new with each of its attempts.
 	ID string
 	// Key is the bearer key, empty if there is none.
 	Key string
-	// Wait is how long the caller waits; HasWait is false if it did not say.
-	Wait    time.Duration
-	HasWait bool
-	Model   string
-	// PromptTokens and MostTokens, the longest answer, are there if HasTokens.
-	PromptTokens, MostTokens int
-	HasTokens                bool
+	// Timeout is how long the caller waits; HasWait is false if it did not say.
+	Timeout    time.Duration
+	HasTimeout bool
+	Model      string
+	// PromptTokens and MaxTokens, the longest answer, are there if HasTokens.
+	PromptTokens, MaxTokens int
+	HasTokens               bool
 	// ExpectedTokens is the caller's guess of the answer's length.
 	ExpectedTokens int
 	// Prefix is the prompt's parts in order; the last is the request's own.
 	Prefix []PromptPart
-	// LastEvent is the id of the last event the caller has of a stream.
-	LastEvent string
-	// Reserved is how many headers the caller sent that are the system's to set;
+	// LastEventID is the id of the last event the caller has of a stream.
+	LastEventID string
+	// ReservedHeaders is how many headers the caller sent that are the system's to set;
 	// they do not pass.
-	Reserved int
+	ReservedHeaders int
 }
 
-// Hop is what one send adds to a request.
-type Hop struct {
-	// Endpoint is the instance that is meant; any other must refuse.
-	Endpoint string
-	// Left is how much of the request's time is left.
-	Left time.Duration
-	Team string
+// AttemptMeta is what one send adds to a request.
+type AttemptMeta struct {
+	// EndpointID is the instance that is meant; any other must refuse.
+	EndpointID string
+	// Remaining is how much of the request's time is left.
+	Remaining time.Duration
+	Team      string
 	// Priority is set if Prioritised; 0 goes first.
 	Priority    int
-	Prioritised bool
-	// LastEvent is the last event had, where a stream goes on.
-	LastEvent string
+	HasPriority bool
+	// LastEventID is the last event had, where a stream goes on.
+	LastEventID string
 }
 
-// Verdict is what an endpoint's answer says about itself.
-type Verdict struct {
-	// ID is the request's that the answer belongs to.
-	ID string
+// ResponseMeta is what an endpoint's answer says about itself.
+type ResponseMeta struct {
+	// RequestID is the request's that the answer belongs to.
+	RequestID string
 	// NotRun is the endpoint's word that it did not run the request.
 	NotRun bool
 	// Moved says that another instance has the address.
@@ -70,9 +70,9 @@
 
 // Protocol is how requests and answers are marked on the wire.
 type Protocol interface {
-	Decode(h http.Header) (Meta, error)
-	Encode(h http.Header, hop Hop)
-	DecodeAnswer(status int, h http.Header) Verdict
+	DecodeRequest(h http.Header) (RequestMeta, error)
+	EncodeAttempt(h http.Header, hop AttemptMeta)
+	DecodeResponse(status int, h http.Header) ResponseMeta
 	EncodeRefusal(h http.Header, id string)
 }
 
--- a/pkg/lab/host.go
+++ b/pkg/lab/host.go
@@ -120,7 +120,7 @@
 	q := query(r)
 	q.Accepts = func(c route.Choice) bool {
 		stream := admission.Stream{Objective: r.kind.Objective, Priority: r.kind.Priority}
-		wait, late := stream.Late(admission.ExpectedOf(c))
+		wait, late := stream.ShouldReject(admission.EstimateOf(c))
 		if late {
 			comeBack = wait
 		}
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -42,8 +42,8 @@
 // Running is the window that runs.
 func (c *Counter) Running() int64 { return c.Window(c.now()) }
 
-// Began counts one request of a team; requests without a team are not counted.
-func (c *Counter) Began(team string) {
+// RunStarted counts one request of a team; requests without a team are not counted.
+func (c *Counter) RunStarted(team string) {
 	if team == "" {
 		return
 	}
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -169,11 +169,11 @@
 func TestCounting(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := usage.NewCounter(window, func() time.Time { return now })
-	c.Began("t")
-	c.Began("")
+	c.RunStarted("t")
+	c.RunStarted("")
 	now = now.Add(window)
-	c.Began("t")
-	c.Began("u")
+	c.RunStarted("t")
+	c.RunStarted("u")
 	want := []roster.Count{{Window: 200, Team: "t", Begun: 1}, {Window: 201, Team: "t", Begun: 1}, {Window: 201, Team: "u", Begun: 1}}
 	if got := c.Recent(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("counts: got %v, want %v", got, want)
