--- a/pkg/app/entry/wire.go
+++ b/pkg/app/entry/wire.go
@@ -22,7 +22,7 @@
 	"ironhollow/pkg/membership"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/peer"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/stream"
 )
 
@@ -33,7 +33,7 @@
 		wire.Bind(new(job.Committer), new(*accept.Gatherer)),
 		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
 		limit.NewRates, limit.NewGates, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
-		peer.NewMesh, peer.NewCounters, callerapi.NewCounters, poison.NewWatch, notice.New,
+		peer.NewMesh, peer.NewCounters, callerapi.NewCounters, quarantine.NewWatch, notice.New,
 	)
 	return nil, nil
 }
--- a/pkg/app/entry/wire_gen.go
+++ b/pkg/app/entry/wire_gen.go
@@ -22,7 +22,7 @@
 	"ironhollow/pkg/membership"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/peer"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/stream"
 )
 
@@ -43,7 +43,7 @@
 	budget := newBudget()
 	registerer := newRegisterer(registry)
 	counters := stream.NewCounters(registerer)
-	watch := poison.NewWatch(registerer, logger)
+	watch := quarantine.NewWatch(registerer, logger)
 	board := notice.New(directory, router, logger)
 	traceTracer := newTracer(tracer)
 	runner := stream.New(router, api, budget, estimator, counters, watch, board, traceTracer)
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -33,7 +33,7 @@
 		},
 		Spent:   n.limits.Own(now),
 		Placed:  n.router.TakePlacements(),
-		Cases:   n.poison.Reports(now),
+		Cases:   n.crashes.Reports(now),
 		Notices: n.notices.Reports(now),
 	}
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	if len(update.Cases)+len(update.Notices) > 0 {
-		n.poison.ApplyReports(update.Cases, update.Incarnation, now)
+		n.crashes.ApplyReports(update.Cases, update.Incarnation, now)
 		n.notices.ApplyReports(update.Notices, now)
 		return
 	}
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -27,8 +27,8 @@
 	"ironhollow/pkg/loadsync"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/pause"
-	"ironhollow/pkg/poison"
-	"ironhollow/pkg/poisonsync"
+	"ironhollow/pkg/quarantine"
+	"ironhollow/pkg/quarantinesync"
 	"ironhollow/pkg/relay"
 	"ironhollow/pkg/rollout"
 	"ironhollow/pkg/rolloutsync"
@@ -88,8 +88,8 @@
 	desk      *rolloutsync.Desk
 	datagrams *datagrams
 	replaced  replacedBy
-	poison    *poison.Watch
-	keeper    *poisonsync.Keeper
+	crashes   *quarantine.Watch
+	keeper    *quarantinesync.Keeper
 	notices   *notice.Board
 	watchdog  *watchdog.Watchdog
 
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -22,8 +22,8 @@
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/loadsync"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
-	"ironhollow/pkg/poisonsync"
+	"ironhollow/pkg/quarantine"
+	"ironhollow/pkg/quarantinesync"
 	"ironhollow/pkg/relay"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/rollout"
@@ -167,12 +167,12 @@
 	return retry.NewWindow(s.Retry.Share, s.Retry.Slack, s.Retry.Window)
 }
 
-func newWatch(registry *prometheus.Registry, logger *log.Logger) *poison.Watch {
-	return poison.NewWatch(registry, logger)
+func newWatch(registry *prometheus.Registry, logger *log.Logger) *quarantine.Watch {
+	return quarantine.NewWatch(registry, logger)
 }
 
-func newKeeper(watch *poison.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *poisonsync.Keeper {
-	return poisonsync.NewKeeper(watch, writer, clock, view.StoreEra, logger)
+func newKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *quarantinesync.Keeper {
+	return quarantinesync.NewKeeper(watch, writer, clock, view.StoreEra, logger)
 }
 
 func newWatchdog(registry *prometheus.Registry, logger *log.Logger) *watchdog.Watchdog {
@@ -184,7 +184,7 @@
 }
 
 func newForwarder(platform Platform, view *storeview.View, home route.Home, router *route.Router, limits *limit.Shared, budget *retry.Window,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *quarantine.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
 	var ready atomic.Bool
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -77,7 +77,7 @@
 		desk:        desk,
 		datagrams:   nodeDatagrams,
 		replaced:    nodeReplacedBy,
-		poison:      watch,
+		crashes:     watch,
 		keeper:      keeper,
 		notices:     board,
 		watchdog:    watchdog,
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -33,7 +33,7 @@
 	"ironhollow/pkg/membership"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/plainservice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/route"
 	"ironhollow/pkg/standin/engines"
@@ -148,7 +148,7 @@
 	estimator := hazard.New()
 	router := route.New(directory, estimator, route.Home{Node: name}, 1)
 	budget := retry.New(0.1, time.Now())
-	watch := poison.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
+	watch := quarantine.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	board := notice.New(directory, router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	runner := stream.New(router, s.engines(), budget, estimator, stream.NewCounters(registry), watch, board, s.tracer(name))
 	writer := table.NewWriter(s.rows, name)
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -13,7 +13,7 @@
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/pause"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/rollout"
 	"ironhollow/pkg/route"
@@ -55,7 +55,7 @@
 	runs     Runs
 	fleet    Fleet
 	rollouts *rollout.Switch
-	poison   *poison.Watch
+	crashes  *quarantine.Watch
 	notices  *notice.Board
 	clock    Clock
 	metrics  *Metrics
@@ -81,11 +81,11 @@
 
 // New returns a forwarder.
 func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.Shared, budget *retry.Window, pool *upstream.Pool,
-	runs Runs, fleet Fleet, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
+	runs Runs, fleet Fleet, rollouts *rollout.Switch, watch *quarantine.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
 ) *Forwarder {
 	return &Forwarder{
 		protocol: protocol, tables: tables, router: router, limits: limits, budget: budget, pool: pool,
-		runs: runs, fleet: fleet, rollouts: rollouts, poison: watch, notices: notices, phase: phase, clock: clock, metrics: metrics, log: logger, lines: newLineBudget(clock()),
+		runs: runs, fleet: fleet, rollouts: rollouts, crashes: watch, notices: notices, phase: phase, clock: clock, metrics: metrics, log: logger, lines: newLineBudget(clock()),
 	}
 }
 
@@ -118,7 +118,7 @@
 	body     []byte
 	hasBody  bool
 	// fingerprint is set once the body has been read.
-	fingerprint poison.Fingerprint
+	fingerprint quarantine.Fingerprint
 	// offered says that an endpoint was sent the request and could run it.
 	offered bool
 	// sentAt is when it was sent last.
@@ -196,7 +196,7 @@
 	if err = c.readBody(); err != nil {
 		return c.refuse(err, 0)
 	}
-	c.fingerprint = poison.FingerprintOf(c.in.Method, c.in.RequestURI, c.teamName(), c.body)
+	c.fingerprint = quarantine.FingerprintOf(c.in.Method, c.in.RequestURI, c.teamName(), c.body)
 	if left, held := c.held(); held {
 		return c.refuse(errQuarantined, left)
 	}
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -23,7 +23,7 @@
 	"ironhollow/pkg/hazard"
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/rollout"
 	"ironhollow/pkg/route"
@@ -99,7 +99,7 @@
 	directory *endpoint.Directory
 	runs      *runs
 	rollouts  *rollout.Switch
-	watch     *poison.Watch
+	watch     *quarantine.Watch
 	phase     atomic.Int64
 	lines     lineCounter
 	mu        sync.Mutex
@@ -158,7 +158,7 @@
 	s.router = router
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: &s.lines}}
 	registry := prometheus.NewRegistry()
-	s.watch = poison.NewWatch(registry, logger)
+	s.watch = quarantine.NewWatch(registry, logger)
 	board := notice.New(s.directory, router, logger)
 	forwarder := forward.New(protocol{}, tables{routetable.New(spec), fresh}, router, limit.NewShared(limit.Tolerance{}, now.Add(-time.Hour)),
 		retry.NewWindow(0.2, 58, 10*time.Second), upstream.New(time.Second), s.runs, oneHost{}, s.rollouts, s.watch, board,
--- a/pkg/gossip/events.go
+++ b/pkg/gossip/events.go
@@ -5,7 +5,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/roster"
 )
 
@@ -65,7 +65,7 @@
 	return update, nil
 }
 
-// crashCase is a poison.Case. Times are ages: hosts' clocks differ.
+// crashCase is a quarantine.Case. Times are ages: hosts' clocks differ.
 type crashCase struct {
 	_           struct{} `cbor:",toarray"`
 	Fingerprint []byte
@@ -90,7 +90,7 @@
 
 // addCases encodes cases, those of one end by its endpoint: where one ends there are
 // many, and each takes 13 bytes so in place of 40.
-func (m *eventMessage) addCases(cases []poison.Case, now time.Time) {
+func (m *eventMessage) addCases(cases []quarantine.Case, now time.Time) {
 	places := map[string]int{}
 	for _, c := range cases {
 		if len(c.Ends) != 1 || !c.Sound.IsZero() {
@@ -108,7 +108,7 @@
 	}
 }
 
-func encodeCase(c poison.Case, now time.Time) crashCase {
+func encodeCase(c quarantine.Case, now time.Time) crashCase {
 	w := crashCase{Fingerprint: c.Fingerprint[:]}
 	for _, e := range c.Ends {
 		w.Ends = append(w.Ends, crashEnd{Endpoint: e.Endpoint, AgeMS: now.Sub(e.At).Milliseconds()})
@@ -121,28 +121,28 @@
 
 // cases decodes the cases, by the receiver's clock. Malformed ones are skipped; the rest of the
 // datagram is used.
-func (m eventMessage) cases(now time.Time) []poison.Case {
-	var cases []poison.Case
+func (m eventMessage) cases(now time.Time) []quarantine.Case {
+	var cases []quarantine.Case
 	for _, w := range m.Cases {
-		if len(w.Fingerprint) == len(poison.Fingerprint{}) {
+		if len(w.Fingerprint) == len(quarantine.Fingerprint{}) {
 			cases = append(cases, w.decode(now))
 		}
 	}
 	for _, w := range m.Singles {
-		end := poison.End{Endpoint: w.Endpoint, At: ago(now, w.AgeMS)}
+		end := quarantine.End{Endpoint: w.Endpoint, At: ago(now, w.AgeMS)}
 		for _, f := range w.Fingerprints {
-			if len(f) == len(poison.Fingerprint{}) {
-				cases = append(cases, poison.Case{Fingerprint: poison.Fingerprint(f), Ends: []poison.End{end}})
+			if len(f) == len(quarantine.Fingerprint{}) {
+				cases = append(cases, quarantine.Case{Fingerprint: quarantine.Fingerprint(f), Ends: []quarantine.End{end}})
 			}
 		}
 	}
 	return cases
 }
 
-func (w crashCase) decode(now time.Time) poison.Case {
-	c := poison.Case{Fingerprint: poison.Fingerprint(w.Fingerprint)}
+func (w crashCase) decode(now time.Time) quarantine.Case {
+	c := quarantine.Case{Fingerprint: quarantine.Fingerprint(w.Fingerprint)}
 	for _, e := range w.Ends {
-		c.Ends = append(c.Ends, poison.End{Endpoint: e.Endpoint, At: ago(now, e.AgeMS)})
+		c.Ends = append(c.Ends, quarantine.End{Endpoint: e.Endpoint, At: ago(now, e.AgeMS)})
 	}
 	if w.SoundMS > 0 {
 		c.Sound = ago(now, w.SoundMS-1)
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -17,7 +17,7 @@
 
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/roster"
 	"ironhollow/pkg/route"
 )
@@ -50,7 +50,7 @@
 	// Cases is of requests under which endpoints have ended, Notices what endpoints have
 	// said of themselves. Each go in a datagram of their own, with nothing else but the
 	// host's incarnation. So do Spent and Counts where there are many; it is Brief then.
-	Cases   []poison.Case
+	Cases   []quarantine.Case
 	Notices []notice.Report
 	// Digest is an aggregator's, in a datagram of its own as well.
 	Digest roster.Digest
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -19,7 +19,7 @@
 	"ironhollow/pkg/gossip"
 	"ironhollow/pkg/hazard"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/roster"
 	"ironhollow/pkg/route"
 )
@@ -215,9 +215,9 @@
 	members := roster.New(silence, gossip.Interval)
 	members.StoreAnswered(now)
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, now)
-	f := poison.FingerprintOf("POST", "/x", "red", []byte("body"))
-	ends := []poison.End{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
-	cases := []poison.Case{{Fingerprint: f, Ends: ends}, {Fingerprint: f, Sound: now.Add(-time.Second)}, {Fingerprint: f, Ends: ends[1:]}}
+	f := quarantine.FingerprintOf("POST", "/x", "red", []byte("body"))
+	ends := []quarantine.End{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
+	cases := []quarantine.Case{{Fingerprint: f, Ends: ends}, {Fingerprint: f, Sound: now.Add(-time.Second)}, {Fingerprint: f, Ends: ends[1:]}}
 	self := host(0, 800)
 	run(t, self, members, gossip.Update{Status: roster.Status{Host: self}, Cases: cases}, other)
 	for other.count() < 2 {
@@ -280,8 +280,8 @@
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, time.Now())
 	told := gossip.Update{Status: roster.Status{Host: host(0, 800)}}
 	for i := range 30 {
-		f := poison.FingerprintOf("POST", fmt.Sprintf("/%d", i), "red", nil)
-		told.Cases = append(told.Cases, poison.Case{Fingerprint: f, Ends: []poison.End{{Endpoint: "e1", At: time.Now()}}})
+		f := quarantine.FingerprintOf("POST", fmt.Sprintf("/%d", i), "red", nil)
+		told.Cases = append(told.Cases, quarantine.Case{Fingerprint: f, Ends: []quarantine.End{{Endpoint: "e1", At: time.Now()}}})
 		id := fmt.Sprintf("%s%d", strings.Repeat("x", 100), i)
 		told.Notices = append(told.Notices, notice.Report{Endpoint: id, Notice: endpoint.Notice{Leaving: true}})
 	}
@@ -310,20 +310,20 @@
 	for _, size := range []struct{ hosts, callers int }{{9, 9}, {30, 9}, {91, 22}, {195, 48}, {420, 64}} {
 		start := time.Unix(1_000_000, 0)
 		random := rand.New(rand.NewPCG(1, uint64(size.hosts)))
-		f := poison.FingerprintOf("POST", "/x", "red", []byte("crash"))
-		quarantines := make([]*poison.Quarantine, size.hosts)
+		f := quarantine.FingerprintOf("POST", "/x", "red", []byte("crash"))
+		quarantines := make([]*quarantine.Quarantine, size.hosts)
 		paces := make([]gossip.Pace, size.hosts)
 		next := make([]time.Time, size.hosts)
 		for i := range quarantines {
-			quarantines[i] = poison.NewQuarantine()
+			quarantines[i] = quarantine.NewQuarantine()
 			next[i] = start.Add(time.Duration(random.Int64N(int64(time.Second))))
 		}
 		third := start.Add(3 * time.Second)
 		for i := range 3 {
 			at := third.Add(time.Duration(i-2) * 200 * time.Millisecond)
-			end := poison.End{Endpoint: fmt.Sprint("e", i), At: at}
+			end := quarantine.End{Endpoint: fmt.Sprint("e", i), At: at}
 			for j := range beside {
-				quarantines[i].Ended(poison.FingerprintOf("POST", "/y", "red", []byte(fmt.Sprint(i, j))), end, at)
+				quarantines[i].Ended(quarantine.FingerprintOf("POST", "/y", "red", []byte(fmt.Sprint(i, j))), end, at)
 			}
 			quarantines[i].Ended(f, end, at)
 		}
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -23,7 +23,7 @@
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/measure"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/route"
 	"ironhollow/pkg/standin/engines"
@@ -138,7 +138,7 @@
 		counters: stream.NewCounters(registry),
 	}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	watch := poison.NewWatch(registry, logger)
+	watch := quarantine.NewWatch(registry, logger)
 	home := route.Home{Node: fmt.Sprintf("n%d", number), DataCenter: r.fleet.Centres[number%len(r.fleet.Centres)]}
 	e.router = route.New(e.directory, e.hazard, home, r.seed+uint64(number))
 	board := notice.New(e.directory, e.router, logger)
--- a/pkg/poison/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package poison knows requests by what they ask, over all their tries and hosts, and
+// Package quarantine knows requests by what they ask, over all their tries and hosts, and
 // which of them end the endpoints that run them. It does no I/O; times are passed in.
-package poison
+package quarantine
 
 import (
 	"crypto/sha256"
--- a/pkg/poison/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -1,17 +1,17 @@
-package poison_test
+package quarantine_test
 
 import (
 	"testing"
 
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 )
 
 // All tries of a request have one fingerprint, and requests that differ in any part
 // have others, also where the parts put together read the same.
 func TestFingerprintTellsRequestsApart(t *testing.T) {
 	type parts struct{ method, target, team, body string }
-	of := func(p parts) poison.Fingerprint {
-		return poison.FingerprintOf(p.method, p.target, p.team, []byte(p.body))
+	of := func(p parts) quarantine.Fingerprint {
+		return quarantine.FingerprintOf(p.method, p.target, p.team, []byte(p.body))
 	}
 	first := parts{"POST", "/a/b", "red", "body"}
 	if got, want := of(first), of(first); got != want {
@@ -36,6 +36,6 @@
 	body := make([]byte, 1<<10)
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
-		poison.FingerprintOf("POST", "/a/b", "red", body)
+		quarantine.FingerprintOf("POST", "/a/b", "red", body)
 	}
 }
--- a/pkg/poison/kept.go
+++ b/pkg/quarantine/kept.go
@@ -1,4 +1,4 @@
-package poison
+package quarantine
 
 import (
 	"slices"
--- a/pkg/poison/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -1,4 +1,4 @@
-package poison_test
+package quarantine_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 )
 
 // start is when tests begin.
@@ -16,23 +16,23 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func request(name string) poison.Fingerprint {
-	return poison.FingerprintOf("POST", "/x", "team", []byte(name))
+func request(name string) quarantine.Fingerprint {
+	return quarantine.FingerprintOf("POST", "/x", "team", []byte(name))
 }
 
-func isHeld(q *poison.Quarantine, f poison.Fingerprint, now time.Time) bool {
+func isHeld(q *quarantine.Quarantine, f quarantine.Fingerprint, now time.Time) bool {
 	_, held := q.Held(f, now)
 	return held
 }
 
-func ended(q *poison.Quarantine, f poison.Fingerprint, endpoint string, seconds float64) {
-	q.Ended(f, poison.End{Endpoint: endpoint, At: at(seconds)}, at(seconds))
+func ended(q *quarantine.Quarantine, f quarantine.Fingerprint, endpoint string, seconds float64) {
+	q.Ended(f, quarantine.End{Endpoint: endpoint, At: at(seconds)}, at(seconds))
 }
 
 // A request is held back from the third endpoint on that ended under it, for an hour
 // after the last; then one more end is enough.
 func TestHeldBackAfterThreeEnds(t *testing.T) {
-	q := poison.NewQuarantine()
+	q := quarantine.NewQuarantine()
 	f := request("a")
 	for i, endpoint := range []string{"e1", "e2", "e3"} {
 		if isHeld(q, f, at(float64(i))) {
@@ -57,7 +57,7 @@
 
 // Ends more than a day apart do not add up.
 func TestOldEndsAreForgotten(t *testing.T) {
-	q := poison.NewQuarantine()
+	q := quarantine.NewQuarantine()
 	f := request("a")
 	const day = 24 * 3600
 	for i, seconds := range []float64{0, day / 2, day + 1} {
@@ -71,7 +71,7 @@
 // Two tries at one endpoint see the same end; an endpoint that is back under its id and
 // ends again is another end.
 func TestEndsOfOneEndpoint(t *testing.T) {
-	q := poison.NewQuarantine()
+	q := quarantine.NewQuarantine()
 	f := request("a")
 	for _, seconds := range []float64{0, 0.01, 1.5, 6, 6.2} {
 		ended(q, f, "e1", seconds)
@@ -88,7 +88,7 @@
 // A request that is answered whole is not what ended its endpoints, neither before nor
 // just after: where a data centre goes, endpoints end together under one that many send.
 func TestAnsweredRequestsAreNotHeldBack(t *testing.T) {
-	q := poison.NewQuarantine()
+	q := quarantine.NewQuarantine()
 	f := request("popular")
 	q.Sound(f, at(0))
 	for i := range 5 {
@@ -113,7 +113,7 @@
 // A host that has answered the request sets the others right, also those that hold it
 // back by then.
 func TestWholeAnswerIsTold(t *testing.T) {
-	answered, other := poison.NewQuarantine(), poison.NewQuarantine()
+	answered, other := quarantine.NewQuarantine(), quarantine.NewQuarantine()
 	f := request("popular")
 	answered.Sound(f, at(0))
 	for i := range 3 {
@@ -136,13 +136,13 @@
 func TestCasesMergeInAnyOrder(t *testing.T) {
 	f := request("a")
 	rapid.Check(t, func(t *rapid.T) {
-		var told []poison.Case
+		var told []quarantine.Case
 		for range rapid.IntRange(1, 8).Draw(t, "cases") {
-			c := poison.Case{Fingerprint: f}
+			c := quarantine.Case{Fingerprint: f}
 			for range rapid.IntRange(0, 3).Draw(t, "ends") {
 				endpoint := rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(t, "endpoint")
 				// An endpoint's ends are told alike by all, and are far apart.
-				c.Ends = append(c.Ends, poison.End{Endpoint: endpoint, At: at(10 * rapid.Float64Range(0, 4).Draw(t, "at"))})
+				c.Ends = append(c.Ends, quarantine.End{Endpoint: endpoint, At: at(10 * rapid.Float64Range(0, 4).Draw(t, "at"))})
 			}
 			for i := range c.Ends {
 				c.Ends[i].At = c.Ends[i].At.Truncate(10 * time.Second)
@@ -152,10 +152,10 @@
 			}
 			told = append(told, c)
 		}
-		heard := func(order []poison.Case) bool {
-			q := poison.NewQuarantine()
+		heard := func(order []quarantine.Case) bool {
+			q := quarantine.NewQuarantine()
 			for _, c := range order {
-				q.Hear([]poison.Case{c}, at(100))
+				q.Hear([]quarantine.Case{c}, at(100))
 			}
 			return isHeld(q, f, at(100))
 		}
@@ -174,14 +174,14 @@
 // An endpoint ends under many requests: what is known of one with two ends is told in
 // each datagram, those with one are told in turn; what is held back stays told.
 func TestWhatIsToldFirst(t *testing.T) {
-	q := poison.NewQuarantine()
+	q := quarantine.NewQuarantine()
 	for i := range 60 {
 		ended(q, request(fmt.Sprint("other ", i)), "e1", 0)
 	}
 	f := request("a")
 	ended(q, f, "e1", 0)
 	ended(q, f, "e2", 0.1)
-	times := map[poison.Fingerprint]int{}
+	times := map[quarantine.Fingerprint]int{}
 	for round := range 20 {
 		told := q.Reports(at(0.2 + 0.2*float64(round)))
 		if len(told) > 30 {
@@ -199,7 +199,7 @@
 	}
 	ended(q, f, "e3", 5)
 	for _, seconds := range []float64{11, 600, 3000} {
-		var told []poison.Case
+		var told []quarantine.Case
 		for range 5 {
 			told = append(told, q.Reports(at(seconds))...)
 		}
@@ -211,7 +211,7 @@
 
 // Bounds hold: of more requests than are remembered, those held back stay.
 func TestCasesAreBounded(t *testing.T) {
-	q := poison.NewQuarantine()
+	q := quarantine.NewQuarantine()
 	f := request("a")
 	for i := range 3 {
 		ended(q, f, fmt.Sprint("e", i), 0)
@@ -228,7 +228,7 @@
 // Only what broke off together with the last run is counted as under way at an
 // endpoint's end, and only for some seconds.
 func TestSuspects(t *testing.T) {
-	s := poison.NewSuspects()
+	s := quarantine.NewSuspects()
 	if look := s.Broke("e1", request("spoilt"), at(0)); !look {
 		t.Error("first break: got no look, want one")
 	}
--- a/pkg/poisonsync/keeper.go
+++ b/pkg/quarantinesync/keeper.go
@@ -1,6 +1,6 @@
-// Package poisonsync keeps requests that are held back in the store, a row each, so that
+// Package quarantinesync keeps requests that are held back in the store, a row each, so that
 // hosts still hold them back after all have begun anew at once.
-package poisonsync
+package quarantinesync
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"github.com/phuslu/log"
 
 	"ironhollow/pkg/pause"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/storeclock"
 	"ironhollow/pkg/table"
 )
@@ -34,7 +34,7 @@
 
 // Keeper writes the cases of this process and reads all at a start.
 type Keeper struct {
-	watch  *poison.Watch
+	watch  *quarantine.Watch
 	writer *table.Writer
 	clock  *storeclock.Clock
 	log    *log.Logger
@@ -45,7 +45,7 @@
 }
 
 // NewKeeper returns a keeper. storeEra returns the store's era as last read by this host.
-func NewKeeper(watch *poison.Watch, writer *table.Writer, clock *storeclock.Clock, storeEra func() int64, logger *log.Logger) *Keeper {
+func NewKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, storeEra func() int64, logger *log.Logger) *Keeper {
 	return &Keeper{watch: watch, writer: writer, clock: clock, storeEra: storeEra, log: logger}
 }
 
@@ -91,11 +91,11 @@
 			continue
 		}
 		c := stored.at(now, storeNow)
-		if poison.IsOver(c, now) {
+		if quarantine.IsOver(c, now) {
 			k.remove(ctx, row)
 			continue
 		}
-		k.watch.ApplyReports([]poison.Case{c}, "store", now)
+		k.watch.ApplyReports([]quarantine.Case{c}, "store", now)
 		k.watch.Kept(c)
 	}
 }
@@ -139,7 +139,7 @@
 
 // clear removes the row of a request that does not end endpoints. What another host has
 // written of it meanwhile goes too: it hears of the answer as well.
-func (k *Keeper) clear(ctx context.Context, f poison.Fingerprint) (done bool) {
+func (k *Keeper) clear(ctx context.Context, f quarantine.Fingerprint) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	outcome := k.writer.Commit(ctx, table.Write{Key: key(f), Delete: true, If: table.Always{}})
@@ -153,7 +153,7 @@
 
 // write writes a case over what another host has written of it: all know three ends of
 // it, and any three hold it back.
-func (k *Keeper) write(ctx context.Context, c poison.Case) (done bool) {
+func (k *Keeper) write(ctx context.Context, c quarantine.Case) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	storeNow, known := k.clock.Store()
--- a/pkg/poisonsync/keeper_test.go
+++ b/pkg/quarantinesync/keeper_test.go
@@ -1,4 +1,4 @@
-package poisonsync_test
+package quarantinesync_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/phuslu/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"ironhollow/pkg/poison"
-	"ironhollow/pkg/poisonsync"
+	"ironhollow/pkg/quarantine"
+	"ironhollow/pkg/quarantinesync"
 	"ironhollow/pkg/standin/tables"
 	"ironhollow/pkg/storeclock"
 	"ironhollow/pkg/table"
@@ -21,23 +21,23 @@
 
 // host is a process as far as it holds requests back.
 type host struct {
-	watch  *poison.Watch
+	watch  *quarantine.Watch
 	clock  *storeclock.Clock
-	keeper *poisonsync.Keeper
+	keeper *quarantinesync.Keeper
 	era    atomic.Int64
 }
 
 // newHost starts a process when the store's clock has been running for a time.
 func newHost(store table.Store, name string, storeNow time.Duration) *host {
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	h := &host{watch: poison.NewWatch(prometheus.NewRegistry(), logger), clock: storeclock.New()}
+	h := &host{watch: quarantine.NewWatch(prometheus.NewRegistry(), logger), clock: storeclock.New()}
 	h.clock.Heard(storeNow)
-	h.keeper = poisonsync.NewKeeper(h.watch, table.NewWriter(store, name), h.clock, h.era.Load, logger)
+	h.keeper = quarantinesync.NewKeeper(h.watch, table.NewWriter(store, name), h.clock, h.era.Load, logger)
 	return h
 }
 
 // crash has runs of a request broken off by the ends of endpoints.
-func (h *host) crash(f poison.Fingerprint, endpoints int) {
+func (h *host) crash(f quarantine.Fingerprint, endpoints int) {
 	for i := range endpoints {
 		id := fmt.Sprint("e", i)
 		h.watch.Broke(id, f, h.clock.Now())
@@ -45,7 +45,7 @@
 	}
 }
 
-func (h *host) holds(f poison.Fingerprint) bool {
+func (h *host) holds(f quarantine.Fingerprint) bool {
 	_, held := h.watch.Held(f, h.clock.Now())
 	return held
 }
@@ -57,7 +57,7 @@
 		began := time.Now()
 		storeNow := func() time.Duration { return time.Hour + time.Since(began) }
 		store := tables.New()
-		f, rare := poison.FingerprintOf("POST", "/x", "red", []byte("a")), poison.FingerprintOf("POST", "/x", "red", []byte("b"))
+		f, rare := quarantine.FingerprintOf("POST", "/x", "red", []byte("a")), quarantine.FingerprintOf("POST", "/x", "red", []byte("b"))
 		ctx, kill := context.WithCancel(t.Context())
 		first := newHost(store, "first", storeNow())
 		go first.keeper.Run(ctx)
@@ -89,7 +89,7 @@
 		}
 		time.Sleep(24 * time.Hour)
 		newHost(store, "fourth", storeNow()).loaded(t)
-		if rows, err := store.List(t.Context(), poisonsync.Table+"/", "", 10); err != nil || len(rows) != 0 {
+		if rows, err := store.List(t.Context(), quarantinesync.Table+"/", "", 10); err != nil || len(rows) != 0 {
 			t.Errorf("rows a day later: got %v, %v, want none", rows, err)
 		}
 	})
@@ -100,13 +100,13 @@
 func TestHeldBackRequestsAreWrittenAgainAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
-		held, cleared := poison.FingerprintOf("POST", "/x", "red", []byte("a")), poison.FingerprintOf("POST", "/x", "red", []byte("b"))
+		held, cleared := quarantine.FingerprintOf("POST", "/x", "red", []byte("a")), quarantine.FingerprintOf("POST", "/x", "red", []byte("b"))
 		writer := newHost(store, "writer", time.Hour)
 		go writer.keeper.Run(t.Context())
 		writer.crash(held, 3)
 		writer.crash(cleared, 3)
 		time.Sleep(time.Second)
-		rows, err := store.List(t.Context(), poisonsync.Table+"/", "", 10)
+		rows, err := store.List(t.Context(), quarantinesync.Table+"/", "", 10)
 		if err != nil || len(rows) != 2 {
 			t.Fatalf("rows before the restore: got %v, error %v, want two rows", rows, err)
 		}
@@ -115,7 +115,7 @@
 		// The restored store lacks the row of held and contains that of cleared again.
 		restorer := table.NewWriter(store, "restore")
 		for _, row := range rows {
-			write := table.Write{Key: row.Key, Value: row.Value, If: table.Always{}, Delete: row.Key == poisonsync.Table+"/"+held.String()}
+			write := table.Write{Key: row.Key, Value: row.Value, If: table.Always{}, Delete: row.Key == quarantinesync.Table+"/"+held.String()}
 			restorer.Commit(t.Context(), write)
 		}
 		writer.era.Store(1)
@@ -135,7 +135,7 @@
 // Rows that others wrote hold nothing back and stop nothing.
 func TestRowsOfOtherFormsAreLeftOut(t *testing.T) {
 	store := tables.New()
-	good := poison.FingerprintOf("POST", "/x", "red", []byte("a"))
+	good := quarantine.FingerprintOf("POST", "/x", "red", []byte("a"))
 	host := newHost(store, "writer", time.Hour)
 	host.crash(good, 3)
 	ctx, stop := context.WithTimeout(t.Context(), time.Second)
@@ -152,7 +152,7 @@
 		good.String() + "and something more": {0xa0},
 	}
 	for key, value := range bad {
-		writer.Commit(t.Context(), table.Write{Key: poisonsync.Table + "/" + key, Value: value, If: table.Always{}})
+		writer.Commit(t.Context(), table.Write{Key: quarantinesync.Table + "/" + key, Value: value, If: table.Always{}})
 	}
 	reader := newHost(store, "reader", time.Hour).loaded(t)
 	if !reader.holds(good) {
@@ -169,7 +169,7 @@
 func TestClearedRequestsHaveNoRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
-		f := poison.FingerprintOf("POST", "/x", "red", []byte("popular"))
+		f := quarantine.FingerprintOf("POST", "/x", "red", []byte("popular"))
 		storeNow := time.Hour
 		writer := newHost(store, "writer", storeNow)
 		go writer.keeper.Run(t.Context())
--- a/pkg/poisonsync/row.go
+++ b/pkg/quarantinesync/row.go
@@ -1,4 +1,4 @@
-package poisonsync
+package quarantinesync
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 )
 
 // row is a case in the store; times are by the store's steady clock.
@@ -24,10 +24,10 @@
 // mostMS bounds the store's clock, in milliseconds: a hundred years.
 const mostMS = 100 * 365 * 24 * 3600 * 1000
 
-func key(f poison.Fingerprint) string { return Table + "/" + f.String() }
+func key(f quarantine.Fingerprint) string { return Table + "/" + f.String() }
 
 // encode encodes a case; now and storeNow are the same moment by both clocks.
-func encode(c poison.Case, now time.Time, storeNow time.Duration) ([]byte, error) {
+func encode(c quarantine.Case, now time.Time, storeNow time.Duration) ([]byte, error) {
 	var r row
 	for _, e := range c.Ends {
 		r.Ends = append(r.Ends, end{Endpoint: e.Endpoint, AtMS: (storeNow - now.Sub(e.At)).Milliseconds()})
@@ -37,7 +37,7 @@
 
 // stored is a decoded row.
 type stored struct {
-	fingerprint poison.Fingerprint
+	fingerprint quarantine.Fingerprint
 	ends        []end
 }
 
@@ -46,7 +46,7 @@
 	if !ok {
 		return stored{}, fmt.Errorf("poisonsync: row %q of another table", key)
 	}
-	f, err := poison.ParseFingerprint(text)
+	f, err := quarantine.ParseFingerprint(text)
 	if err != nil {
 		return stored{}, err
 	}
@@ -64,11 +64,11 @@
 
 // at returns the case by this process's clock. An end that is told for later than now
 // counts as of now.
-func (s stored) at(now time.Time, storeNow time.Duration) poison.Case {
-	c := poison.Case{Fingerprint: s.fingerprint}
+func (s stored) at(now time.Time, storeNow time.Duration) quarantine.Case {
+	c := quarantine.Case{Fingerprint: s.fingerprint}
 	for _, e := range s.ends {
 		age := max(storeNow-time.Duration(e.AtMS)*time.Millisecond, 0)
-		c.Ends = append(c.Ends, poison.End{Endpoint: e.Endpoint, At: now.Add(-age)})
+		c.Ends = append(c.Ends, quarantine.End{Endpoint: e.Endpoint, At: now.Add(-age)})
 	}
 	return c
 }
--- a/pkg/stream/crash.go
+++ b/pkg/stream/crash.go
@@ -10,16 +10,16 @@
 	"ironhollow/pkg/code"
 	"ironhollow/pkg/endpoint"
 	"ironhollow/pkg/engine"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 )
 
 // A prompt may end each engine that runs it. Within one request its attempts bound that
 // to twelve; over requests, and over the runs of an accepted job, nothing did.
 
 // fingerprintOf is the same for all requests and runs of a prompt, whoever sends it.
-func fingerprintOf(p engine.Prompt) poison.Fingerprint {
+func fingerprintOf(p engine.Prompt) quarantine.Fingerprint {
 	body := append(append([]byte(nil), p.Messages...), p.Options...)
-	return poison.FingerprintOf("", p.Model+"/"+p.Adapter, "", body)
+	return quarantine.FingerprintOf("", p.Model+"/"+p.Adapter, "", body)
 }
 
 // held refuses a request under which several endpoints have ended, nil where it may run.
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -20,7 +20,7 @@
 	"ironhollow/pkg/hazard"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/pause"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/route"
 )
@@ -99,7 +99,7 @@
 	budget   *retry.Budget
 	hazard   *hazard.Estimator
 	counters *Counters
-	watch    *poison.Watch
+	watch    *quarantine.Watch
 	notices  *notice.Board
 	tracer   trace.Tracer
 	active   *active
@@ -108,7 +108,7 @@
 }
 
 // New returns a runner.
-func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *poison.Watch, notices *notice.Board, tracer trace.Tracer) *Runner {
+func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *quarantine.Watch, notices *notice.Board, tracer trace.Tracer) *Runner {
 	return &Runner{router: router, engines: engines, budget: budget, hazard: estimator, counters: counters, watch: watch, notices: notices, tracer: tracer, active: newActive()}
 }
 
@@ -183,7 +183,7 @@
 // progress is a request's state over its attempts.
 type progress struct {
 	request     Request
-	fingerprint poison.Fingerprint
+	fingerprint quarantine.Fingerprint
 	sink        Sink
 	// tokens are the answer so far, sent to the sink.
 	tokens   []string
--- a/pkg/stream/runner_test.go
+++ b/pkg/stream/runner_test.go
@@ -20,7 +20,7 @@
 	"ironhollow/pkg/engine"
 	"ironhollow/pkg/hazard"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/route"
 	"ironhollow/pkg/standin/engines"
@@ -66,7 +66,7 @@
 	estimator := hazard.New()
 	f.router = route.New(f.directory, estimator, route.Home{Node: "n", DataCenter: "dc"}, 1)
 	registry := prometheus.NewRegistry()
-	watch := poison.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
+	watch := quarantine.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	board := notice.New(f.directory, f.router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 	f.runner = stream.New(f.router, f.direct, retry.New(0.1, time.Now()), estimator, stream.NewCounters(registry), watch, board, noop.NewTracerProvider().Tracer(""))
 	for _, info := range f.infos {
