--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -55,8 +55,8 @@
 	router    *route.Router
 	engines   engine.API
 	runner    *stream.Runner
-	rates     *limit.Rates
-	gates     *limit.Gates
+	rates     *limit.RateLimiter
+	gates     *limit.ConcurrencyLimiters
 	budget    *retry.Budget
 	jobs      *job.Store
 	worker    *job.Worker
--- a/pkg/app/entry/generator.go
+++ b/pkg/app/entry/generator.go
@@ -17,21 +17,21 @@
 type generator struct {
 	config *config.Holder
 	runner *stream.Runner
-	gates  *limit.Gates
+	gates  *limit.ConcurrencyLimiters
 }
 
-func newGenerator(holder *config.Holder, runner *stream.Runner, gates *limit.Gates) job.Generator {
+func newGenerator(holder *config.Holder, runner *stream.Runner, gates *limit.ConcurrencyLimiters) job.Generator {
 	return &generator{holder, runner, gates}
 }
 
 // placeFor returns a job's place beside callers who wait.
-func (g *generator) placeFor(j job.Job, c *fleet.Config, s fleet.Service) *limit.Place {
+func (g *generator) placeFor(j job.Job, c *fleet.Config, s fleet.Service) *limit.PermitHolder {
 	weight := 1
 	if team, ok := c.Team(j.Team); ok {
 		weight = team.Weight()
 	}
 	target := route.Target{Model: s.Model(), Version: s.Version(), Adapter: s.Adapter()}
-	return limit.NewPlace(g.gates.For(target), limit.Ask{
+	return limit.NewPermitHolder(g.gates.For(target), limit.PermitRequest{
 		Team: j.Team, Weight: weight, Priority: s.Priority(), MayWait: true, Yield: func() bool { return g.runner.Yield(j.ID) },
 	})
 }
@@ -58,12 +58,12 @@
 		request.Received = received
 	}
 	place := g.placeFor(j, c, s)
-	if err := place.Enter(ctx); err != nil {
+	if err := place.Acquire(ctx); err != nil {
 		return job.Result{}, err
 	}
-	defer place.Leave()
+	defer place.Release()
 	request.MayWait = true
-	request.Reenter = place.Reenter
+	request.Reenter = place.Reacquire
 	collector := chat.NewCollector(s.Version(), request.Received)
 	started(collector)
 	result, err := g.runner.Run(ctx, request, collector)
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -189,7 +189,7 @@
 			slots = a.router.Slots(other)
 		}
 	}
-	return int(math.Ceil(limit.Room * float64(slots) / float64(serving)))
+	return int(math.Ceil(limit.PermitsPerSlot * float64(slots) / float64(serving)))
 }
 
 // plainRoom is how many calls one plain endpoint is sent at once by one entry.
@@ -205,7 +205,7 @@
 	a.mesh.SetDemand(own)
 	for _, d := range demands {
 		if mean, ok := a.mesh.MeanDemand(peer.TeamHash(d.Team)); ok {
-			a.rates.SetTotal(d.Team, mean*float64(serving), t)
+			a.rates.SetTotalDemand(d.Team, mean*float64(serving), t)
 		}
 	}
 }
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -29,7 +29,7 @@
 
 func newAPI(
 	settings Settings, self membership.Node, holder *config.Holder, nodes *membership.Table, router *route.Router,
-	runner *stream.Runner, rates *limit.Rates, gates *limit.Gates, jobs *job.Store, worker *job.Worker,
+	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, jobs *job.Store, worker *job.Worker,
 	jobCounters *job.Counters, claims *claim.Claims, plain plainservice.API, budget *retry.Budget, notices *notice.Board,
 	history *explain.History, tracer trace.Tracer, counters *callerapi.Counters,
 ) *callerapi.API {
@@ -44,7 +44,7 @@
 	settings Settings, self membership.Node, logger *log.Logger, registry *prometheus.Registry, tracer *sdktrace.TracerProvider,
 	guard *table.Guard, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
 	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engines engine.API,
-	runner *stream.Runner, rates *limit.Rates, gates *limit.Gates, budget *retry.Budget, jobs *job.Store,
+	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
 	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
 	peers *peer.Server, api *callerapi.API, t process.TLS,
 ) *App {
--- a/pkg/app/entry/wire.go
+++ b/pkg/app/entry/wire.go
@@ -32,7 +32,7 @@
 		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAccepts, newTracer,
 		wire.Bind(new(job.Committer), new(*accept.Gatherer)),
 		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
-		limit.NewRates, limit.NewGates, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
+		limit.NewRateLimiter, limit.NewConcurrencyLimiters, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
 		peer.NewMesh, peer.NewCounters, callerapi.NewCounters, quarantine.NewWatch, notice.New,
 	)
 	return nil, nil
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -31,7 +31,7 @@
 			Host: n.host(), Loads: n.loads.Own(), Works: n.ownWorks(now), Counts: n.counter.Latest(), InTouch: n.view.InTouch(),
 			LeaseVersion: n.leases.Version(dutyShard),
 		},
-		Spent:   n.limits.Own(now),
+		Spent:   n.limits.LocalUsage(now),
 		Placed:  n.router.TakePlacements(),
 		Cases:   n.crashes.Reports(now),
 		Notices: n.notices.Reports(now),
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -73,7 +73,7 @@
 	view      *storeview.View
 	router    *route.Router
 	loads     *loadsync.Sync
-	limits    *limit.Shared
+	limits    *limit.CostLimiter
 	pool      *upstream.Pool
 	counter   *usage.Counter
 	reporter  *usage.Reporter
@@ -89,7 +89,7 @@
 	datagrams *datagrams
 	replaced  replacedBy
 	crashes   *quarantine.Watch
-	keeper    *quarantinesync.Keeper
+	keeper    *quarantinesync.Syncer
 	notices   *notice.Board
 	watchdog  *watchdog.Watchdog
 
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -125,8 +125,8 @@
 	return loadsync.New(router, view.Roster(), string(self))
 }
 
-func newLimits(s Settings, clock *storeclock.Clock) *limit.Shared {
-	return limit.NewShared(limit.Tolerance(s.Limits), clock.Now())
+func newLimits(s Settings, clock *storeclock.Clock) *limit.CostLimiter {
+	return limit.NewCostLimiter(limit.Tolerance(s.Limits), clock.Now())
 }
 
 // newCounter counts by the store's clock plus what the hosts agree it differs by
@@ -171,8 +171,8 @@
 	return quarantine.NewWatch(registry, logger)
 }
 
-func newKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *quarantinesync.Keeper {
-	return quarantinesync.NewKeeper(watch, writer, clock, view.StoreEra, logger)
+func newKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *quarantinesync.Syncer {
+	return quarantinesync.NewSyncer(watch, writer, clock, view.StoreEra, logger)
 }
 
 func newWatchdog(registry *prometheus.Registry, logger *log.Logger) *watchdog.Watchdog {
@@ -183,7 +183,7 @@
 	return notice.New(view.Directory(), router, logger)
 }
 
-func newForwarder(platform Platform, view *storeview.View, home route.Home, router *route.Router, limits *limit.Shared, budget *retry.Window,
+func newForwarder(platform Platform, view *storeview.View, home route.Home, router *route.Router, limits *limit.CostLimiter, budget *retry.Window,
 	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *quarantine.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
@@ -193,7 +193,7 @@
 			if !view.Ready() {
 				return forward.Starting
 			}
-			limits.AllBeganAnew(view.IdleBefore())
+			limits.FleetRestarted(view.IdleBefore())
 			ready.Store(true)
 		}
 		return life.phase()
--- a/pkg/app/node/quarantine.go
+++ b/pkg/app/node/quarantine.go
@@ -11,9 +11,9 @@
 // surveySuspects counts endpoints as ended whose rows have gone since runs broke off
 // there: one that is cut off or silent refuses no connection.
 func (n *node) surveySuspects(now time.Time) {
-	for _, id := range n.crashes.Suspected(now) {
+	for _, id := range n.crashes.SuspectedEndpoints(now) {
 		if info, ok := n.view.Directory().Get(id); !ok || info.State == endpoint.Gone {
-			n.crashes.EndpointEnded(id, "row removed", now)
+			n.crashes.EndpointCrashed(id, "row removed", now)
 		}
 	}
 }
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -28,7 +28,7 @@
 	view := newView(platform, settings, clock, home, incarnation, rolloutSwitch, logger)
 	router := newRouter(view, home, clock)
 	sync := newLoads(router, view, incarnation)
-	shared := newLimits(settings, clock)
+	costLimiter := newLimits(settings, clock)
 	pool := newPool()
 	counter := newCounter(settings, clock, view)
 	writer := newWriter(counted, incarnation)
@@ -40,13 +40,13 @@
 	window := newBudget(settings)
 	watch := newWatch(registry, logger)
 	board := newNotices(view, router, logger)
-	forwarder := newForwarder(platform, view, home, router, shared, window, pool, counter, rolloutSwitch, watch, board, nodeLife, clock, registry, logger)
+	forwarder := newForwarder(platform, view, home, router, costLimiter, window, pool, counter, rolloutSwitch, watch, board, nodeLife, clock, registry, logger)
 	nodeOwnRow := &ownRow{}
 	nodeFleetRole := &fleetRole{}
 	desk := newDesk(platform, rolloutSwitch, view, writer, clock, manager, logger)
 	nodeDatagrams := &datagrams{}
 	nodeReplacedBy := newReplacedBy()
-	keeper := newKeeper(watch, writer, clock, view, logger)
+	syncer := newKeeper(watch, writer, clock, view, logger)
 	watchdog := newWatchdog(registry, logger)
 	nodeSuspensions := &suspensions{}
 	nodeNode := &node{
@@ -62,7 +62,7 @@
 		view:        view,
 		router:      router,
 		loads:       sync,
-		limits:      shared,
+		limits:      costLimiter,
 		pool:        pool,
 		counter:     counter,
 		reporter:    reporter,
@@ -78,7 +78,7 @@
 		datagrams:   nodeDatagrams,
 		replaced:    nodeReplacedBy,
 		crashes:     watch,
-		keeper:      keeper,
+		keeper:      syncer,
 		notices:     board,
 		watchdog:    watchdog,
 		suspensions: nodeSuspensions,
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -51,8 +51,8 @@
 	Nodes   *membership.Table
 	Router  *route.Router
 	Runner  *stream.Runner
-	Rates   *limit.Rates
-	Gates   *limit.Gates
+	Rates   *limit.RateLimiter
+	Gates   *limit.ConcurrencyLimiters
 	Jobs    *job.Store
 	Worker  *job.Worker
 	JobStat *job.Counters
@@ -187,7 +187,7 @@
 // admit holds the team to its rate.
 func (a *API) admit(team fleet.Team) error {
 	entries := max(len(a.Nodes.Serving()), 1)
-	ok, after := a.Rates.Allow(limit.Team{Name: team.Name(), Rate: team.Rate(), Burst: team.Burst()}, entries, time.Now())
+	ok, after := a.Rates.Allow(limit.TeamLimit{Name: team.Name(), Rate: team.Rate(), Burst: team.Burst()}, entries, time.Now())
 	if ok {
 		return nil
 	}
@@ -205,13 +205,13 @@
 func (e retryError) Unwrap() error { return e.error }
 
 // enter waits for a place at the target's gate.
-func (a *API) enter(ctx context.Context, s fleet.Service, team fleet.Team, deadline time.Time) (limit.Ticket, error) {
+func (a *API) enter(ctx context.Context, s fleet.Service, team fleet.Team, deadline time.Time) (limit.Permit, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	ticket, err := a.Gates.For(targetOf(s)).Acquire(ctx, limit.Ask{
+	ticket, err := a.Gates.For(targetOf(s)).Acquire(ctx, limit.PermitRequest{
 		Team: team.Name(), Weight: team.Weight(), Priority: s.Priority(), Deadline: deadline, MayWait: s.MayWait(),
 	}, time.Now())
-	var late limit.TooLate
+	var late limit.DeadlineError
 	switch {
 	case errors.As(err, &late):
 		a.Metrics.Overloaded.WithLabelValues(s.Name()).Inc()
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -159,7 +159,7 @@
 	e := &entry{nodes: nodes, self: membership.Node{ID: name, Incarnation: 1, Status: membership.Alive, Ready: true}}
 	e.api = callerapi.New(callerapi.Deps{
 		Node: name, Owner: name, Limits: callerapi.Limits{BodyBytes: 4096, AnswerBytes: 4096, Requests: 100, WriteTimeout: 5 * time.Second},
-		Config: holder, Nodes: nodes, Router: router, Runner: runner, Rates: limit.NewRates(), Gates: limit.NewGates(),
+		Config: holder, Nodes: nodes, Router: router, Runner: runner, Rates: limit.NewRateLimiter(), Gates: limit.NewConcurrencyLimiters(),
 		Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claim.New(writer), Plain: plainservice.New(httpx.NewClient(4)), Notices: board,
 		Budget: budget, History: explain.NewHistory(), Tracer: s.tracer(name), Metrics: callerapi.NewCounters(registry),
 	})
--- a/pkg/forward/crash.go
+++ b/pkg/forward/crash.go
@@ -23,7 +23,7 @@
 
 // held returns how much longer the request is held back.
 func (c *call) held() (left time.Duration, held bool) {
-	return c.f.crashes.Held(c.fingerprint, c.f.clock())
+	return c.f.crashes.Quarantined(c.fingerprint, c.f.clock())
 }
 
 // noteRun takes in what the end of a send shows of the request and of its endpoint.
@@ -40,9 +40,9 @@
 	case notRun:
 		switch {
 		case r.moved:
-			c.f.crashes.EndpointEnded(choice.Endpoint.ID, "another instance at its address", c.f.clock())
+			c.f.crashes.EndpointCrashed(choice.Endpoint.ID, "another instance at its address", c.f.clock())
 		case errors.Is(r.err, syscall.ECONNREFUSED):
-			c.f.crashes.EndpointEnded(choice.Endpoint.ID, "refused connection", c.f.clock())
+			c.f.crashes.EndpointCrashed(choice.Endpoint.ID, "refused connection", c.f.clock())
 		}
 	}
 }
@@ -51,7 +51,7 @@
 // failure shows nothing of that, nor does an answer that may have broken off at its end.
 func (c *call) noteWhole(status int, hasEnd bool) {
 	if hasEnd && status < http.StatusInternalServerError {
-		c.f.crashes.Sound(c.fingerprint, c.f.clock())
+		c.f.crashes.RecordSuccess(c.fingerprint, c.f.clock())
 	}
 }
 
@@ -70,7 +70,7 @@
 	if leaves := !ok || info.State != endpoint.Live; leaves && c.f.clock().Sub(c.sentAt) >= leastPlanned {
 		return
 	}
-	if c.f.crashes.Broke(id, c.fingerprint, c.f.clock()) {
+	if c.f.crashes.RecordInterruption(id, c.fingerprint, c.f.clock()) {
 		go c.f.lookAt(id, choice.Endpoint.Address, c.connectionLimit())
 	}
 }
@@ -96,10 +96,10 @@
 // when the request may have come again three times.
 func (f *Forwarder) lookAt(id, address string, limit int) {
 	time.Sleep(lookAfter)
-	f.crashes.LookBegins(id)
+	f.crashes.ProbeStarted(id)
 	ctx, cancel := context.WithTimeout(context.Background(), lookTime)
 	defer cancel()
 	if f.pool.Look(ctx, address, limit) == upstream.Refusing {
-		f.crashes.EndpointEnded(id, "refused look", f.clock())
+		f.crashes.EndpointCrashed(id, "refused look", f.clock())
 	}
 }
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -49,7 +49,7 @@
 	protocol Protocol
 	tables   Tables
 	router   *route.Router
-	limits   *limit.Shared
+	limits   *limit.CostLimiter
 	budget   *retry.Window
 	pool     *upstream.Pool
 	runs     Runs
@@ -80,7 +80,7 @@
 )
 
 // New returns a forwarder.
-func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.Shared, budget *retry.Window, pool *upstream.Pool,
+func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.CostLimiter, budget *retry.Window, pool *upstream.Pool,
 	runs Runs, fleet Fleet, rollouts *rollout.Switch, watch *quarantine.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
 ) *Forwarder {
 	return &Forwarder{
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -479,7 +479,7 @@
 			s.askAndLeave(path)
 		}
 		time.Sleep(3 * endSeen)
-		if got := s.watch.Suspected(time.Now()); len(got) != 0 {
+		if got := s.watch.SuspectedEndpoints(time.Now()); len(got) != 0 {
 			t.Errorf("%s: endpoints suspected: got %v, want none", path, got)
 		}
 	}
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -160,7 +160,7 @@
 	registry := prometheus.NewRegistry()
 	s.watch = quarantine.NewWatch(registry, logger)
 	board := notice.New(s.directory, router, logger)
-	forwarder := forward.New(protocol{}, tables{routetable.New(spec), fresh}, router, limit.NewShared(limit.Tolerance{}, now.Add(-time.Hour)),
+	forwarder := forward.New(protocol{}, tables{routetable.New(spec), fresh}, router, limit.NewCostLimiter(limit.Tolerance{}, now.Add(-time.Hour)),
 		retry.NewWindow(0.2, 58, 10*time.Second), upstream.New(time.Second), s.runs, oneHost{}, s.rollouts, s.watch, board,
 		func() forward.Phase { return forward.Phase(s.phase.Load()) }, time.Now, forward.NewMetrics(registry), logger)
 	s.server = httptest.NewServer(forwarder)
--- a/pkg/forward/intake.go
+++ b/pkg/forward/intake.go
@@ -121,11 +121,11 @@
 		}
 	}
 	c.trail.cost = cost
-	team := limit.Team{Name: c.team.Name, Rate: c.team.Rate, Burst: c.team.Burst}
+	team := limit.TeamLimit{Name: c.team.Name, Rate: c.team.Rate, Burst: c.team.Burst}
 	d := c.f.limits.Allow(team, limit.Request{Cost: cost, Priority: c.route.Priority}, c.f.clock())
 	if !d.Admitted {
 		c.trail.note(fmt.Sprintf("limit: held %.0f, needed %.0f for a cost of %.0f; rate %.0f; part %.2f; %.1f hosts reckoned with",
-			d.Held, d.Needed, cost, c.team.Rate, d.Part, d.Rivals))
+			d.Available, d.Required, cost, c.team.Rate, d.Share, d.Contenders))
 	}
 	return d.Wait, d.Admitted
 }
--- a/pkg/forward/run.go
+++ b/pkg/forward/run.go
@@ -177,7 +177,7 @@
 	if _, held := c.held(); held {
 		return false
 	}
-	if _, isUnclear := last.(unclear); isUnclear && c.f.crashes.LastTry(c.fingerprint) {
+	if _, isUnclear := last.(unclear); isUnclear && c.f.crashes.LastAttempt(c.fingerprint) {
 		return false
 	}
 	n, isNotRun := last.(notRun)
--- a/pkg/gossip/events.go
+++ b/pkg/gossip/events.go
@@ -93,11 +93,11 @@
 func (m *eventMessage) addCases(cases []quarantine.Case, now time.Time) {
 	places := map[string]int{}
 	for _, c := range cases {
-		if len(c.Ends) != 1 || !c.Sound.IsZero() {
+		if len(c.Crashes) != 1 || !c.LastSuccess.IsZero() {
 			m.Cases = append(m.Cases, encodeCase(c, now))
 			continue
 		}
-		end := c.Ends[0]
+		end := c.Crashes[0]
 		place, ok := places[end.Endpoint]
 		if !ok {
 			place = len(m.Singles)
@@ -110,11 +110,11 @@
 
 func encodeCase(c quarantine.Case, now time.Time) crashCase {
 	w := crashCase{Fingerprint: c.Fingerprint[:]}
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		w.Ends = append(w.Ends, crashEnd{Endpoint: e.Endpoint, AgeMS: now.Sub(e.At).Milliseconds()})
 	}
-	if !c.Sound.IsZero() {
-		w.SoundMS = now.Sub(c.Sound).Milliseconds() + 1
+	if !c.LastSuccess.IsZero() {
+		w.SoundMS = now.Sub(c.LastSuccess).Milliseconds() + 1
 	}
 	return w
 }
@@ -129,10 +129,10 @@
 		}
 	}
 	for _, w := range m.Singles {
-		end := quarantine.End{Endpoint: w.Endpoint, At: ago(now, w.AgeMS)}
+		end := quarantine.Crash{Endpoint: w.Endpoint, At: ago(now, w.AgeMS)}
 		for _, f := range w.Fingerprints {
 			if len(f) == len(quarantine.Fingerprint{}) {
-				cases = append(cases, quarantine.Case{Fingerprint: quarantine.Fingerprint(f), Ends: []quarantine.End{end}})
+				cases = append(cases, quarantine.Case{Fingerprint: quarantine.Fingerprint(f), Crashes: []quarantine.Crash{end}})
 			}
 		}
 	}
@@ -142,10 +142,10 @@
 func (w crashCase) decode(now time.Time) quarantine.Case {
 	c := quarantine.Case{Fingerprint: quarantine.Fingerprint(w.Fingerprint)}
 	for _, e := range w.Ends {
-		c.Ends = append(c.Ends, quarantine.End{Endpoint: e.Endpoint, At: ago(now, e.AgeMS)})
+		c.Crashes = append(c.Crashes, quarantine.Crash{Endpoint: e.Endpoint, At: ago(now, e.AgeMS)})
 	}
 	if w.SoundMS > 0 {
-		c.Sound = ago(now, w.SoundMS-1)
+		c.LastSuccess = ago(now, w.SoundMS-1)
 	}
 	return c
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -40,7 +40,7 @@
 // Update is what a host sends.
 type Update struct {
 	roster.Status
-	Spent []limit.Spent
+	Spent []limit.TeamUsage
 	// Placed is where prompts were sent since the datagram before.
 	Placed []route.Placement
 	// Brief says that Loads are of single endpoints and that nothing else is sent but Rollouts.
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -216,8 +216,8 @@
 	members.StoreAnswered(now)
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, now)
 	f := quarantine.FingerprintOf("POST", "/x", "red", []byte("body"))
-	ends := []quarantine.End{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
-	cases := []quarantine.Case{{Fingerprint: f, Ends: ends}, {Fingerprint: f, Sound: now.Add(-time.Second)}, {Fingerprint: f, Ends: ends[1:]}}
+	ends := []quarantine.Crash{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
+	cases := []quarantine.Case{{Fingerprint: f, Crashes: ends}, {Fingerprint: f, LastSuccess: now.Add(-time.Second)}, {Fingerprint: f, Crashes: ends[1:]}}
 	self := host(0, 800)
 	run(t, self, members, gossip.Update{Status: roster.Status{Host: self}, Cases: cases}, other)
 	for other.count() < 2 {
@@ -229,19 +229,19 @@
 		t.Errorf("first datagram: got %+v, want what a host always tells", loads)
 	}
 	got := other.got[1].Cases
-	if len(got) != 3 || got[0].Fingerprint != f || len(got[0].Ends) != 2 || !got[0].Sound.IsZero() {
+	if len(got) != 3 || got[0].Fingerprint != f || len(got[0].Crashes) != 2 || !got[0].LastSuccess.IsZero() {
 		t.Fatalf("cases: got %+v, want %+v", got, cases)
 	}
 	near := func(a, b time.Time) bool { return a.Sub(b).Abs() < arrivalTime }
-	for i, end := range got[0].Ends {
+	for i, end := range got[0].Crashes {
 		if end.Endpoint != ends[i].Endpoint || !near(end.At, ends[i].At) {
 			t.Errorf("end: got %+v, want %+v", end, ends[i])
 		}
 	}
-	if single := got[2]; single.Fingerprint != f || len(single.Ends) != 1 || single.Ends[0].Endpoint != "e2" || !near(single.Ends[0].At, ends[1].At) {
+	if single := got[2]; single.Fingerprint != f || len(single.Crashes) != 1 || single.Crashes[0].Endpoint != "e2" || !near(single.Crashes[0].At, ends[1].At) {
 		t.Errorf("case of one end: got %+v, want %+v", single, cases[2])
 	}
-	if !near(got[1].Sound, cases[1].Sound) || len(got[1].Ends) != 0 {
+	if !near(got[1].LastSuccess, cases[1].LastSuccess) || len(got[1].Crashes) != 0 {
 		t.Errorf("whole answer: got %+v, want %+v", got[1], cases[1])
 	}
 }
@@ -281,7 +281,7 @@
 	told := gossip.Update{Status: roster.Status{Host: host(0, 800)}}
 	for i := range 30 {
 		f := quarantine.FingerprintOf("POST", fmt.Sprintf("/%d", i), "red", nil)
-		told.Cases = append(told.Cases, quarantine.Case{Fingerprint: f, Ends: []quarantine.End{{Endpoint: "e1", At: time.Now()}}})
+		told.Cases = append(told.Cases, quarantine.Case{Fingerprint: f, Crashes: []quarantine.Crash{{Endpoint: "e1", At: time.Now()}}})
 		id := fmt.Sprintf("%s%d", strings.Repeat("x", 100), i)
 		told.Notices = append(told.Notices, notice.Report{Endpoint: id, Notice: endpoint.Notice{Leaving: true}})
 	}
@@ -321,11 +321,11 @@
 		third := start.Add(3 * time.Second)
 		for i := range 3 {
 			at := third.Add(time.Duration(i-2) * 200 * time.Millisecond)
-			end := quarantine.End{Endpoint: fmt.Sprint("e", i), At: at}
+			end := quarantine.Crash{Endpoint: fmt.Sprint("e", i), At: at}
 			for j := range beside {
-				quarantines[i].Ended(quarantine.FingerprintOf("POST", "/y", "red", []byte(fmt.Sprint(i, j))), end, at)
+				quarantines[i].RecordCrash(quarantine.FingerprintOf("POST", "/y", "red", []byte(fmt.Sprint(i, j))), end, at)
 			}
-			quarantines[i].Ended(f, end, at)
+			quarantines[i].RecordCrash(f, end, at)
 		}
 		for now := start; now.Before(third.Add(within)); now = now.Add(10 * time.Millisecond) {
 			for i := range quarantines {
@@ -342,14 +342,14 @@
 				for j := range quarantines {
 					isNear := i < size.callers && j < size.callers
 					if j != i && (isNear || tellFar) && random.IntN(10) > 0 && !now.Before(third) {
-						quarantines[j].Hear(told, now)
+						quarantines[j].Merge(told, now)
 					}
 				}
 			}
 		}
 		without := 0
 		for _, q := range quarantines {
-			if _, held := q.Held(f, third.Add(within)); !held {
+			if _, held := q.Quarantined(f, third.Add(within)); !held {
 				without++
 			}
 		}
--- a/pkg/gossip/teams.go
+++ b/pkg/gossip/teams.go
@@ -38,8 +38,8 @@
 }
 
 // pick returns the figures to send in this round.
-func (f *teamFigures) pick(update Update, now time.Time) ([]limit.Spent, []roster.Count) {
-	spent := make([]limit.Spent, 0, maxFigures)
+func (f *teamFigures) pick(update Update, now time.Time) ([]limit.TeamUsage, []roster.Count) {
+	spent := make([]limit.TeamUsage, 0, maxFigures)
 	f.spent.round(len(update.Spent), now, func(i int) (string, float64) { return update.Spent[i].Team, update.Spent[i].Admitted },
 		func(i int) { spent = append(spent, update.Spent[i]) })
 	counts := make([]roster.Count, 0, maxFigures)
@@ -102,7 +102,7 @@
 }
 
 // teamMessages encodes figures of teams into as many datagrams as they need.
-func teamMessages(incarnation string, spent []limit.Spent, counts []roster.Count) ([][]byte, error) {
+func teamMessages(incarnation string, spent []limit.TeamUsage, counts []roster.Count) ([][]byte, error) {
 	p := packer{incarnation: incarnation, message: eventMessage{Incarnation: incarnation}}
 	for _, s := range encodeSpent(spent) {
 		p.add(s, func(m *eventMessage) { m.Spent = append(m.Spent, s) })
@@ -156,18 +156,18 @@
 	p.size = 0
 }
 
-func encodeSpent(list []limit.Spent) []spent {
+func encodeSpent(list []limit.TeamUsage) []spent {
 	encoded := make([]spent, 0, len(list))
 	for _, l := range list {
-		encoded = append(encoded, spent{Team: l.Team, Admitted: int64(l.Admitted), Asked: float32(l.Asked), Held: int64(l.Held), Settled: l.Settled})
+		encoded = append(encoded, spent{Team: l.Team, Admitted: int64(l.Admitted), Asked: float32(l.RequestedRate), Held: int64(l.Available), Settled: l.Synced})
 	}
 	return encoded
 }
 
-func decodeSpent(list []spent) []limit.Spent {
-	var decoded []limit.Spent
+func decodeSpent(list []spent) []limit.TeamUsage {
+	var decoded []limit.TeamUsage
 	for _, l := range list {
-		decoded = append(decoded, limit.Spent{Team: l.Team, Admitted: float64(l.Admitted), Asked: float64(l.Asked), Held: float64(l.Held), Settled: l.Settled})
+		decoded = append(decoded, limit.TeamUsage{Team: l.Team, Admitted: float64(l.Admitted), RequestedRate: float64(l.Asked), Available: float64(l.Held), Synced: l.Settled})
 	}
 	return decoded
 }
--- a/pkg/gossip/teams_test.go
+++ b/pkg/gossip/teams_test.go
@@ -26,7 +26,7 @@
 	for i := range teams {
 		team := fmt.Sprintf("team-number-%d", i)
 		told.Counts = append(told.Counts, roster.Count{Window: window, Team: team, Begun: i + 1})
-		told.Spent = append(told.Spent, limit.Spent{Team: team, Admitted: float64(i + 1), Settled: true})
+		told.Spent = append(told.Spent, limit.TeamUsage{Team: team, Admitted: float64(i + 1), Synced: true})
 	}
 	spent, counts := map[string]float64{}, map[string]int{}
 	lives := false
--- a/pkg/limit/gate.go
+++ b/pkg/limit/concurrency.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Gate shares out a bounded number of places. Free places are given at once;
+// ConcurrencyLimiter shares out a bounded number of places. Free places are given at once;
 // otherwise requests wait, by priority, and among equals by the weights of
 // their teams, so that a large team can't starve a small one. A request whose
 // deadline can't be met is turned away before it waits.
-type Gate struct {
+type ConcurrencyLimiter struct {
 	mu       sync.Mutex
 	capacity int
 	used     int
@@ -46,8 +46,8 @@
 	abandoned bool
 }
 
-// Ask is one request for a place.
-type Ask struct {
+// PermitRequest is one request for a place.
+type PermitRequest struct {
 	Team     string
 	Weight   int
 	Priority int
@@ -63,19 +63,19 @@
 
 // Parameters of the places.
 const (
-	// Room is how many places there are for each slot of the endpoints: callers
+	// PermitsPerSlot is how many places there are for each slot of the endpoints: callers
 	// who wait may queue at an endpoint, which serves them by priority.
-	Room = 2.0
+	PermitsPerSlot = 2.0
 	// waitingShare is the part of the places that work that can wait may fill.
 	waitingShare = 0.35
 )
 
 // key names the queue an ask waits in.
-func (a Ask) key() queueKey { return queueKey{a.Priority, a.Team, a.MayWait} }
+func (a PermitRequest) key() queueKey { return queueKey{a.Priority, a.Team, a.MayWait} }
 
-// Ticket is a place held; it must be released once.
-type Ticket struct {
-	gate  *Gate
+// Permit is a place held; it must be released once.
+type Permit struct {
+	gate  *ConcurrencyLimiter
 	since time.Time
 	// yielding is the place's entry among those that can be asked for, nil for
 	// a place that can't.
@@ -95,13 +95,13 @@
 // meanWeight is the weight of a new measurement.
 const meanWeight = 0.05
 
-// NewGate returns a gate with capacity places.
-func NewGate(capacity int) *Gate {
-	return &Gate{capacity: max(capacity, 1), mean: firstMean, queues: map[queueKey]*queue{}}
+// NewConcurrencyLimiter returns a gate with capacity places.
+func NewConcurrencyLimiter(capacity int) *ConcurrencyLimiter {
+	return &ConcurrencyLimiter{capacity: max(capacity, 1), mean: firstMean, queues: map[queueKey]*queue{}}
 }
 
 // SetCapacity changes the number of places; those held stay held.
-func (g *Gate) SetCapacity(capacity int) {
+func (g *ConcurrencyLimiter) SetCapacity(capacity int) {
 	g.mu.Lock()
 	g.capacity = max(capacity, 1)
 	g.dispatch()
@@ -109,18 +109,18 @@
 	g.askForPlaces()
 }
 
-// TooLate says that the deadline can't be met. RetryAfter is when there should
+// DeadlineError says that the deadline can't be met. RetryAfter is when there should
 // be room.
-type TooLate struct{ RetryAfter time.Duration }
+type DeadlineError struct{ RetryAfter time.Duration }
 
 // Error describes the refusal.
-func (e TooLate) Error() string { return "limit: the deadline can't be met" }
+func (e DeadlineError) Error() string { return "limit: the deadline can't be met" }
 
 // Acquire waits for a place. It returns TooLate at once where the wait that is
 // to be expected passes the deadline, and the context's error if that ends.
-func (g *Gate) Acquire(ctx context.Context, ask Ask, now time.Time) (Ticket, error) {
+func (g *ConcurrencyLimiter) Acquire(ctx context.Context, ask PermitRequest, now time.Time) (Permit, error) {
 	if err := ctx.Err(); err != nil {
-		return Ticket{}, err
+		return Permit{}, err
 	}
 	g.mu.Lock()
 	if g.length == 0 && g.hasRoom(ask.MayWait) {
@@ -132,7 +132,7 @@
 	expected := g.expectedWait(ask)
 	if !ask.Deadline.IsZero() && now.Add(expected).After(ask.Deadline) {
 		g.mu.Unlock()
-		return Ticket{}, TooLate{expected}
+		return Permit{}, DeadlineError{expected}
 	}
 	w := &waiter{ready: make(chan struct{})}
 	g.enqueue(ask, w)
@@ -147,13 +147,13 @@
 		defer g.mu.Unlock()
 		return g.ticket(ask, time.Now()), nil
 	case <-ctx.Done():
-		return Ticket{}, g.abandon(ctx, w)
+		return Permit{}, g.abandon(ctx, w)
 	}
 }
 
 // ticket notes a place as one that can be asked for, if it can. The lock is held.
-func (g *Gate) ticket(ask Ask, now time.Time) Ticket {
-	t := Ticket{gate: g, since: now}
+func (g *ConcurrencyLimiter) ticket(ask PermitRequest, now time.Time) Permit {
+	t := Permit{gate: g, since: now}
 	if ask.Yield != nil {
 		t.yielding = &yielder{yield: ask.Yield}
 		g.yielders = append(g.yielders, t.yielding)
@@ -163,7 +163,7 @@
 
 // askForPlaces asks work that can wait for as many places as callers who wait
 // lack. The latest comer is asked first: it has the least to compute again.
-func (g *Gate) askForPlaces() {
+func (g *ConcurrencyLimiter) askForPlaces() {
 	declined := map[*yielder]bool{}
 	for {
 		y := g.nextYielder(declined)
@@ -179,7 +179,7 @@
 	}
 }
 
-func (g *Gate) notAsked(y *yielder) {
+func (g *ConcurrencyLimiter) notAsked(y *yielder) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	y.asked = false
@@ -187,7 +187,7 @@
 
 // nextYielder returns a place to ask for and marks it as asked, nil if enough
 // are asked or none is left.
-func (g *Gate) nextYielder(declined map[*yielder]bool) *yielder {
+func (g *ConcurrencyLimiter) nextYielder(declined map[*yielder]bool) *yielder {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	lacking := 0
@@ -216,7 +216,7 @@
 
 // hasRoom reports whether a place is free. At least one place is open to work
 // that can wait, however small the gate. The lock is held.
-func (g *Gate) hasRoom(mayWait bool) bool {
+func (g *ConcurrencyLimiter) hasRoom(mayWait bool) bool {
 	if mayWait {
 		return g.used < max(1, int(waitingShare*float64(g.capacity)))
 	}
@@ -224,7 +224,7 @@
 }
 
 // abandon gives up a wait; a place that was given meanwhile is passed on.
-func (g *Gate) abandon(ctx context.Context, w *waiter) error {
+func (g *ConcurrencyLimiter) abandon(ctx context.Context, w *waiter) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if w.admitted {
@@ -238,7 +238,7 @@
 }
 
 // Release gives the place back.
-func (t Ticket) Release(now time.Time) {
+func (t Permit) Release(now time.Time) {
 	t.gate.mu.Lock()
 	defer t.gate.mu.Unlock()
 	t.gate.used--
@@ -247,7 +247,7 @@
 	t.gate.dispatch()
 }
 
-func (g *Gate) forget(gone *yielder) {
+func (g *ConcurrencyLimiter) forget(gone *yielder) {
 	for i, y := range g.yielders {
 		if y == gone {
 			g.yielders = append(g.yielders[:i], g.yielders[i+1:]...)
@@ -257,14 +257,14 @@
 }
 
 // Waiting returns how many requests wait.
-func (g *Gate) Waiting() int {
+func (g *ConcurrencyLimiter) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.length
 }
 
 // Load returns used places as a part of all; more than 1 counts those waiting.
-func (g *Gate) Load() float64 {
+func (g *ConcurrencyLimiter) Load() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return float64(g.used+g.length) / float64(g.capacity)
@@ -273,7 +273,7 @@
 // expectedWait reckons the wait behind those that go first: all of a higher
 // priority, the own team's, and of other teams as many as their weights give
 // them while the own ones are served. The lock is held.
-func (g *Gate) expectedWait(ask Ask) time.Duration {
+func (g *ConcurrencyLimiter) expectedWait(ask PermitRequest) time.Duration {
 	ahead := 0.0
 	own := 1.0
 	if q, ok := g.queues[ask.key()]; ok {
@@ -291,7 +291,7 @@
 	return time.Duration((ahead + own) / perSecond * float64(time.Second))
 }
 
-func (g *Gate) enqueue(ask Ask, w *waiter) {
+func (g *ConcurrencyLimiter) enqueue(ask PermitRequest, w *waiter) {
 	key := ask.key()
 	q, ok := g.queues[key]
 	if !ok {
@@ -304,7 +304,7 @@
 }
 
 // dispatch gives free places to those who wait. The lock is held.
-func (g *Gate) dispatch() {
+func (g *ConcurrencyLimiter) dispatch() {
 	for g.used < g.capacity {
 		w := g.next()
 		if w == nil {
@@ -319,7 +319,7 @@
 
 // next takes the waiter whose turn it is: the highest priority, then the queue
 // with the least pass (stride scheduling).
-func (g *Gate) next() *waiter {
+func (g *ConcurrencyLimiter) next() *waiter {
 	for {
 		key, q := g.first()
 		if q == nil {
@@ -339,7 +339,7 @@
 	}
 }
 
-func (g *Gate) first() (queueKey, *queue) {
+func (g *ConcurrencyLimiter) first() (queueKey, *queue) {
 	var bestKey queueKey
 	var best *queue
 	for key, q := range g.queues {
--- a/pkg/limit/gates.go
+++ b/pkg/limit/concurrency_limiters.go
@@ -6,20 +6,22 @@
 	"ironhollow/pkg/route"
 )
 
-// Gates keeps a gate for each target.
-type Gates struct {
+// ConcurrencyLimiters keeps a gate for each target.
+type ConcurrencyLimiters struct {
 	mu    sync.RWMutex
-	gates map[route.Target]*Gate
+	gates map[route.Target]*ConcurrencyLimiter
 }
 
 // startCapacity is a gate's until the target's endpoints are known.
 const startCapacity = 16
 
-// NewGates returns gates for no target yet.
-func NewGates() *Gates { return &Gates{gates: map[route.Target]*Gate{}} }
+// NewConcurrencyLimiters returns gates for no target yet.
+func NewConcurrencyLimiters() *ConcurrencyLimiters {
+	return &ConcurrencyLimiters{gates: map[route.Target]*ConcurrencyLimiter{}}
+}
 
 // For returns the gate of a target.
-func (g *Gates) For(t route.Target) *Gate {
+func (g *ConcurrencyLimiters) For(t route.Target) *ConcurrencyLimiter {
 	g.mu.RLock()
 	gate, ok := g.gates[t]
 	g.mu.RUnlock()
@@ -29,14 +31,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if gate, ok = g.gates[t]; !ok {
-		gate = NewGate(startCapacity)
+		gate = NewConcurrencyLimiter(startCapacity)
 		g.gates[t] = gate
 	}
 	return gate
 }
 
 // Resize sets every gate's capacity.
-func (g *Gates) Resize(capacity func(route.Target) int) {
+func (g *ConcurrencyLimiters) Resize(capacity func(route.Target) int) {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	for target, gate := range g.gates {
@@ -45,7 +47,7 @@
 }
 
 // Load returns the load of the fullest gate.
-func (g *Gates) Load() float64 {
+func (g *ConcurrencyLimiters) Load() float64 {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	load := 0.0
--- a/pkg/limit/shared.go
+++ b/pkg/limit/cost.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Shared holds teams to limits whose requests are large and few for one entry,
+// CostLimiter holds teams to limits whose requests are large and few for one entry,
 // such as tokens of prompts. Each entry keeps the whole fleet's bucket of a team
 // and takes from it what the others tell that they have admitted. A request passes
 // only where the bucket holds enough for those that the others may admit
 // unheard at the same moment. It is safe for concurrent use.
-type Shared struct {
+type CostLimiter struct {
 	tolerance Tolerance
 	// born is when the entry began: it knows of nothing admitted before, so that
 	// its buckets are empty then.
@@ -71,24 +71,24 @@
 	idleUsed = 0.75
 )
 
-// Spent is what one entry tells of a team.
-type Spent struct {
+// TeamUsage is what one entry tells of a team.
+type TeamUsage struct {
 	Team string
 	// Admitted is the cost admitted since the entry's start.
 	Admitted float64
-	// Asked is the cost asked for a second, admitted or not.
-	Asked float64
-	// Held is what the fleet's bucket holds as this entry knows it. It counts only
+	// RequestedRate is the cost asked for a second, admitted or not.
+	RequestedRate float64
+	// Available is what the fleet's bucket holds as this entry knows it. It counts only
 	// if Settled: the entry is old enough to know.
-	Held    float64
-	Settled bool
+	Available float64
+	Synced    bool
 }
 
 // sharedBucket is the fleet's bucket of one team, as known here.
 type sharedBucket struct {
 	tokens float64
 	at     time.Time
-	own    Spent
+	own    TeamUsage
 	// askedAt is when own.Asked was last brought up to date.
 	askedAt time.Time
 	// unheard is what was admitted here in the last moments, fading over
@@ -105,18 +105,18 @@
 }
 
 type heardSpent struct {
-	Spent
+	TeamUsage
 	at time.Time
 }
 
-// NewShared returns limits of an entry that starts now.
-func NewShared(tolerance Tolerance, now time.Time) *Shared {
-	return &Shared{tolerance: tolerance, born: now, part: 1, teams: map[string]*sharedBucket{}}
+// NewCostLimiter returns limits of an entry that starts now.
+func NewCostLimiter(tolerance Tolerance, now time.Time) *CostLimiter {
+	return &CostLimiter{tolerance: tolerance, born: now, part: 1, teams: map[string]*sharedBucket{}}
 }
 
 // SetFleet tells how many hosts are heard, this one included, and how many may
 // serve unheard: this side's part of all limits follows.
-func (s *Shared) SetFleet(heard, silent int) {
+func (s *CostLimiter) SetFleet(heard, silent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.part = float64(max(heard, 1)) / (float64(max(heard, 1)) + silentWeight*float64(silent))
@@ -127,12 +127,12 @@
 	Admitted bool
 	// Wait is when to come back, if it was not admitted.
 	Wait time.Duration
-	// Held is what the team's bucket held, Needed what it had to hold.
-	Held, Needed float64
-	// Part is of the limits, for the hosts heard.
-	Part float64
-	// Rivals is how many hosts were reckoned with.
-	Rivals float64
+	// Available is what the team's bucket held, Required what it had to hold.
+	Available, Required float64
+	// Share is of the limits, for the hosts heard.
+	Share float64
+	// Contenders is how many hosts were reckoned with.
+	Contenders float64
 }
 
 // Request is what is asked of a limit.
@@ -143,7 +143,7 @@
 }
 
 // Allow admits one request or says after how long to come back.
-func (s *Shared) Allow(team Team, request Request, now time.Time) Decision {
+func (s *CostLimiter) Allow(team TeamLimit, request Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cost := request.Cost
@@ -158,7 +158,7 @@
 	// always admits.
 	rivals := s.rivals(b, now)
 	needed := min(cost+b.rivalCost(cost)*(rivals-1)+b.reserve(request, most), most)
-	d := Decision{Admitted: b.tokens >= needed, Held: b.tokens, Needed: needed, Part: s.part, Rivals: rivals}
+	d := Decision{Admitted: b.tokens >= needed, Available: b.tokens, Required: needed, Share: s.part, Contenders: rivals}
 	if !d.Admitted {
 		d.Wait = max(time.Duration((needed-b.tokens)/rate*float64(time.Second)), leastWait)
 		return d
@@ -175,14 +175,14 @@
 
 // rivals is how many entries, this one included, are to be expected to admit a
 // request of the team before they hear of each other.
-func (s *Shared) rivals(b *sharedBucket, now time.Time) float64 {
+func (s *CostLimiter) rivals(b *sharedBucket, now time.Time) float64 {
 	mean := b.meanCost
 	others := 0
 	asked := 0.0
 	kept := heardKept * time.Duration(max(len(b.others), smallFleet)) / smallFleet
 	for _, heard := range b.others {
-		if now.Sub(heard.at) < kept && heard.Asked > idleAsked*mean {
-			asked += heard.Asked
+		if now.Sub(heard.at) < kept && heard.RequestedRate > idleAsked*mean {
+			asked += heard.RequestedRate
 			others++
 		}
 	}
@@ -191,20 +191,20 @@
 }
 
 // beyond is the factor by which a limit may be passed all the time.
-func (s *Shared) beyond() float64 { return 1 + overrunUsed*s.tolerance.Overrun }
+func (s *CostLimiter) beyond() float64 { return 1 + overrunUsed*s.tolerance.Overrun }
 
 // rate is what flows into a team's bucket on this side.
-func (s *Shared) rate(team Team) float64 { return team.Rate * s.beyond() * s.part }
+func (s *CostLimiter) rate(team TeamLimit) float64 { return team.Rate * s.beyond() * s.part }
 
 // most is a full bucket of a team on this side.
-func (s *Shared) most(team Team) float64 {
+func (s *CostLimiter) most(team TeamLimit) float64 {
 	return max((team.Burst*s.beyond()+slackUsed*s.tolerance.Slack)*s.part, 1)
 }
 
-func (s *Shared) bucket(team string) *sharedBucket {
+func (s *CostLimiter) bucket(team string) *sharedBucket {
 	b, ok := s.teams[team]
 	if !ok {
-		b = &sharedBucket{at: s.born, own: Spent{Team: team}, askedAt: s.born, others: map[string]heardSpent{}}
+		b = &sharedBucket{at: s.born, own: TeamUsage{Team: team}, askedAt: s.born, others: map[string]heardSpent{}}
 		s.teams[team] = b
 	}
 	return b
@@ -258,7 +258,7 @@
 
 func (b *sharedBucket) ask(cost float64, now time.Time) {
 	b.fade(now)
-	b.own.Asked += cost / askTime.Seconds()
+	b.own.RequestedRate += cost / askTime.Seconds()
 	if b.meanCost == 0 {
 		b.meanCost = cost
 	}
@@ -267,24 +267,24 @@
 
 func (b *sharedBucket) fade(now time.Time) {
 	if elapsed := now.Sub(b.askedAt); elapsed > 0 {
-		b.own.Asked *= math.Exp(-float64(elapsed) / float64(askTime))
+		b.own.RequestedRate *= math.Exp(-float64(elapsed) / float64(askTime))
 		b.unheard *= math.Exp(-float64(elapsed) / float64(unheardTime))
 		b.askedAt = now
 	}
 }
 
-// AllBeganAnew notes that all entries had ended before this one began, and that nothing
+// FleetRestarted notes that all entries had ended before this one began, and that nothing
 // was admitted for a time before that. What flowed into the buckets meanwhile is there:
 // without it 142 requests were refused in the two seconds after a loss of all hosts,
 // whose teams were below their limits.
-func (s *Shared) AllBeganAnew(idle time.Duration) {
+func (s *CostLimiter) FleetRestarted(idle time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.idle = idle
 }
 
 // credit adds what flowed in before the entry began, as far as the hosts heard may use.
-func (s *Shared) credit(b *sharedBucket, team Team, now time.Time) {
+func (s *CostLimiter) credit(b *sharedBucket, team TeamLimit, now time.Time) {
 	if s.idle <= 0 || s.olderHeard || s.part <= b.credited || now.Sub(s.born) >= settleTime {
 		return
 	}
@@ -293,7 +293,7 @@
 }
 
 // start gives a bucket its credit if all entries began anew.
-func (s *Shared) start(b *sharedBucket, now time.Time) {
+func (s *CostLimiter) start(b *sharedBucket, now time.Time) {
 	if b.started || now.Sub(s.born) < olderWait {
 		return
 	}
@@ -304,14 +304,14 @@
 }
 
 // adopt takes what an entry that is settled knows of a bucket, if this one is new.
-func (s *Shared) adopt(b *sharedBucket, told Spent, now time.Time) {
-	if !told.Settled || now.Sub(s.born) >= settleTime {
+func (s *CostLimiter) adopt(b *sharedBucket, told TeamUsage, now time.Time) {
+	if !told.Synced || now.Sub(s.born) >= settleTime {
 		return
 	}
 	s.olderHeard = true
 	if !b.started {
 		b.started = true
-		b.tokens = told.Held
+		b.tokens = told.Available
 		b.at = now
 	}
 }
@@ -328,17 +328,17 @@
 // processKept is how long a process is remembered that tells nothing.
 const processKept = time.Minute
 
-// Own returns what this entry tells the others, by team.
-func (s *Shared) Own(now time.Time) []Spent {
+// LocalUsage returns what this entry tells the others, by team.
+func (s *CostLimiter) LocalUsage(now time.Time) []TeamUsage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := make([]Spent, 0, len(s.teams))
+	list := make([]TeamUsage, 0, len(s.teams))
 	for _, b := range s.teams {
 		b.fade(now)
 		b.prune(now)
 		told := b.own
-		told.Held = max(b.tokens, 0)
-		told.Settled = now.Sub(s.born) >= settleTime
+		told.Available = max(b.tokens, 0)
+		told.Synced = now.Sub(s.born) >= settleTime
 		list = append(list, told)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Team < list[j].Team })
@@ -347,7 +347,7 @@
 
 // ApplyPeer applies what another process sends. What it had admitted before its first datagram
 // is not known to be recent, and is left out.
-func (s *Shared) ApplyPeer(process string, spent []Spent, now time.Time) {
+func (s *CostLimiter) ApplyPeer(process string, spent []TeamUsage, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, told := range spent {
--- a/pkg/limit/shared_test.go
+++ b/pkg/limit/cost_test.go
@@ -12,16 +12,16 @@
 // tokenLimits are limits in tokens as users with large prompts have them.
 var (
 	tokenTolerance = limit.Tolerance{Window: 8 * time.Second, Overrun: 0.1, Slack: 190_000}
-	tokenTeam      = limit.Team{Name: "t", Rate: 287_000, Burst: 287_000}
+	tokenTeam      = limit.TeamLimit{Name: "t", Rate: 287_000, Burst: 287_000}
 )
 
-func bound(team limit.Team) float64 {
+func bound(team limit.TeamLimit) float64 {
 	return (team.Rate*tokenTolerance.Window.Seconds()+team.Burst)*(1+tokenTolerance.Overrun) + tokenTolerance.Slack
 }
 
 // entries is a fleet in virtual time.
 type entries struct {
-	limits []*limit.Shared
+	limits []*limit.CostLimiter
 	// names are of the entries' processes, new after each restart.
 	names []string
 	lives int
@@ -40,12 +40,12 @@
 // restart replaces entries by new ones that know nothing.
 func (e *entries) restart(now time.Time, which ...int) {
 	for _, i := range which {
-		e.limits[i] = limit.NewShared(tokenTolerance, now)
+		e.limits[i] = limit.NewCostLimiter(tokenTolerance, now)
 		e.limits[i].SetFleet(len(e.limits), 0)
 		e.lives++
 		e.names[i] = fmt.Sprint(i, ".", e.lives)
 		if e.known {
-			e.limits[i].AllBeganAnew(max(e.dark-300*time.Millisecond, 0))
+			e.limits[i].FleetRestarted(max(e.dark-300*time.Millisecond, 0))
 		}
 	}
 }
@@ -63,7 +63,7 @@
 func newEntries(n int, start time.Time) *entries {
 	e := &entries{hears: func(int, int) bool { return true }}
 	for range n {
-		s := limit.NewShared(tokenTolerance, start)
+		s := limit.NewCostLimiter(tokenTolerance, start)
 		s.SetFleet(n, 0)
 		e.limits = append(e.limits, s)
 		e.names = append(e.names, fmt.Sprint(len(e.names)))
@@ -73,7 +73,7 @@
 
 func (e *entries) exchange(now time.Time) {
 	for from, l := range e.limits {
-		own := l.Own(now)
+		own := l.LocalUsage(now)
 		for to, other := range e.limits {
 			if from != to && e.hears(from, to) {
 				other.ApplyPeer(e.names[from], own, now)
@@ -84,7 +84,7 @@
 
 // play asks for a rate at random entries and returns what was admitted in the
 // worst window, and in all.
-func (e *entries) play(team limit.Team, asked float64, start time.Time, length time.Duration, seed uint64) (worst, total, wanted float64) {
+func (e *entries) play(team limit.TeamLimit, asked float64, start time.Time, length time.Duration, seed uint64) (worst, total, wanted float64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	type admission struct {
 		at   time.Duration
@@ -147,7 +147,7 @@
 // while it stays below its limit.
 func TestSharedLimitServesWhatIsBelowIt(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	team := limit.Team{Name: "t", Rate: 150_000, Burst: 150_000}
+	team := limit.TeamLimit{Name: "t", Rate: 150_000, Burst: 150_000}
 	e := newEntries(9, start.Add(-10*time.Second))
 	_, total, wanted := e.play(team, team.Rate*0.6, start, 60*time.Second, 1)
 	if total < 0.99*wanted {
@@ -177,8 +177,8 @@
 // before may just have used it.
 func TestRestartGivesNoSecondBurst(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	s := limit.NewShared(limit.Tolerance{}, start)
-	team := limit.Team{Name: "t", Rate: 100, Burst: 1000}
+	s := limit.NewCostLimiter(limit.Tolerance{}, start)
+	team := limit.TeamLimit{Name: "t", Rate: 100, Burst: 1000}
 	admitted := 0
 	for range 1000 {
 		if s.Allow(team, limit.Request{Cost: 1}, start.Add(time.Second)).Admitted {
@@ -192,13 +192,13 @@
 
 func TestRefusalTellsWhenThereIsRoom(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	s := limit.NewShared(limit.Tolerance{}, start.Add(-time.Minute))
-	team := limit.Team{Name: "t", Rate: 100, Burst: 100}
+	s := limit.NewCostLimiter(limit.Tolerance{}, start.Add(-time.Minute))
+	team := limit.TeamLimit{Name: "t", Rate: 100, Burst: 100}
 	if !s.Allow(team, limit.Request{Cost: 100}, start).Admitted {
 		t.Fatal("first request: got refused, want admitted")
 	}
 	refused := s.Allow(team, limit.Request{Cost: 50}, start)
-	if refused.Admitted || refused.Wait != 500*time.Millisecond || refused.Held != 0 || refused.Needed != 50 {
+	if refused.Admitted || refused.Wait != 500*time.Millisecond || refused.Available != 0 || refused.Required != 50 {
 		t.Errorf("second request: got %+v, want refused for 500ms with 0 held of 50", refused)
 	}
 	if !s.Allow(team, limit.Request{Cost: 50}, start.Add(refused.Wait)).Admitted {
@@ -212,17 +212,17 @@
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	at := start.Add(500 * time.Millisecond)
 	const cost = 15_000
-	s := limit.NewShared(tokenTolerance, start)
+	s := limit.NewCostLimiter(tokenTolerance, start)
 	for i := range 8 {
-		s.ApplyPeer(fmt.Sprint(i), []limit.Spent{{Team: tokenTeam.Name, Asked: cost}}, at)
+		s.ApplyPeer(fmt.Sprint(i), []limit.TeamUsage{{Team: tokenTeam.Name, RequestedRate: cost}}, at)
 	}
 	d := s.Allow(tokenTeam, limit.Request{Cost: cost}, at)
 	// Eight entries ask for one request a second each, and are unheard for 0.3 s.
-	if want := 1 + 8*0.3; d.Rivals < want-0.1 || d.Rivals > want+0.1 {
-		t.Errorf("rivals: got %.1f, want about %.1f", d.Rivals, want)
+	if want := 1 + 8*0.3; d.Contenders < want-0.1 || d.Contenders > want+0.1 {
+		t.Errorf("rivals: got %.1f, want about %.1f", d.Contenders, want)
 	}
-	if least := cost * (1 + 8*0.29); d.Needed < least {
-		t.Errorf("room kept: got %.0f, want %.0f or more", d.Needed, least)
+	if least := cost * (1 + 8*0.29); d.Required < least {
+		t.Errorf("room kept: got %.0f, want %.0f or more", d.Required, least)
 	}
 }
 
@@ -282,7 +282,7 @@
 	} {
 		for seed := range uint64(8) {
 			start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-			for _, team := range []limit.Team{tokenTeam, {Name: "t", Rate: 60_000, Burst: 60_000}} {
+			for _, team := range []limit.TeamLimit{tokenTeam, {Name: "t", Rate: 60_000, Burst: 60_000}} {
 				e := newEntries(9, start.Add(-10*time.Second))
 				e.restarts = restarts
 				worst, _, _ := e.play(team, 5*team.Rate, start, 30*time.Second, seed)
@@ -327,7 +327,7 @@
 // none, all began anew, and there is some credit.
 func TestNewEntryTakesOverTheBucket(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	team := limit.Team{Name: "t", Rate: 140_000, Burst: 140_000}
+	team := limit.TeamLimit{Name: "t", Rate: 140_000, Burst: 140_000}
 	for _, c := range []struct {
 		what string
 		// older says that there is an older entry, which has admitted drained.
@@ -343,14 +343,14 @@
 		{"none is older, more than the credit", false, 0, 450 * time.Millisecond, 150_000, false},
 		{"not known yet whether one is older", false, 0, 300 * time.Millisecond, 80_000, false},
 	} {
-		s := limit.NewShared(tokenTolerance, start)
+		s := limit.NewCostLimiter(tokenTolerance, start)
 		if c.older {
-			older := limit.NewShared(tokenTolerance, start.Add(-10*time.Second))
+			older := limit.NewCostLimiter(tokenTolerance, start.Add(-10*time.Second))
 			older.Allow(team, limit.Request{Cost: 1}, start)
 			if c.drained > 0 && !older.Allow(team, limit.Request{Cost: c.drained}, start).Admitted {
 				t.Fatalf("%s: the older entry did not admit %.0f", c.what, c.drained)
 			}
-			s.ApplyPeer("older", older.Own(start), start.Add(c.after-time.Millisecond))
+			s.ApplyPeer("older", older.LocalUsage(start), start.Add(c.after-time.Millisecond))
 		}
 		if got := s.Allow(team, limit.Request{Cost: c.cost}, start.Add(c.after)).Admitted; got != c.want {
 			t.Errorf("%s, %v after the start: got a cost of %.0f admitted %v, want %v", c.what, c.after, c.cost, got, c.want)
@@ -362,7 +362,7 @@
 // through, what can wait is refused, and the limit is held as before.
 func TestUrgentRequestsGoFirstWithinALimit(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	s := limit.NewShared(tokenTolerance, start.Add(-10*time.Second))
+	s := limit.NewCostLimiter(tokenTolerance, start.Add(-10*time.Second))
 	random := rand.New(rand.NewPCG(3, 3))
 	asked, admitted := [3]float64{}, [3]float64{}
 	for at := time.Duration(0); at < 30*time.Second; at += 10 * time.Millisecond {
@@ -389,7 +389,7 @@
 // Requests that cost next to nothing pass although they are the least urgent.
 func TestCheapRequestsNeedNoReserve(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	s := limit.NewShared(tokenTolerance, start.Add(-10*time.Second))
+	s := limit.NewCostLimiter(tokenTolerance, start.Add(-10*time.Second))
 	for i := 0; s.Allow(tokenTeam, limit.Request{Cost: 10_000, Priority: 2}, start).Admitted; i++ {
 		if i > 1000 {
 			t.Fatal("the bucket is never empty")
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -19,12 +19,12 @@
 // returns how many were admitted in the second half, a second. Every entry is
 // told the total demand with a lag of two seconds.
 func offered(perEntry []float64, rate float64, told bool) float64 {
-	entries := make([]*limit.Rates, len(perEntry))
+	entries := make([]*limit.RateLimiter, len(perEntry))
 	credit := make([]float64, len(perEntry))
 	for i := range entries {
-		entries[i] = limit.NewRates()
+		entries[i] = limit.NewRateLimiter()
 	}
-	team := limit.Team{Name: "t", Rate: rate, Burst: 20}
+	team := limit.TeamLimit{Name: "t", Rate: rate, Burst: 20}
 	admitted := 0
 	const seconds, step = 60, 10 * time.Millisecond
 	var totals []float64
@@ -48,7 +48,7 @@
 			totals = append(totals, total)
 			if len(totals) > 2 {
 				for _, e := range entries {
-					e.SetTotal("t", totals[len(totals)-3], now)
+					e.SetTotalDemand("t", totals[len(totals)-3], now)
 				}
 			}
 		}
@@ -85,8 +85,8 @@
 }
 
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	r := limit.NewRates()
-	team := limit.Team{Name: "t", Rate: 2, Burst: 1}
+	r := limit.NewRateLimiter()
+	team := limit.TeamLimit{Name: "t", Rate: 2, Burst: 1}
 	if ok, _ := r.Allow(team, 1, start); !ok {
 		t.Fatal("first request: want it admitted")
 	}
@@ -103,14 +103,14 @@
 // another with the same weight ask now and then.
 func TestLargeTeamDoesNotStarveASmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewGate(4)
+		gate := limit.NewConcurrencyLimiter(4)
 		var mu sync.Mutex
 		waits := map[string][]time.Duration{}
 		var wait sync.WaitGroup
 		ask := func(team string) {
 			wait.Go(func() {
 				begun := time.Now()
-				ticket, err := gate.Acquire(context.Background(), limit.Ask{Team: team, Weight: 1}, begun)
+				ticket, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: team, Weight: 1}, begun)
 				if err != nil {
 					t.Error(err)
 					return
@@ -141,7 +141,7 @@
 // TestWeightsShareThePlaces has two teams ask for more than there is.
 func TestWeightsShareThePlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewGate(3)
+		gate := limit.NewConcurrencyLimiter(3)
 		counts := map[string]int{}
 		var mu sync.Mutex
 		ctx, cancel := context.WithCancel(context.Background())
@@ -149,7 +149,7 @@
 			for range 50 {
 				go func() {
 					for {
-						ticket, err := gate.Acquire(ctx, limit.Ask{Team: team, Weight: weight}, time.Now())
+						ticket, err := gate.Acquire(ctx, limit.PermitRequest{Team: team, Weight: weight}, time.Now())
 						if err != nil {
 							return
 						}
@@ -176,15 +176,15 @@
 
 func TestLostDeadlineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewGate(1)
+		gate := limit.NewConcurrencyLimiter(1)
 		now := time.Now()
-		ticket, err := gate.Acquire(context.Background(), limit.Ask{Team: "a"}, now)
+		ticket, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "a"}, now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 20 {
 			go func() {
-				ticket, err := gate.Acquire(context.Background(), limit.Ask{Team: fmt.Sprint(i)}, now)
+				ticket, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: fmt.Sprint(i)}, now)
 				if err == nil {
 					ticket.Release(time.Now())
 				}
@@ -192,8 +192,8 @@
 		}
 		synctest.Wait()
 		begun := time.Now()
-		_, err = gate.Acquire(context.Background(), limit.Ask{Team: "z", Deadline: now.Add(time.Second)}, now)
-		var late limit.TooLate
+		_, err = gate.Acquire(context.Background(), limit.PermitRequest{Team: "z", Deadline: now.Add(time.Second)}, now)
+		var late limit.DeadlineError
 		if !errors.As(err, &late) || late.RetryAfter <= 0 {
 			t.Errorf("got %v, want TooLate with the time to come back", err)
 		}
@@ -208,13 +208,13 @@
 // come; when the gate is full, one of them is asked to yield.
 func TestWorkThatCanWaitLeavesRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewGate(10)
+		gate := limit.NewConcurrencyLimiter(10)
 		yielded := 0
-		var tickets []limit.Ticket
+		var tickets []limit.Permit
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		for {
-			ticket, err := gate.Acquire(ctx, limit.Ask{Team: "a", MayWait: true, Yield: func() bool { yielded++; return true }}, time.Now())
+			ticket, err := gate.Acquire(ctx, limit.PermitRequest{Team: "a", MayWait: true, Yield: func() bool { yielded++; return true }}, time.Now())
 			if err != nil {
 				break
 			}
@@ -224,13 +224,13 @@
 			t.Errorf("places of work that can wait: got %d of 10, want at most half", len(tickets))
 		}
 		for range 10 - len(tickets) {
-			if _, err := gate.Acquire(context.Background(), limit.Ask{Team: "b"}, time.Now()); err != nil {
+			if _, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "b"}, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		got := make(chan error)
 		go func() {
-			_, err := gate.Acquire(context.Background(), limit.Ask{Team: "b"}, time.Now())
+			_, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "b"}, time.Now())
 			got <- err
 		}()
 		synctest.Wait()
@@ -248,20 +248,20 @@
 // wait, of which the latest is between two attempts and can't yield.
 func TestPlaceOfOneThatDeclinesIsAskedOfAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewGate(10)
+		gate := limit.NewConcurrencyLimiter(10)
 		var asked []int
 		for i := range 3 {
 			yield := func() bool {
 				asked = append(asked, i)
 				return i != 2
 			}
-			if _, err := gate.Acquire(context.Background(), limit.Ask{Team: "a", MayWait: true, Yield: yield}, time.Now()); err != nil {
+			if _, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "a", MayWait: true, Yield: yield}, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		gate.SetCapacity(3)
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { _, _ = gate.Acquire(ctx, limit.Ask{Team: "b"}, time.Now()) }()
+		go func() { _, _ = gate.Acquire(ctx, limit.PermitRequest{Team: "b"}, time.Now()) }()
 		synctest.Wait()
 		if got := fmt.Sprint(asked); got != "[2 1]" {
 			t.Errorf("asked to yield: got %s, want the latest, which declines, and then the one before", got)
--- a/pkg/limit/rate.go
+++ b/pkg/limit/rate.go
@@ -23,8 +23,8 @@
 	leastShare = 0.25
 )
 
-// Rates enforces this entry's shares. It is safe for concurrent use.
-type Rates struct {
+// RateLimiter enforces this entry's shares. It is safe for concurrent use.
+type RateLimiter struct {
 	shards [rateShards]rateShard
 }
 
@@ -45,17 +45,17 @@
 	totalAt time.Time
 }
 
-// NewRates returns rates without any team.
-func NewRates() *Rates {
-	r := &Rates{}
+// NewRateLimiter returns rates without any team.
+func NewRateLimiter() *RateLimiter {
+	r := &RateLimiter{}
 	for i := range r.shards {
 		r.shards[i].teams = map[string]*bucket{}
 	}
 	return r
 }
 
-// Team is a team's configured limits.
-type Team struct {
+// TeamLimit is a team's configured limits.
+type TeamLimit struct {
 	Name string
 	// Rate and Burst are over all entries.
 	Rate, Burst float64
@@ -66,7 +66,7 @@
 
 // Allow admits one request of a team or says after how long to come back.
 // entries is how many entry hosts serve at present, at least 1.
-func (r *Rates) Allow(team Team, entries int, now time.Time) (bool, time.Duration) {
+func (r *RateLimiter) Allow(team TeamLimit, entries int, now time.Time) (bool, time.Duration) {
 	s := r.shard(team.Name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,7 +88,7 @@
 	return true, 0
 }
 
-func (r *Rates) shard(team string) *rateShard {
+func (r *RateLimiter) shard(team string) *rateShard {
 	return &r.shards[xxhash.Sum64String(team)%rateShards]
 }
 
@@ -131,7 +131,7 @@
 
 // Demands returns the teams asked for here, for the peers. Teams that ask for
 // next to nothing are left out.
-func (r *Rates) Demands(now time.Time) []Demand {
+func (r *RateLimiter) Demands(now time.Time) []Demand {
 	var list []Demand
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -147,8 +147,8 @@
 	return list
 }
 
-// SetTotal takes in a team's demand over all entries.
-func (r *Rates) SetTotal(team string, perSecond float64, now time.Time) {
+// SetTotalDemand takes in a team's demand over all entries.
+func (r *RateLimiter) SetTotalDemand(team string, perSecond float64, now time.Time) {
 	s := r.shard(team)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -117,7 +117,7 @@
 	hazard    *hazard.Estimator
 	router    *route.Router
 	runner    *stream.Runner
-	gates     *limit.Gates
+	gates     *limit.ConcurrencyLimiters
 	budget    *retry.Budget
 	counters  *stream.Counters
 }
@@ -134,7 +134,7 @@
 func (r *run) newEntry(number int) *entry {
 	registry := prometheus.NewRegistry()
 	e := &entry{
-		directory: endpoint.NewDirectory(), hazard: hazard.New(), gates: limit.NewGates(), budget: retry.New(0.1, time.Now()),
+		directory: endpoint.NewDirectory(), hazard: hazard.New(), gates: limit.NewConcurrencyLimiters(), budget: retry.New(0.1, time.Now()),
 		counters: stream.NewCounters(registry),
 	}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
@@ -213,7 +213,9 @@
 				e.router.Report(info.Ref(), report)
 			}
 		}
-		e.gates.Resize(func(route.Target) int { return int(math.Ceil(limit.Room * float64(e.router.Slots(target)) / entries)) })
+		e.gates.Resize(func(route.Target) int {
+			return int(math.Ceil(limit.PermitsPerSlot * float64(e.router.Slots(target)) / entries))
+		})
 		time.Sleep(lag)
 	}
 }
@@ -249,24 +251,24 @@
 	if a.Class.MayWait {
 		deadline = begun.Add(waitingDeadline)
 	}
-	ask := limit.Ask{
+	ask := limit.PermitRequest{
 		Team: fmt.Sprint(a.Team), Weight: 1, Priority: a.Class.Priority, MayWait: a.Class.MayWait, Deadline: deadline,
 	}
 	if a.Class.MayWait {
 		ask.Yield = func() bool { return e.runner.Yield(requestID(number)) }
 	}
-	place := limit.NewPlace(e.gates.For(route.Target{Model: "m", Version: "1"}), ask)
+	place := limit.NewPermitHolder(e.gates.For(route.Target{Model: "m", Version: "1"}), ask)
 	if r.policy.Gate {
-		if err := place.Enter(context.Background()); err != nil {
+		if err := place.Acquire(context.Background()); err != nil {
 			r.note(a, nil, err)
 			return
 		}
-		defer place.Leave()
+		defer place.Release()
 	}
 	w := &watch{Collector: chat.NewCollector("1", nil), begun: begun}
 	request := r.request(a, number, deadline)
 	if r.policy.Gate && a.Class.MayWait {
-		request.Reenter = place.Reenter
+		request.Reenter = place.Reacquire
 		request.MayWait = true
 	}
 	_, err := e.runner.Run(context.Background(), request, w)
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -34,8 +34,8 @@
 	mostSound = 4096
 )
 
-// End is an endpoint that ended while it ran a request.
-type End struct {
+// Crash is an endpoint that ended while it ran a request.
+type Crash struct {
 	Endpoint string
 	At       time.Time
 }
@@ -44,11 +44,11 @@
 // handed out.
 type Case struct {
 	Fingerprint Fingerprint
-	// Ends are in the order of their times, heldAfter at most: the latest.
-	Ends []End
-	// Sound is when the request was last answered whole, zero if not known. Ends up to
+	// Crashes are in the order of their times, heldAfter at most: the latest.
+	Crashes []Crash
+	// LastSuccess is when the request was last answered whole, zero if not known. Ends up to
 	// soundFor later are left out.
-	Sound time.Time
+	LastSuccess time.Time
 }
 
 // entry is a case as it is kept.
@@ -85,8 +85,8 @@
 	return &Quarantine{cases: map[Fingerprint]*entry{}, sound: [2]map[Fingerprint]time.Time{{}, {}}}
 }
 
-// Held returns how much longer a request is held back, false if it is not.
-func (q *Quarantine) Held(f Fingerprint, now time.Time) (left time.Duration, held bool) {
+// Quarantined returns how much longer a request is held back, false if it is not.
+func (q *Quarantine) Quarantined(f Fingerprint, now time.Time) (left time.Duration, held bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e, ok := q.cases[f]
@@ -96,32 +96,32 @@
 	return e.held(now)
 }
 
-// LastTry reports whether one more end would hold a request back: a run of it that broke
+// LastAttempt reports whether one more end would hold a request back: a run of it that broke
 // off goes on nowhere else before it is known why.
-func (q *Quarantine) LastTry(f Fingerprint) bool {
+func (q *Quarantine) LastAttempt(f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e, ok := q.cases[f]
-	return ok && len(e.Ends) >= heldAfter-1
+	return ok && len(e.Crashes) >= heldAfter-1
 }
 
 // held is Quarantine.Held of a case.
 func (c Case) held(now time.Time) (left time.Duration, held bool) {
-	if len(c.Ends) < heldAfter {
+	if len(c.Crashes) < heldAfter {
 		return 0, false
 	}
-	left = heldFor - now.Sub(c.Ends[len(c.Ends)-1].At)
+	left = heldFor - now.Sub(c.Crashes[len(c.Crashes)-1].At)
 	return left, left > 0
 }
 
-// IsOver reports whether a case's ends are so old that they are forgotten.
-func IsOver(c Case, now time.Time) bool {
-	return len(c.Ends) == 0 || now.Sub(c.Ends[len(c.Ends)-1].At) > forgetAfter
+// Expired reports whether a case's ends are so old that they are forgotten.
+func Expired(c Case, now time.Time) bool {
+	return len(c.Crashes) == 0 || now.Sub(c.Crashes[len(c.Crashes)-1].At) > forgetAfter
 }
 
-// Ended notes that an endpoint ended while it ran a request, seen by this process. It
+// RecordCrash notes that an endpoint ended while it ran a request, seen by this process. It
 // returns the case, and whether it is held back by this.
-func (q *Quarantine) Ended(f Fingerprint, end End, now time.Time) (c Case, held bool) {
+func (q *Quarantine) RecordCrash(f Fingerprint, end Crash, now time.Time) (c Case, held bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e, before := q.get(f, now)
@@ -133,8 +133,8 @@
 	return e.Case, held && !before
 }
 
-// Sound notes that a request was answered whole: it does not end endpoints.
-func (q *Quarantine) Sound(f Fingerprint, now time.Time) {
+// RecordSuccess notes that a request was answered whole: it does not end endpoints.
+func (q *Quarantine) RecordSuccess(f Fingerprint, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.noteSound(f, now)
@@ -143,16 +143,16 @@
 	}
 }
 
-// Hear takes in what another host tells, or the store. It returns the cases that are held
+// Merge takes in what another host tells, or the store. It returns the cases that are held
 // back by it.
-func (q *Quarantine) Hear(told []Case, now time.Time) []Case {
+func (q *Quarantine) Merge(told []Case, now time.Time) []Case {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var held []Case
 	for _, c := range told {
 		e, before := q.get(c.Fingerprint, now)
-		changed := e.clear(c.Sound)
-		for _, end := range c.Ends {
+		changed := e.clear(c.LastSuccess)
+		for _, end := range c.Crashes {
 			// Who tells an end that tells nothing has not heard of the whole answer.
 			changed = e.add(end) || e.clears(end) || changed
 		}
@@ -172,7 +172,7 @@
 	e, ok := q.cases[f]
 	if !ok {
 		q.makeRoom(now)
-		e = &entry{Case: Case{Fingerprint: f, Sound: q.lastSound(f)}}
+		e = &entry{Case: Case{Fingerprint: f, LastSuccess: q.lastSound(f)}}
 		q.cases[f] = e
 	}
 	_, held = e.held(now)
@@ -180,42 +180,42 @@
 }
 
 // add adds an end unless it is known or tells nothing, and reports whether that is news.
-func (e *entry) add(end End) bool {
+func (e *entry) add(end Crash) bool {
 	if e.clears(end) {
 		return false
 	}
-	for _, known := range e.Ends {
+	for _, known := range e.Crashes {
 		if known.Endpoint == end.Endpoint && known.At.Sub(end.At).Abs() <= sameEnd {
 			return false
 		}
 	}
-	ends := append(slices.Clone(e.Ends), end)
-	slices.SortFunc(ends, func(a, b End) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Endpoint, b.Endpoint)) })
+	ends := append(slices.Clone(e.Crashes), end)
+	slices.SortFunc(ends, func(a, b Crash) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Endpoint, b.Endpoint)) })
 	latest := ends[len(ends)-1].At
-	ends = slices.DeleteFunc(ends, func(end End) bool { return latest.Sub(end.At) > forgetAfter })
+	ends = slices.DeleteFunc(ends, func(end Crash) bool { return latest.Sub(end.At) > forgetAfter })
 	if len(ends) > heldAfter {
 		ends = ends[len(ends)-heldAfter:]
 	}
-	changed := !slices.Equal(ends, e.Ends)
-	e.Ends = ends
+	changed := !slices.Equal(ends, e.Crashes)
+	e.Crashes = ends
 	return changed
 }
 
 // clears reports whether an end tells nothing, by when the request was answered whole.
-func (e *entry) clears(end End) bool {
-	return !e.Sound.IsZero() && end.At.Before(e.Sound.Add(soundFor))
+func (e *entry) clears(end Crash) bool {
+	return !e.LastSuccess.IsZero() && end.At.Before(e.LastSuccess.Add(soundFor))
 }
 
 // clear takes in when the request was answered whole and drops the ends that tell
 // nothing by it; it reports whether that is news worth telling.
 func (e *entry) clear(sound time.Time) bool {
-	if !sound.After(e.Sound) {
+	if !sound.After(e.LastSuccess) {
 		return false
 	}
-	e.Sound = sound
-	ends := slices.DeleteFunc(slices.Clone(e.Ends), e.clears)
-	dropped := len(ends) < len(e.Ends)
-	e.Ends = ends
+	e.LastSuccess = sound
+	ends := slices.DeleteFunc(slices.Clone(e.Crashes), e.clears)
+	dropped := len(ends) < len(e.Crashes)
+	e.Crashes = ends
 	return dropped
 }
 
@@ -254,7 +254,7 @@
 		list = append(list, e)
 	}
 	slices.SortFunc(list, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(len(a.Ends), len(b.Ends)), a.changed.Compare(b.changed))
+		return cmp.Or(cmp.Compare(len(a.Crashes), len(b.Crashes)), a.changed.Compare(b.changed))
 	})
 	for i, e := range list {
 		if i < len(list)/roomPart || now.Sub(e.changed) > forgetAfter {
--- a/pkg/quarantine/quarantine_test.go
+++ b/pkg/quarantine/quarantine_test.go
@@ -21,12 +21,12 @@
 }
 
 func isHeld(q *quarantine.Quarantine, f quarantine.Fingerprint, now time.Time) bool {
-	_, held := q.Held(f, now)
+	_, held := q.Quarantined(f, now)
 	return held
 }
 
 func ended(q *quarantine.Quarantine, f quarantine.Fingerprint, endpoint string, seconds float64) {
-	q.Ended(f, quarantine.End{Endpoint: endpoint, At: at(seconds)}, at(seconds))
+	q.RecordCrash(f, quarantine.Crash{Endpoint: endpoint, At: at(seconds)}, at(seconds))
 }
 
 // A request is held back from the third endpoint on that ended under it, for an hour
@@ -40,7 +40,7 @@
 		}
 		ended(q, f, endpoint, float64(i))
 	}
-	if left, held := q.Held(f, at(2)); !held || left != time.Hour {
+	if left, held := q.Quarantined(f, at(2)); !held || left != time.Hour {
 		t.Errorf("after 3 ends: got %v, %v, want held back for an hour", left, held)
 	}
 	if isHeld(q, request("b"), at(3)) {
@@ -90,7 +90,7 @@
 func TestAnsweredRequestsAreNotHeldBack(t *testing.T) {
 	q := quarantine.NewQuarantine()
 	f := request("popular")
-	q.Sound(f, at(0))
+	q.RecordSuccess(f, at(0))
 	for i := range 5 {
 		ended(q, f, fmt.Sprint("e", i), 1)
 	}
@@ -104,7 +104,7 @@
 		t.Error("three ends 20 s after the last whole answer: got not held back, want held back")
 	}
 	// A try that was under way all the time is answered.
-	q.Sound(f, at(21))
+	q.RecordSuccess(f, at(21))
 	if isHeld(q, f, at(21)) {
 		t.Error("answered whole: got held back, want not")
 	}
@@ -115,15 +115,15 @@
 func TestWholeAnswerIsTold(t *testing.T) {
 	answered, other := quarantine.NewQuarantine(), quarantine.NewQuarantine()
 	f := request("popular")
-	answered.Sound(f, at(0))
+	answered.RecordSuccess(f, at(0))
 	for i := range 3 {
 		ended(other, f, fmt.Sprint("e", i), 1)
 	}
 	if !isHeld(other, f, at(1)) {
 		t.Fatal("three ends: got not held back, want held back until it is known better")
 	}
-	answered.Hear(other.Reports(at(1.1)), at(1.1))
-	other.Hear(answered.Reports(at(1.2)), at(1.2))
+	answered.Merge(other.Reports(at(1.1)), at(1.1))
+	other.Merge(answered.Reports(at(1.2)), at(1.2))
 	if isHeld(other, f, at(1.2)) || isHeld(answered, f, at(1.2)) {
 		t.Error("after the host that answered it was heard: got held back, want not")
 	}
@@ -142,20 +142,20 @@
 			for range rapid.IntRange(0, 3).Draw(t, "ends") {
 				endpoint := rapid.SampledFrom([]string{"e1", "e2", "e3", "e4"}).Draw(t, "endpoint")
 				// An endpoint's ends are told alike by all, and are far apart.
-				c.Ends = append(c.Ends, quarantine.End{Endpoint: endpoint, At: at(10 * rapid.Float64Range(0, 4).Draw(t, "at"))})
+				c.Crashes = append(c.Crashes, quarantine.Crash{Endpoint: endpoint, At: at(10 * rapid.Float64Range(0, 4).Draw(t, "at"))})
 			}
-			for i := range c.Ends {
-				c.Ends[i].At = c.Ends[i].At.Truncate(10 * time.Second)
+			for i := range c.Crashes {
+				c.Crashes[i].At = c.Crashes[i].At.Truncate(10 * time.Second)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "sound") == 0 {
-				c.Sound = at(rapid.Float64Range(0, 40).Draw(t, "sound at"))
+				c.LastSuccess = at(rapid.Float64Range(0, 40).Draw(t, "sound at"))
 			}
 			told = append(told, c)
 		}
 		heard := func(order []quarantine.Case) bool {
 			q := quarantine.NewQuarantine()
 			for _, c := range order {
-				q.Hear([]quarantine.Case{c}, at(100))
+				q.Merge([]quarantine.Case{c}, at(100))
 			}
 			return isHeld(q, f, at(100))
 		}
@@ -218,7 +218,7 @@
 	}
 	for i := range 20_000 {
 		ended(q, request(fmt.Sprint("other ", i)), "e9", 1)
-		q.Sound(request(fmt.Sprint("sound ", i)), at(1))
+		q.RecordSuccess(request(fmt.Sprint("sound ", i)), at(1))
 	}
 	if !isHeld(q, f, at(2)) {
 		t.Error("after 20,000 others: got not held back, want held back")
@@ -229,24 +229,24 @@
 // endpoint's end, and only for some seconds.
 func TestSuspects(t *testing.T) {
 	s := quarantine.NewSuspects()
-	if look := s.Broke("e1", request("spoilt"), at(0)); !look {
+	if look := s.RecordInterruption("e1", request("spoilt"), at(0)); !look {
 		t.Error("first break: got no look, want one")
 	}
-	s.LookBegins("e1")
-	if look := s.Broke("e1", request("other"), at(0.1)); !look {
+	s.ProbeStarted("e1")
+	if look := s.RecordInterruption("e1", request("other"), at(0.1)); !look {
 		t.Error("break 0.1 s later, when the look has begun: got no other, want one: it may be of the end")
 	}
-	s.LookBegins("e1")
-	s.Broke("e1", request("a"), at(5))
-	if look := s.Broke("e1", request("b"), at(5.01)); look {
+	s.ProbeStarted("e1")
+	s.RecordInterruption("e1", request("a"), at(5))
+	if look := s.RecordInterruption("e1", request("b"), at(5.01)); look {
 		t.Error("break at the same moment: got another look, want none")
 	}
-	got := s.Ended("e1", at(6))
+	got := s.TakeInterrupted("e1", at(6))
 	if len(got) != 2 || got[0].Fingerprint != request("a") || got[1].Fingerprint != request("b") {
 		t.Errorf("under way at the end: got %v, want the two that broke off last", got)
 	}
-	s.Broke("e2", request("a"), at(0))
-	if got := s.Ended("e2", at(9)); len(got) != 0 {
+	s.RecordInterruption("e2", request("a"), at(0))
+	if got := s.TakeInterrupted("e2", at(9)); len(got) != 0 {
 		t.Errorf("an end found out 9 s later: got %v, want none", got)
 	}
 	if got := s.Endpoints(at(20)); len(got) != 0 {
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -37,7 +37,7 @@
 	for _, e := range q.cases {
 		_, isHeld := e.held(now)
 		switch {
-		case now.Sub(e.changed) < tellFor && len(e.Ends) == 1 && e.Sound.IsZero():
+		case now.Sub(e.changed) < tellFor && len(e.Crashes) == 1 && e.LastSuccess.IsZero():
 			singles = append(singles, e)
 		case now.Sub(e.changed) < tellFor:
 			others = append(others, e)
--- a/pkg/quarantine/kept.go
+++ b/pkg/quarantine/saved.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Unkept returns the requests held back of which this process has seen an end and that
+// Unsaved returns the requests held back of which this process has seen an end and that
 // are not in the store as they are.
-func (q *Quarantine) Unkept(now time.Time) []Case {
+func (q *Quarantine) Unsaved(now time.Time) []Case {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var list []Case
@@ -19,8 +19,8 @@
 	return list
 }
 
-// Kept notes that a case is in the store as it was handed out, or read there.
-func (q *Quarantine) Kept(c Case) {
+// MarkSaved notes that a case is in the store as it was handed out, or read there.
+func (q *Quarantine) MarkSaved(c Case) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e, ok := q.cases[c.Fingerprint]
@@ -28,25 +28,25 @@
 		return
 	}
 	e.inStore = true
-	e.kept = slices.Equal(e.Ends, c.Ends)
+	e.kept = slices.Equal(e.Crashes, c.Crashes)
 }
 
-// Outdated returns the requests that are in the store, as this process knows, and have
+// StaleRows returns the requests that are in the store, as this process knows, and have
 // been answered whole since.
-func (q *Quarantine) Outdated() []Fingerprint {
+func (q *Quarantine) StaleRows() []Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var list []Fingerprint
 	for f, e := range q.cases {
-		if e.inStore && len(e.Ends) < heldAfter {
+		if e.inStore && len(e.Crashes) < heldAfter {
 			list = append(list, f)
 		}
 	}
 	return list
 }
 
-// Removed notes that a request is no more in the store.
-func (q *Quarantine) Removed(f Fingerprint) {
+// MarkDeleted notes that a request is no more in the store.
+func (q *Quarantine) MarkDeleted(f Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if e, ok := q.cases[f]; ok {
@@ -62,6 +62,6 @@
 	defer q.mu.Unlock()
 	for _, e := range q.cases {
 		e.kept = false
-		e.inStore = e.inStore || e.own && !e.Sound.IsZero()
+		e.inStore = e.inStore || e.own && !e.LastSuccess.IsZero()
 	}
 }
--- a/pkg/quarantine/suspects.go
+++ b/pkg/quarantine/suspects.go
@@ -33,9 +33,9 @@
 	return &Suspects{at: map[string][]Suspect{}, looking: map[string]bool{}}
 }
 
-// Broke notes that a run broke off at an endpoint. It reports whether the endpoint is to
+// RecordInterruption notes that a run broke off at an endpoint. It reports whether the endpoint is to
 // be looked at, which the caller does after LookBegins.
-func (s *Suspects) Broke(endpoint string, f Fingerprint, now time.Time) (look bool) {
+func (s *Suspects) RecordInterruption(endpoint string, f Fingerprint, now time.Time) (look bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.at[endpoint] = append(recent(s.at[endpoint], now), Suspect{Fingerprint: f, At: now})
@@ -44,17 +44,17 @@
 	return look
 }
 
-// LookBegins notes that a look at an endpoint begins: what breaks off from now on asks
+// ProbeStarted notes that a look at an endpoint begins: what breaks off from now on asks
 // for another.
-func (s *Suspects) LookBegins(endpoint string) {
+func (s *Suspects) ProbeStarted(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.looking, endpoint)
 }
 
-// Ended returns the requests whose runs an endpoint's end broke off: those that broke
+// TakeInterrupted returns the requests whose runs an endpoint's end broke off: those that broke
 // off last, together. What broke off before was not its end.
-func (s *Suspects) Ended(endpoint string, now time.Time) []Suspect {
+func (s *Suspects) TakeInterrupted(endpoint string, now time.Time) []Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := recent(s.at[endpoint], now)
--- a/pkg/quarantine/watch.go
+++ b/pkg/quarantine/watch.go
@@ -29,29 +29,29 @@
 	return w
 }
 
-// Broke notes that a run broke off at an endpoint, and not as planned. It reports whether
+// RecordInterruption notes that a run broke off at an endpoint, and not as planned. It reports whether
 // the endpoint is to be looked at, after LookBegins.
-func (w *Watch) Broke(endpoint string, f Fingerprint, now time.Time) (look bool) {
-	return w.suspects.Broke(endpoint, f, now)
+func (w *Watch) RecordInterruption(endpoint string, f Fingerprint, now time.Time) (look bool) {
+	return w.suspects.RecordInterruption(endpoint, f, now)
 }
 
-// LookBegins notes that a look at an endpoint begins.
-func (w *Watch) LookBegins(endpoint string) { w.suspects.LookBegins(endpoint) }
+// ProbeStarted notes that a look at an endpoint begins.
+func (w *Watch) ProbeStarted(endpoint string) { w.suspects.ProbeStarted(endpoint) }
 
-// Suspected returns the endpoints at which runs broke off of late.
-func (w *Watch) Suspected(now time.Time) []string { return w.suspects.Endpoints(now) }
+// SuspectedEndpoints returns the endpoints at which runs broke off of late.
+func (w *Watch) SuspectedEndpoints(now time.Time) []string { return w.suspects.Endpoints(now) }
 
-// EndpointEnded notes that an endpoint has ended, which shows in some way: the requests
+// EndpointCrashed notes that an endpoint has ended, which shows in some way: the requests
 // whose runs broke off there are counted as under way at its end.
-func (w *Watch) EndpointEnded(endpoint, shownBy string, now time.Time) {
-	suspects := w.suspects.Ended(endpoint, now)
+func (w *Watch) EndpointCrashed(endpoint, shownBy string, now time.Time) {
+	suspects := w.suspects.TakeInterrupted(endpoint, now)
 	if len(suspects) == 0 {
 		return
 	}
 	w.ended.Inc()
 	w.log.Info().Str("endpoint", endpoint).Int("requests", len(suspects)).Str("shown-by", shownBy).Msg("endpoint ended under requests")
 	for _, s := range suspects {
-		if c, held := w.Ended(s.Fingerprint, End{Endpoint: endpoint, At: s.At}, now); held {
+		if c, held := w.RecordCrash(s.Fingerprint, Crash{Endpoint: endpoint, At: s.At}, now); held {
 			w.noteHeld(c, "own")
 		}
 	}
@@ -59,14 +59,14 @@
 
 // ApplyReports applies cases of another host or of the store; from names it.
 func (w *Watch) ApplyReports(told []Case, from string, now time.Time) {
-	for _, c := range w.Hear(told, now) {
+	for _, c := range w.Merge(told, now) {
 		w.noteHeld(c, from)
 	}
 }
 
 func (w *Watch) noteHeld(c Case, from string) {
-	endpoints := make([]string, 0, len(c.Ends))
-	for _, end := range c.Ends {
+	endpoints := make([]string, 0, len(c.Crashes))
+	for _, end := range c.Crashes {
 		endpoints = append(endpoints, end.Endpoint)
 	}
 	w.log.Warn().Stringer("fingerprint", c.Fingerprint).Strs("endpoints", endpoints).Str("from", from).
--- a/pkg/quarantinesync/row.go
+++ b/pkg/quarantinesync/row.go
@@ -29,7 +29,7 @@
 // encode encodes a case; now and storeNow are the same moment by both clocks.
 func encode(c quarantine.Case, now time.Time, storeNow time.Duration) ([]byte, error) {
 	var r row
-	for _, e := range c.Ends {
+	for _, e := range c.Crashes {
 		r.Ends = append(r.Ends, end{Endpoint: e.Endpoint, AtMS: (storeNow - now.Sub(e.At)).Milliseconds()})
 	}
 	return cbor.Marshal(r)
@@ -68,7 +68,7 @@
 	c := quarantine.Case{Fingerprint: s.fingerprint}
 	for _, e := range s.ends {
 		age := max(storeNow-time.Duration(e.AtMS)*time.Millisecond, 0)
-		c.Ends = append(c.Ends, quarantine.End{Endpoint: e.Endpoint, At: now.Add(-age)})
+		c.Crashes = append(c.Crashes, quarantine.Crash{Endpoint: e.Endpoint, At: now.Add(-age)})
 	}
 	return c
 }
--- a/pkg/quarantinesync/keeper.go
+++ b/pkg/quarantinesync/syncer.go
@@ -32,8 +32,8 @@
 // page is how many rows one call reads: the store's most.
 const page = 500
 
-// Keeper writes the cases of this process and reads all at a start.
-type Keeper struct {
+// Syncer writes the cases of this process and reads all at a start.
+type Syncer struct {
 	watch  *quarantine.Watch
 	writer *table.Writer
 	clock  *storeclock.Clock
@@ -44,14 +44,14 @@
 	era int64
 }
 
-// NewKeeper returns a keeper. storeEra returns the store's era as last read by this host.
-func NewKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, storeEra func() int64, logger *log.Logger) *Keeper {
-	return &Keeper{watch: watch, writer: writer, clock: clock, storeEra: storeEra, log: logger}
+// NewSyncer returns a keeper. storeEra returns the store's era as last read by this host.
+func NewSyncer(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, storeEra func() int64, logger *log.Logger) *Syncer {
+	return &Syncer{watch: watch, writer: writer, clock: clock, storeEra: storeEra, log: logger}
 }
 
 // Load reads all rows, again and again until the store has answered or ctx ends. Other
 // hosts tell what is held back, so that this counts where all have just begun.
-func (k *Keeper) Load(ctx context.Context) {
+func (k *Syncer) Load(ctx context.Context) {
 	for ctx.Err() == nil {
 		if k.load(ctx) {
 			return
@@ -60,7 +60,7 @@
 	}
 }
 
-func (k *Keeper) load(ctx context.Context) (done bool) {
+func (k *Syncer) load(ctx context.Context) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, readTime)
 	defer cancel()
 	for after := ""; ; {
@@ -78,7 +78,7 @@
 }
 
 // take takes rows in and removes those of which the time is over.
-func (k *Keeper) take(ctx context.Context, rows []table.Row) {
+func (k *Syncer) take(ctx context.Context, rows []table.Row) {
 	now := k.clock.Now()
 	storeNow, known := k.clock.Store()
 	for _, row := range rows {
@@ -91,16 +91,16 @@
 			continue
 		}
 		c := stored.at(now, storeNow)
-		if quarantine.IsOver(c, now) {
+		if quarantine.Expired(c, now) {
 			k.remove(ctx, row)
 			continue
 		}
 		k.watch.ApplyReports([]quarantine.Case{c}, "store", now)
-		k.watch.Kept(c)
+		k.watch.MarkSaved(c)
 	}
 }
 
-func (k *Keeper) remove(ctx context.Context, row table.Row) {
+func (k *Syncer) remove(ctx context.Context, row table.Row) {
 	write := table.Write{Key: row.Key, Delete: true, If: table.AtVersion{Version: row.Version}}
 	// Another host that starts may be first; what stays is removed at the next start.
 	if refused, isRefused := k.writer.Commit(ctx, write).(table.Refused); isRefused {
@@ -110,7 +110,7 @@
 
 // Run writes what is held back and seen by this process, and removes rows of what was
 // answered whole since, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	for pause.For(ctx, keepPause) {
 		if !k.step(ctx) {
 			pause.For(ctx, retryPause)
@@ -119,17 +119,17 @@
 }
 
 // step ends early where the store does not take a write.
-func (k *Keeper) step(ctx context.Context) (done bool) {
+func (k *Syncer) step(ctx context.Context) (done bool) {
 	if era := k.storeEra(); era > k.era {
 		k.era = era
 		k.watch.StoreRestored()
 	}
-	for _, c := range k.watch.Unkept(k.clock.Now()) {
+	for _, c := range k.watch.Unsaved(k.clock.Now()) {
 		if !k.write(ctx, c) {
 			return false
 		}
 	}
-	for _, f := range k.watch.Outdated() {
+	for _, f := range k.watch.StaleRows() {
 		if !k.clear(ctx, f) {
 			return false
 		}
@@ -139,7 +139,7 @@
 
 // clear removes the row of a request that does not end endpoints. What another host has
 // written of it meanwhile goes too: it hears of the answer as well.
-func (k *Keeper) clear(ctx context.Context, f quarantine.Fingerprint) (done bool) {
+func (k *Syncer) clear(ctx context.Context, f quarantine.Fingerprint) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	outcome := k.writer.Commit(ctx, table.Write{Key: key(f), Delete: true, If: table.Always{}})
@@ -147,13 +147,13 @@
 		k.log.Warn().Stringer("fingerprint", f).Msg("row of a request that was held back not removed")
 		return false
 	}
-	k.watch.Removed(f)
+	k.watch.MarkDeleted(f)
 	return true
 }
 
 // write writes a case over what another host has written of it: all know three ends of
 // it, and any three hold it back.
-func (k *Keeper) write(ctx context.Context, c quarantine.Case) (done bool) {
+func (k *Syncer) write(ctx context.Context, c quarantine.Case) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, writeTime)
 	defer cancel()
 	storeNow, known := k.clock.Store()
@@ -170,6 +170,6 @@
 		k.log.Warn().Stringer("fingerprint", c.Fingerprint).Msg("request held back not written to the store")
 		return false
 	}
-	k.watch.Kept(c)
+	k.watch.MarkSaved(c)
 	return true
 }
--- a/pkg/quarantinesync/keeper_test.go
+++ b/pkg/quarantinesync/syncer_test.go
@@ -23,7 +23,7 @@
 type host struct {
 	watch  *quarantine.Watch
 	clock  *storeclock.Clock
-	keeper *quarantinesync.Keeper
+	keeper *quarantinesync.Syncer
 	era    atomic.Int64
 }
 
@@ -32,7 +32,7 @@
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	h := &host{watch: quarantine.NewWatch(prometheus.NewRegistry(), logger), clock: storeclock.New()}
 	h.clock.Heard(storeNow)
-	h.keeper = quarantinesync.NewKeeper(h.watch, table.NewWriter(store, name), h.clock, h.era.Load, logger)
+	h.keeper = quarantinesync.NewSyncer(h.watch, table.NewWriter(store, name), h.clock, h.era.Load, logger)
 	return h
 }
 
@@ -40,13 +40,13 @@
 func (h *host) crash(f quarantine.Fingerprint, endpoints int) {
 	for i := range endpoints {
 		id := fmt.Sprint("e", i)
-		h.watch.Broke(id, f, h.clock.Now())
-		h.watch.EndpointEnded(id, "test", h.clock.Now())
+		h.watch.RecordInterruption(id, f, h.clock.Now())
+		h.watch.EndpointCrashed(id, "test", h.clock.Now())
 	}
 }
 
 func (h *host) holds(f quarantine.Fingerprint) bool {
-	_, held := h.watch.Held(f, h.clock.Now())
+	_, held := h.watch.Quarantined(f, h.clock.Now())
 	return held
 }
 
@@ -110,7 +110,7 @@
 		if err != nil || len(rows) != 2 {
 			t.Fatalf("rows before the restore: got %v, error %v, want two rows", rows, err)
 		}
-		writer.watch.Sound(cleared, writer.clock.Now())
+		writer.watch.RecordSuccess(cleared, writer.clock.Now())
 		time.Sleep(time.Second)
 		// The restored store lacks the row of held and contains that of cleared again.
 		restorer := table.NewWriter(store, "restore")
@@ -190,13 +190,13 @@
 			if !host.holds(f) {
 				t.Fatal("before the answer: got not held back, want held back")
 			}
-			host.watch.Sound(f, host.clock.Now())
+			host.watch.RecordSuccess(f, host.clock.Now())
 			time.Sleep(time.Second)
 			storeNow += time.Second
 			if newHost(store, "later", storeNow).loaded(t).holds(f) {
 				t.Error("a host that starts after the answer: got held back, want not")
 			}
-			writer.watch.Sound(f, writer.clock.Now())
+			writer.watch.RecordSuccess(f, writer.clock.Now())
 		}
 	})
 }
--- a/pkg/stream/crash.go
+++ b/pkg/stream/crash.go
@@ -25,7 +25,7 @@
 // held refuses a request under which several endpoints have ended, nil where it may run.
 func (r *Runner) held(p *progress) error {
 	r.surveySuspects()
-	left, held := r.watch.Held(p.fingerprint, time.Now())
+	left, held := r.watch.Quarantined(p.fingerprint, time.Now())
 	switch {
 	case !held:
 		return nil
@@ -39,9 +39,9 @@
 // surveySuspects counts engines as ended that have gone since answers broke off there.
 func (r *Runner) surveySuspects() {
 	now := time.Now()
-	for _, id := range r.watch.Suspected(now) {
+	for _, id := range r.watch.SuspectedEndpoints(now) {
 		if info, ok := r.router.Lookup(id); !ok || info.State == endpoint.Gone {
-			r.watch.EndpointEnded(id, "gone", now)
+			r.watch.EndpointCrashed(id, "gone", now)
 		}
 	}
 }
@@ -54,13 +54,13 @@
 		return
 	}
 	if errors.Is(failed.err, syscall.ECONNREFUSED) {
-		r.watch.EndpointEnded(info.ID, "refused connection", time.Now())
+		r.watch.EndpointCrashed(info.ID, "refused connection", time.Now())
 		return
 	}
 	if known, ok := r.router.Lookup(info.ID); !ok || known.State != endpoint.Live {
 		return
 	}
-	if r.watch.Broke(info.ID, p.fingerprint, time.Now()) {
+	if r.watch.RecordInterruption(info.ID, p.fingerprint, time.Now()) {
 		r.lookAt(info)
 	}
 }
@@ -75,10 +75,10 @@
 // lookAt finds out whether an engine has ended: the next attempt waits for that.
 func (r *Runner) lookAt(info endpoint.Info) {
 	time.Sleep(lookAfter)
-	r.watch.LookBegins(info.ID)
+	r.watch.ProbeStarted(info.ID)
 	ctx, cancel := context.WithTimeout(context.Background(), lookTime)
 	defer cancel()
 	if _, err := r.engines.Load(ctx, info.Address); errors.Is(err, syscall.ECONNREFUSED) {
-		r.watch.EndpointEnded(info.ID, "refused look", time.Now())
+		r.watch.EndpointCrashed(info.ID, "refused look", time.Now())
 	}
 }
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -346,7 +346,7 @@
 
 func (r *Runner) finish(p *progress, last engine.Frame) Result {
 	r.learnLength(p.request.Service, len(p.tokens))
-	r.watch.Sound(p.fingerprint, time.Now())
+	r.watch.RecordSuccess(p.fingerprint, time.Now())
 	usage := last.Usage
 	usage.CompletionTokens = len(p.tokens)
 	return Result{Finish: last.Finish, Usage: usage, Attempts: p.attempts, Version: p.version}
