--- a/pkg/app/entry/wire_gen.go
+++ b/pkg/app/entry/wire_gen.go
@@ -22,7 +22,7 @@
 	"ironhollow/pkg/membership"
 	"ironhollow/pkg/notice"
 	"ironhollow/pkg/peer"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/stream"
 )
 
@@ -43,12 +43,12 @@
 	budget := newBudget()
 	registerer := newRegisterer(registry)
 	counters := stream.NewCounters(registerer)
-	watch := poison.NewWatch(registerer, logger)
+	watch := quarantine.NewWatch(registerer, logger)
 	board := notice.New(directory, router, logger)
 	traceTracer := newTracer(tracer)
 	runner := stream.New(router, api, budget, estimator, counters, watch, board, traceTracer)
-	rates := limit.NewRates()
-	gates := limit.NewGates()
+	rateLimiter := limit.NewRateLimiter()
+	concurrencyLimiters := limit.NewConcurrencyLimiters()
 	objectStore := newObjects(settings, client)
 	batcher := newBatcher(writer, settings)
 	mesh := peer.NewMesh(node, table, directory, holder)
@@ -60,14 +60,14 @@
 	server := newPeers(ctx, mesh, tls, peerCounters)
 	gatherer := newAccepts(node, table, batcher, guard, server)
 	jobStore := job.NewStore(writer, objectStore, gatherer)
-	jobGenerator := newGenerator(holder, runner, gates)
+	jobGenerator := newGenerator(holder, runner, concurrencyLimiters)
 	jobCounters := job.NewCounters(registerer)
 	worker := newWorker(ctx, jobStore, jobGenerator, node, settings, jobCounters)
 	claims := claim.New(writer)
 	history := explain.NewHistory()
 	plainserviceAPI := newPlain(client)
 	callerapiCounters := callerapi.NewCounters(registerer)
-	callerapiAPI := newAPI(settings, node, holder, table, router, runner, rates, gates, jobStore, worker, jobCounters, claims, plainserviceAPI, budget, board, history, traceTracer, callerapiCounters)
-	app := newApp(settings, node, logger, registry, tracer, guard, writer, holder, store, table, directory, estimator, router, api, runner, rates, gates, budget, jobStore, worker, batcher, claims, gatherer, history, mesh, server, callerapiAPI, tls)
+	callerapiAPI := newAPI(settings, node, holder, table, router, runner, rateLimiter, concurrencyLimiters, jobStore, worker, jobCounters, claims, plainserviceAPI, budget, board, history, traceTracer, callerapiCounters)
+	app := newApp(settings, node, logger, registry, tracer, guard, writer, holder, store, table, directory, estimator, router, api, runner, rateLimiter, concurrencyLimiters, budget, jobStore, worker, batcher, claims, gatherer, history, mesh, server, callerapiAPI, tls)
 	return app, nil
 }
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -31,9 +31,9 @@
 			Host: n.host(), Loads: n.loads.Own(), Works: n.ownWorks(now), Counts: n.counter.Latest(), InTouch: n.view.InTouch(),
 			LeaseVersion: n.leases.Version(dutyShard),
 		},
-		Spent:   n.limits.Own(now),
+		Spent:   n.limits.LocalUsage(now),
 		Placed:  n.router.DrainPlacements(),
-		Cases:   n.poison.Reports(now),
+		Cases:   n.crashes.Reports(now),
 		Notices: n.notices.Reports(now),
 	}
 }
@@ -49,7 +49,7 @@
 		return
 	}
 	if len(update.Cases)+len(update.Notices) > 0 {
-		n.poison.ApplyReports(update.Cases, update.Incarnation, now)
+		n.crashes.ApplyReports(update.Cases, update.Incarnation, now)
 		n.notices.ApplyReports(update.Notices, now)
 		return
 	}
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -22,8 +22,8 @@
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/loadsync"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
-	"ironhollow/pkg/poisonsync"
+	"ironhollow/pkg/quarantine"
+	"ironhollow/pkg/quarantinesync"
 	"ironhollow/pkg/relay"
 	"ironhollow/pkg/retry"
 	"ironhollow/pkg/rollout"
@@ -127,8 +127,8 @@
 	return loadsync.New(router, view.Roster(), string(self))
 }
 
-func newLimits(s Settings, clock *storeclock.Clock) *limit.Shared {
-	return limit.NewShared(limit.Tolerance(s.Limits), clock.Now())
+func newLimits(s Settings, clock *storeclock.Clock) *limit.CostLimiter {
+	return limit.NewCostLimiter(limit.Tolerance(s.Limits), clock.Now())
 }
 
 // newCounter counts by the store's clock plus what the hosts agree it differs by
@@ -169,12 +169,12 @@
 	return retry.NewWindowBudget(s.Retry.Share, s.Retry.Slack, s.Retry.Window)
 }
 
-func newWatch(registry *prometheus.Registry, logger *log.Logger) *poison.Watch {
-	return poison.NewWatch(registry, logger)
+func newWatch(registry *prometheus.Registry, logger *log.Logger) *quarantine.Watch {
+	return quarantine.NewWatch(registry, logger)
 }
 
-func newKeeper(watch *poison.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *poisonsync.Keeper {
-	return poisonsync.NewKeeper(watch, writer, clock, view.StoreEra, logger)
+func newKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *quarantinesync.Syncer {
+	return quarantinesync.NewSyncer(watch, writer, clock, view.StoreEra, logger)
 }
 
 func newWatchdog(registry *prometheus.Registry, logger *log.Logger) *watchdog.Watchdog {
@@ -185,8 +185,8 @@
 	return notice.New(view.Directory(), router, logger)
 }
 
-func newForwarder(platform Platform, view *storeview.View, home route.Location, router *route.Router, limits *limit.Shared, budget *retry.WindowBudget,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+func newForwarder(platform Platform, view *storeview.View, home route.Location, router *route.Router, limits *limit.CostLimiter, budget *retry.WindowBudget,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *quarantine.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
 	var ready atomic.Bool
@@ -195,7 +195,7 @@
 			if !view.Ready() {
 				return forward.Starting
 			}
-			limits.AllBeganAnew(view.IdleBefore())
+			limits.FleetRestarted(view.IdleBefore())
 			ready.Store(true)
 		}
 		return life.phase()
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -17,7 +17,7 @@
 
 	"ironhollow/pkg/limit"
 	"ironhollow/pkg/notice"
-	"ironhollow/pkg/poison"
+	"ironhollow/pkg/quarantine"
 	"ironhollow/pkg/roster"
 	"ironhollow/pkg/route"
 )
@@ -40,7 +40,7 @@
 // Update is what a host sends.
 type Update struct {
 	roster.Status
-	Spent []limit.Spent
+	Spent []limit.TeamUsage
 	// Placed is where prompts were sent since the datagram before.
 	Placed []route.Placement
 	// Brief says that Loads are of single endpoints and that nothing else is sent but Rollouts.
@@ -50,7 +50,7 @@
 	// Cases is of requests under which endpoints have ended, Notices what endpoints have
 	// said of themselves. Each go in a datagram of their own, with nothing else but the
 	// host's incarnation. So do Spent and Counts where there are many; it is Brief then.
-	Cases   []poison.Case
+	Cases   []quarantine.Case
 	Notices []notice.Report
 	// Digest is an aggregator's, in a datagram of its own as well.
 	Digest roster.Digest
