--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -153,7 +153,7 @@
 	serving := map[autoscale.Place]int{}
 	now := n.clock.Now()
 	for _, info := range n.view.Directory().View().Infos() {
-		if info.State == endpoint.Live && n.rollouts.Counts(&info, now) {
+		if info.State == endpoint.Live && n.rollouts.CountsTowardCapacity(&info, now) {
 			serving[autoscale.Place{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
 		}
 	}
@@ -174,7 +174,7 @@
 		demand.Most = most
 		orders, _ := autoscale.Plan(service, demand, supply)
 		n.noteReplaced(service.Name)
-		if n.rollouts.IsOpen(service.Name) {
+		if n.rollouts.InProgress(service.Name) {
 			keepAll(orders, service.Scaling.Most)
 		}
 		count := func(p autoscale.Place) int { return serving[p] }
@@ -185,7 +185,7 @@
 // noteReplaced forgets what was ordered for a service whose endpoints a roll-out has
 // replaced: those of the new version are as many as the operator started.
 func (n *node) noteReplaced(service string) {
-	if order := n.rollouts.Completed(service); order != n.replaced[service] {
+	if order := n.rollouts.CompletedOrder(service); order != n.replaced[service] {
 		n.replaced[service] = order
 		n.orderer.ForgetService(service)
 	}
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -84,8 +84,8 @@
 	registry  *prometheus.Registry
 	row       *ownRow
 	role      *fleetRole
-	rollouts  *rollout.Switch
-	desk      *rolloutsync.Desk
+	rollouts  *rollout.Splitter
+	desk      *rolloutsync.Coordinator
 	datagrams *datagrams
 	replaced  replacedBy
 	poison    *poison.Watch
--- a/pkg/app/node/platform.go
+++ b/pkg/app/node/platform.go
@@ -29,7 +29,7 @@
 // Platform is what a node runs on. It decides nothing.
 type Platform interface {
 	storeview.Decoder
-	rolloutsync.Status
+	rolloutsync.StatusEncoder
 	ReadSettings() (Settings, error)
 	Store(client *http.Client, s Settings) Store
 	Cloud(client *http.Client, s Settings) Cloud
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -98,20 +98,20 @@
 
 func newHome(s Settings) route.Home { return route.Home{Node: s.Node, DataCenter: s.DataCenter} }
 
-func newRollouts(s Settings) *rollout.Switch { return rollout.New(s.Rollouts) }
+func newRollouts(s Settings) *rollout.Splitter { return rollout.New(s.Rollouts) }
 
-func newDesk(platform Platform, rollouts *rollout.Switch, view *storeview.View, writer *table.Writer, clock *storeclock.Clock,
+func newDesk(platform Platform, rollouts *rollout.Splitter, view *storeview.View, writer *table.Writer, clock *storeclock.Clock,
 	leases *lease.Manager, logger *log.Logger,
-) *rolloutsync.Desk {
+) *rolloutsync.Coordinator {
 	held := func() (lease.Grant, time.Duration, bool) {
 		grant, ok := leases.Held(dutyShard)
 		return grant, leases.Left(dutyShard), ok
 	}
 	fleet := func(order rollout.Order) rollout.Fleet { return rolloutFleet(view, order) }
-	return rolloutsync.NewDesk(rollouts, rollout.Prices(), writer, platform, fleet, clock, held, logger)
+	return rolloutsync.NewCoordinator(rollouts, rollout.DefaultBayesTest(), writer, platform, fleet, clock, held, logger)
 }
 
-func newView(platform Platform, s Settings, clock *storeclock.Clock, home route.Home, self Incarnation, rollouts *rollout.Switch, logger *log.Logger) *storeview.View {
+func newView(platform Platform, s Settings, clock *storeclock.Clock, home route.Home, self Incarnation, rollouts *rollout.Splitter, logger *log.Logger) *storeview.View {
 	members := roster.New(silence, gossip.Interval)
 	return storeview.New(platform, s.EndpointHeartbeat, clock, members, home, string(self), rollouts, logger)
 }
@@ -184,7 +184,7 @@
 }
 
 func newForwarder(platform Platform, view *storeview.View, home route.Home, router *route.Router, limits *limit.Shared, budget *retry.Window,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *poison.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
 	var ready atomic.Bool
--- a/pkg/app/node/rollouts.go
+++ b/pkg/app/node/rollouts.go
@@ -55,7 +55,7 @@
 	}
 	for ctx.Err() == nil {
 		n.desk.Step(ctx)
-		if len(n.rollouts.Open()) > 0 {
+		if len(n.rollouts.OpenOrders()) > 0 {
 			pause.For(ctx, decidePause)
 		} else {
 			pause.For(ctx, idlePause)
@@ -91,7 +91,7 @@
 // applyDirectives applies an owner's directives.
 func (n *node) applyDirectives(directives []rollout.Directive, now time.Time) {
 	for _, w := range directives {
-		if n.rollouts.Apply(w, now) {
+		if n.rollouts.ApplyDirective(w, now) {
 			n.log.Info().Str("service", w.Service).Int64("order", w.Order).Str("phase", w.Phase.String()).Float64("share", w.Share).
 				Int64("epoch", w.Epoch).Int64("directive", w.Number).Msg("share of a roll-out")
 		}
@@ -141,8 +141,8 @@
 		return
 	}
 	_, fresh := n.view.Tables().Current()
-	n.rollouts.Survey(n.view.Directory().View().Infos(), fresh, now)
-	for _, order := range n.rollouts.Lapsed(now) {
+	n.rollouts.UpdateEndpoints(n.view.Directory().View().Infos(), fresh, now)
+	for _, order := range n.rollouts.NewlyExpired(now) {
 		n.log.Warn().Str("service", order.Service).Str("target", order.Target).Int64("order", order.ID).
 			Msg("the owner of the roll-out is not heard: requests go to the version before")
 	}
@@ -156,7 +156,7 @@
 	}
 	for ctx.Err() == nil {
 		pause.For(ctx, idlePause)
-		if len(n.rollouts.Open()) == 0 {
+		if len(n.rollouts.OpenOrders()) == 0 {
 			continue
 		}
 		following, stop := context.WithCancel(ctx)
@@ -164,7 +164,7 @@
 		openAt := time.Now()
 		for ctx.Err() == nil && time.Since(openAt) < rowsFollowed {
 			pause.For(ctx, idlePause)
-			if len(n.rollouts.Open()) > 0 {
+			if len(n.rollouts.OpenOrders()) > 0 {
 				openAt = time.Now()
 			}
 		}
@@ -182,23 +182,23 @@
 			n.log.Error().Err(err).Str("row", stored.Key).Msg("state of a roll-out not taken")
 			continue
 		}
-		if n.rollouts.Ended(state, n.clock.Now()) {
+		if n.rollouts.ApplyState(state, n.clock.Now()) {
 			n.log.Info().Str("service", state.Order.Service).Int64("order", state.Order.ID).Str("phase", state.Phase.String()).
-				Str("why", state.Why).Msg("roll-out as its row tells")
+				Str("why", state.Reason).Msg("roll-out as its row tells")
 		}
 	}
 }
 
 // rolloutFleet is what an owner needs to know of hosts and endpoints.
 func rolloutFleet(view *storeview.View, order rollout.Order) rollout.Fleet {
-	f := rollout.Fleet{Live: view.Roster().Live(), Callers: view.Roster().Advertised()}
+	f := rollout.Fleet{Live: view.Roster().Live(), Advertised: view.Roster().Advertised()}
 	for _, info := range view.Directory().View().Infos() {
 		switch {
 		case info.Service != order.Service || info.State != endpoint.Live:
 		case info.Release != order.Target:
-			f.Others++
+			f.OtherEndpoints++
 		default:
-			f.Targets++
+			f.TargetEndpoints++
 		}
 	}
 	return f
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -47,7 +47,7 @@
 // streaming is the head of a stream whose events are yet to be read.
 type streaming struct {
 	exchange *upstream.Exchange
-	tracked  *rollout.Send
+	tracked  *rollout.Attempt
 }
 
 func (notRun) result()    {}
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -54,7 +54,7 @@
 	pool     *upstream.Pool
 	runs     Runs
 	fleet    Fleet
-	rollouts *rollout.Switch
+	rollouts *rollout.Splitter
 	poison   *poison.Watch
 	notices  *notice.Board
 	clock    Clock
@@ -81,7 +81,7 @@
 
 // New returns a forwarder.
 func New(protocol Protocol, tables Tables, router *route.Router, limits *limit.Shared, budget *retry.Window, pool *upstream.Pool,
-	runs Runs, fleet Fleet, rollouts *rollout.Switch, watch *poison.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
+	runs Runs, fleet Fleet, rollouts *rollout.Splitter, watch *poison.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
 ) *Forwarder {
 	return &Forwarder{
 		protocol: protocol, tables: tables, router: router, limits: limits, budget: budget, pool: pool,
@@ -129,7 +129,7 @@
 	avoid []endpoint.Ref
 	// side is the versions of endpoints that it goes to, kind what its answers show of
 	// them.
-	side     rollout.Side
+	side     rollout.Subset
 	kind     rollout.Kind
 	attempts int
 	// comeBack is when the caller is told to return, above 0 once it is refused for
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -98,7 +98,7 @@
 	router    *route.Router
 	directory *endpoint.Directory
 	runs      *runs
-	rollouts  *rollout.Switch
+	rollouts  *rollout.Splitter
 	watch     *poison.Watch
 	phase     atomic.Int64
 	lines     lineCounter
--- a/pkg/forward/run.go
+++ b/pkg/forward/run.go
@@ -107,7 +107,7 @@
 	if ok {
 		return choice, true
 	}
-	instead, may := c.f.rollouts.Instead(c.service.Name, c.side, c.f.clock())
+	instead, may := c.f.rollouts.Fallback(c.service.Name, c.side, c.f.clock())
 	if !may || c.comeBack > 0 && c.side != rollout.Target {
 		return choice, false
 	}
--- a/pkg/forward/version_test.go
+++ b/pkg/forward/version_test.go
@@ -17,8 +17,8 @@
 		s.directory.Merge(info)
 	}
 	order := rollout.Order{Service: "svc", Target: "v2", Period: time.Minute, ID: 3}
-	s.rollouts.Take(order, false)
-	s.rollouts.Survey(s.directory.View().Infos(), true, time.Now())
+	s.rollouts.AddOrder(order, false)
+	s.rollouts.UpdateEndpoints(s.directory.View().Infos(), true, time.Now())
 	return order
 }
 
@@ -49,9 +49,9 @@
 		status int
 	}{
 		{"no word yet", func() {}, "/safe/x", "e0", http.StatusOK},
-		{"all to the target", func() { s.rollouts.Apply(word(rollout.Draining), now) }, "/safe/x", "e1e0", http.StatusOK},
+		{"all to the target", func() { s.rollouts.ApplyDirective(word(rollout.Draining), now) }, "/safe/x", "e1e0", http.StatusOK},
 		{"all to the target, once", func() {}, "/once/x", "e1", http.StatusInternalServerError},
-		{"reverted", func() { s.rollouts.Apply(word(rollout.Reverted), now) }, "/once/x", "e0", http.StatusOK},
+		{"reverted", func() { s.rollouts.ApplyDirective(word(rollout.Reverted), now) }, "/once/x", "e0", http.StatusOK},
 	} {
 		c.before()
 		sent := len(s.requests())
@@ -61,7 +61,7 @@
 		}
 	}
 	report, ok := s.rollouts.Report("svc", order.ID, time.Now())
-	if !ok || report.Asked != 4 || report.Tried != 2 || report.OthersRunning != 0 {
+	if !ok || report.Requests != 4 || report.TargetRequests != 2 || report.OthersRunning != 0 {
 		t.Errorf("report: got %+v, want 4 asked, 2 tried, nothing running", report)
 	}
 	if e := rollout.NewEvidence(report.Tallies...); e.Target().Bad != 2 {
--- a/pkg/rollout/count.go
+++ b/pkg/rollout/count.go
@@ -8,8 +8,8 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Send is one request under way at an endpoint. Its fields are guarded by its service.
-type Send struct {
+// Attempt is one request under way at an endpoint. Its fields are guarded by its service.
+type Attempt struct {
 	service string
 	info    endpoint.Info
 	kind    Kind
@@ -19,17 +19,17 @@
 	answered bool
 }
 
-// Begin notes that a request goes to an endpoint. expected is how long its answer, or a
+// StartAttempt notes that a request goes to an endpoint. expected is how long its answer, or a
 // stream's first event, should take; 0 where that is not reckoned. Every Send must be
 // ended with End. It is nil where no roll-outs are ordered.
-func (s *Switch) Begin(name string, info *endpoint.Info, kind Kind, expected time.Duration, now time.Time) *Send {
+func (s *Splitter) StartAttempt(name string, info *endpoint.Info, kind Kind, expected time.Duration, now time.Time) *Attempt {
 	if !s.bounds.Enabled() {
 		return nil
 	}
 	if expected <= 0 {
 		expected = time.Second
 	}
-	send := &Send{service: name, info: *info, kind: kind, expected: expected, began: now}
+	send := &Attempt{service: name, info: *info, kind: kind, expected: expected, began: now}
 	v := s.of(name)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -41,8 +41,8 @@
 	return send
 }
 
-// End notes that a send runs no longer.
-func (s *Switch) End(send *Send, now time.Time) {
+// FinishAttempt notes that a send runs no longer.
+func (s *Splitter) FinishAttempt(send *Attempt, now time.Time) {
 	if send == nil {
 		return
 	}
@@ -66,9 +66,9 @@
 	}
 }
 
-// Answered takes in that an endpoint has answered, or that a stream's first event has
+// RecordAnswer takes in that an endpoint has answered, or that a stream's first event has
 // come.
-func (s *Switch) Answered(send *Send, failed bool, now time.Time) {
+func (s *Splitter) RecordAnswer(send *Attempt, failed bool, now time.Time) {
 	if send == nil {
 		return
 	}
@@ -84,9 +84,9 @@
 	}
 }
 
-// Streamed takes in how a stream went on after its first event: how many times as long
+// RecordStream takes in how a stream went on after its first event: how many times as long
 // between its events as was expected, 0 where that was not measured.
-func (s *Switch) Streamed(send *Send, times float64, failed bool, now time.Time) {
+func (s *Splitter) RecordStream(send *Attempt, times float64, failed bool, now time.Time) {
 	if send == nil {
 		return
 	}
@@ -111,11 +111,11 @@
 	return v.order
 }
 
-func (d *split) isTarget(send *Send) bool { return send.info.Release == d.order.Target }
+func (d *split) isTarget(send *Attempt) bool { return send.info.Release == d.order.Target }
 
 // took takes in how long an answer took. Endpoints that have just started and are slow
 // for it show nothing of their version's speed. The lock is held.
-func (v *service) took(send *Send, kind Kind, value float64, now time.Time) {
+func (v *service) took(send *Attempt, kind Kind, value float64, now time.Time) {
 	if send.info.Cold {
 		return
 	}
@@ -146,7 +146,7 @@
 	if v.order == nil {
 		return 0, false
 	}
-	for _, b := range v.order.directive.Bounds {
+	for _, b := range v.order.directive.SlowThresholds {
 		if b.Kind == kind {
 			return b.Value, true
 		}
@@ -165,7 +165,7 @@
 
 // Report returns what this host has counted for an order; ok is false where it does
 // not know the order.
-func (s *Switch) Report(name string, order int64, now time.Time) (Report, bool) {
+func (s *Splitter) Report(name string, order int64, now time.Time) (Report, bool) {
 	v := s.find(name)
 	if v == nil {
 		return Report{}, false
@@ -178,7 +178,7 @@
 	}
 	r := Report{
 		Service: name, Order: order, Phase: d.phase, Epoch: d.directive.Epoch, Number: d.directive.Number,
-		Asked: d.asked, Tried: d.tried, Longest: v.longest,
+		Requests: d.asked, TargetRequests: d.tried, LongestOther: v.longest,
 	}
 	for release, n := range v.running {
 		if release != d.order.Target {
@@ -197,10 +197,10 @@
 	}
 	for kind, ref := range v.references {
 		if bound, ok := ref.slow(); ok {
-			r.Bounds = append(r.Bounds, SlowBound{Kind: kind, Value: bound, Answers: ref.answers()})
+			r.SlowThresholds = append(r.SlowThresholds, SlowThreshold{Kind: kind, Value: bound, Answers: ref.answers()})
 		}
 	}
-	slices.SortFunc(r.Bounds, func(a, b SlowBound) int { return cmp.Compare(a.Kind, b.Kind) })
+	slices.SortFunc(r.SlowThresholds, func(a, b SlowThreshold) int { return cmp.Compare(a.Kind, b.Kind) })
 	slices.SortFunc(r.Tallies, func(a, b Tally) int {
 		return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), cmp.Compare(a.Kind, b.Kind))
 	})
@@ -227,10 +227,10 @@
 	return counts
 }
 
-// Saw notes the version of an endpoint before its first request can be sent. One that
+// ObserveRelease notes the version of an endpoint before its first request can be sent. One that
 // was not there before gets nothing until an order for it is heard or its time to be
 // heard is over.
-func (s *Switch) Saw(name, release string, now time.Time) {
+func (s *Splitter) ObserveRelease(name, release string, now time.Time) {
 	if !s.bounds.Enabled() {
 		return
 	}
@@ -252,9 +252,9 @@
 	v.rules()
 }
 
-// Survey brings the split up to date with the endpoints that are known. fresh says that
+// UpdateEndpoints brings the split up to date with the endpoints that are known. fresh says that
 // the operator's rows are heard at the moment.
-func (s *Switch) Survey(infos []endpoint.Info, fresh bool, now time.Time) {
+func (s *Splitter) UpdateEndpoints(infos []endpoint.Info, fresh bool, now time.Time) {
 	if !s.bounds.Enabled() {
 		return
 	}
@@ -262,7 +262,7 @@
 	s.settled = true
 	s.mu.Unlock()
 	s.each(func(v *service) { v.vet(fresh, now) })
-	for _, order := range s.Open() {
+	for _, order := range s.OpenOrders() {
 		s.of(order.Service).survey(order, infos)
 	}
 }
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -111,13 +111,13 @@
 	// Kind is the kind of answer, 0 for all together.
 	Kind           Kind
 	Target, Others Count
-	// Odds is how many times likelier the counts are if the target is bad, Bound from
+	// BayesFactor is how many times likelier the counts are if the target is bad, Threshold from
 	// where on it is taken for bad.
-	Odds, Bound float64
+	BayesFactor, Threshold float64
 }
 
 // Bad reports whether the target is taken for bad.
-func (f Finding) Bad() bool { return f.Odds >= f.Bound }
+func (f Finding) Bad() bool { return f.BayesFactor >= f.Threshold }
 
 // String is the finding for a line and for operators.
 func (f Finding) String() string {
@@ -126,53 +126,53 @@
 		what = fmt.Sprintf("kind %08x", uint32(f.Kind))
 	}
 	return fmt.Sprintf("%s: %d of %d answers of the target bad, %d of %d of the others; odds %.3g of %.3g",
-		what, f.Target.Bad, f.Target.Answers, f.Others.Bad, f.Others.Answers, f.Odds, f.Bound)
+		what, f.Target.Bad, f.Target.Answers, f.Others.Bad, f.Others.Answers, f.BayesFactor, f.Threshold)
 }
 
-// Bayes weighs what a wrong decision costs: at any time by the price of going on, and
+// BayesTest weighs what a wrong decision costs: at any time by the price of going on, and
 // at the last moment by that of completing a bad version.
-type Bayes struct {
-	// Prior is the part of the versions that are bad.
-	Prior float64
-	// Waiting is the price of trying a bad version on, Exposed the same while it has more
-	// than it may have in the end, Completion of completing it, Small of that where too few
+type BayesTest struct {
+	// PriorBad is the part of the versions that are bad.
+	PriorBad float64
+	// ContinueCost is the price of trying a bad version on, ExposedCost the same while it has more
+	// than it may have in the end, CompletionCost of completing it, SmallCompletionCost of that where too few
 	// requests are left for it to get more than it may; all in prices of a revert of a
 	// good one.
-	Waiting, Exposed, Completion, Small float64
+	ContinueCost, ExposedCost, CompletionCost, SmallCompletionCost float64
 }
 
-// Moment is when a version is judged, which decides on what a mistake costs.
-type Moment int
+// DecisionPoint is when a version is judged, which decides on what a mistake costs.
+type DecisionPoint int
 
 // The moments.
 const (
-	// Early is any time while the target is tried, Raised while it has a higher share.
-	Early Moment = iota
-	Raised
-	// Last is when it takes all requests unless it is taken for bad, LastOfFew the same
+	// DuringTrial is any time while the target is tried, Raised while it has a higher share.
+	DuringTrial DecisionPoint = iota
+	DuringRamp
+	// FinalDecision is when it takes all requests unless it is taken for bad, LastOfFew the same
 	// where a bad version would not get more than it may.
-	Last
-	LastOfFew
+	FinalDecision
+	FinalDecisionLowTraffic
 )
 
-func (w Bayes) price(m Moment) float64 {
+func (w BayesTest) price(m DecisionPoint) float64 {
 	switch m {
-	case Raised:
-		return w.Exposed
-	case Last:
-		return w.Completion
-	case LastOfFew:
-		return w.Small
+	case DuringRamp:
+		return w.ExposedCost
+	case FinalDecision:
+		return w.CompletionCost
+	case FinalDecisionLowTraffic:
+		return w.SmallCompletionCost
 	default:
-		return w.Waiting
+		return w.ContinueCost
 	}
 }
 
-// Judge returns what speaks most against the target with some of its endpoints left
+// Evaluate returns what speaks most against the target with some of its endpoints left
 // out.
-func (w Bayes) Judge(e *Evidence, without []string, m Moment) Finding {
+func (w BayesTest) Evaluate(e *Evidence, without []string, m DecisionPoint) Finding {
 	f := e.odds(without)
-	f.Bound = (1 - w.Prior) / (w.Prior * w.price(m))
+	f.Threshold = (1 - w.PriorBad) / (w.PriorBad * w.price(m))
 	return f
 }
 
@@ -181,21 +181,21 @@
 // part expects to be 1 for a good version, and so does their mean.
 func (e *Evidence) odds(without []string) Finding {
 	f := e.oddsSince(nil, without)
-	whole, later, moments := f.Odds, 0.0, 0.0
+	whole, later, moments := f.BayesFactor, 0.0, 0.0
 	for _, before := range e.before {
 		since := e.oddsSince(before, without)
 		if since.Target.Answers < momentAnswers {
 			continue
 		}
-		later += since.Odds
+		later += since.BayesFactor
 		moments++
-		if since.Odds > f.Odds {
+		if since.BayesFactor > f.BayesFactor {
 			f = since
 		}
 	}
-	f.Odds = whole
+	f.BayesFactor = whole
 	if moments > 0 {
-		f.Odds = (1-laterPart)*whole + laterPart*later/moments
+		f.BayesFactor = (1-laterPart)*whole + laterPart*later/moments
 	}
 	return f
 }
@@ -203,7 +203,7 @@
 // oddsSince is odds from a moment on.
 func (e *Evidence) oddsSince(before *Evidence, without []string) Finding {
 	kinds := e.kinds()
-	f, worst := Finding{Odds: 1}, Finding{}
+	f, worst := Finding{BayesFactor: 1}, Finding{}
 	if len(kinds) == 0 {
 		return f
 	}
@@ -225,9 +225,9 @@
 			worst = Finding{Kind: kind, Target: target, Others: others}
 		}
 	}
-	f.Odds = (math.Exp(min(all, mostLogOdds)) + sum) / 2
-	if f.Odds > 1 && most > all {
-		worst.Odds = f.Odds
+	f.BayesFactor = (math.Exp(min(all, mostLogOdds)) + sum) / 2
+	if f.BayesFactor > 1 && most > all {
+		worst.BayesFactor = f.BayesFactor
 		return worst
 	}
 	return f
@@ -287,11 +287,11 @@
 	return list
 }
 
-// Prices returns the prices in use. Of 1,000 bad versions 60 were completed and 24 got
+// DefaultBayesTest returns the prices in use. Of 1,000 bad versions 60 were completed and 24 got
 // more than they may, and 30 of 1,000 good ones were reverted, 2 of 336 without faults of
 // hosts, store or endpoints (package rolloutlab, seeds 2000 to 3999). With a completion
 // at 12 instead of 5 it completed as many, exposed fewer by a fifth and reverted two thirds
 // more; a sequential test exposed a quarter more, fixed thresholds four times as many.
-func Prices() Bayes {
-	return Bayes{Prior: 0.3, Waiting: 0.015, Exposed: 0.1, Completion: 5, Small: 1}
+func DefaultBayesTest() BayesTest {
+	return BayesTest{PriorBad: 0.3, ContinueCost: 0.015, ExposedCost: 0.1, CompletionCost: 5, SmallCompletionCost: 1}
 }
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -29,10 +29,10 @@
 		{"fails more than the others", rollout.Count{Answers: 1000, Bad: 140}, rollout.Count{Answers: 100, Bad: 45}, true, true},
 	} {
 		e := evidence(c.others, c.target)
-		if found := rollout.Prices().Judge(&e, nil, rollout.Early); found.Bad() != c.early {
+		if found := rollout.DefaultBayesTest().Evaluate(&e, nil, rollout.DuringTrial); found.Bad() != c.early {
 			t.Errorf("%s, early: got %v (%v), want %v", c.what, found.Bad(), found, c.early)
 		}
-		if found := rollout.Prices().Judge(&e, nil, rollout.Last); found.Bad() != c.last {
+		if found := rollout.DefaultBayesTest().Evaluate(&e, nil, rollout.FinalDecision); found.Bad() != c.last {
 			t.Errorf("%s, at the last moment: got %v (%v), want %v", c.what, found.Bad(), found, c.last)
 		}
 	}
--- a/pkg/rollout/owner.go
+++ b/pkg/rollout/owner.go
@@ -71,7 +71,7 @@
 // Owner decides on one order for all hosts. It is used by one goroutine.
 type Owner struct {
 	bounds Bounds
-	judge  Bayes
+	judge  BayesTest
 	state  State
 	epoch  int64
 	number int64
@@ -104,7 +104,7 @@
 
 // NewOwner returns the owner of an order from the phase its row has; now is the store's
 // clock, epoch the lease's.
-func NewOwner(state State, bounds Bounds, judge Bayes, epoch int64, now time.Duration) *Owner {
+func NewOwner(state State, bounds Bounds, judge BayesTest, epoch int64, now time.Duration) *Owner {
 	return &Owner{bounds: bounds, judge: judge, state: state, epoch: epoch, number: 1, began: now, reports: map[string]told{}}
 }
 
@@ -119,7 +119,7 @@
 	if r.Order != o.state.Order.ID {
 		return
 	}
-	if held, ok := o.reports[incarnation]; ok && held.Asked > r.Asked {
+	if held, ok := o.reports[incarnation]; ok && held.Requests > r.Requests {
 		return
 	}
 	o.reports[incarnation] = told{r, now}
@@ -132,10 +132,10 @@
 type Fleet struct {
 	// Live are the incarnations of the hosts that serve.
 	Live []string
-	// Callers is how many of them callers are told.
-	Callers int
-	// Others and Targets are the endpoints that take work.
-	Others, Targets int
+	// Advertised is how many of them callers are told.
+	Advertised int
+	// OtherEndpoints and TargetEndpoints are the endpoints that take work.
+	OtherEndpoints, TargetEndpoints int
 }
 
 // Step is what an owner wants done.
@@ -145,24 +145,24 @@
 	// Write is the phase that the row is to have, 0 for none. The hosts hear of it once
 	// it is written; of a revert at once.
 	Write Phase
-	Why   string
+	Reason   string
 }
 
 // Next decides; now is the store's clock.
 func (o *Owner) Next(f Fleet, now time.Duration) Step {
-	o.sawOthers = o.sawOthers || f.Others > 0
+	o.sawOthers = o.sawOthers || f.OtherEndpoints > 0
 	o.measure(now)
 	before := o.directive()
 	step := Step{}
 	if !o.reverting && !o.state.Phase.Ended() {
-		step.Write, step.Why = o.decide(f, now)
+		step.Write, step.Reason = o.decide(f, now)
 	}
 	if o.reverting && !o.state.Phase.Ended() {
-		step.Write, step.Why = Reverted, o.why
+		step.Write, step.Reason = Reverted, o.why
 	}
 	after := o.directive()
 	after.Slack = o.slack(f)
-	after.Bounds = o.slowBounds()
+	after.SlowThresholds = o.slowBounds()
 	if after.Phase != before.Phase || after.Share != before.Share || len(after.Suspects) != len(before.Suspects) {
 		o.number++
 		after.Number = o.number
@@ -171,12 +171,12 @@
 	return step
 }
 
-// Entered notes that the row has a phase.
-func (o *Owner) Entered(phase Phase, why string) {
+// SetPhase notes that the row has a phase.
+func (o *Owner) SetPhase(phase Phase, why string) {
 	if phase <= o.state.Phase {
 		return
 	}
-	o.state.Phase, o.state.Why = phase, why
+	o.state.Phase, o.state.Reason = phase, why
 	o.number++
 	if phase == Draining {
 		o.share = 1
@@ -196,7 +196,7 @@
 }
 
 func (o *Owner) slack(f Fleet) int {
-	return int(slackPart * o.bounds.Slack / float64(max(f.Callers, 1)))
+	return int(slackPart * o.bounds.Slack / float64(max(f.Advertised, 1)))
 }
 
 func (o *Owner) revert(why string) {
@@ -214,7 +214,7 @@
 	period := o.state.Order.Period
 	longest := leastDrain
 	for _, r := range o.reports {
-		longest = max(longest, r.Longest)
+		longest = max(longest, r.LongestOther)
 	}
 	longest = min(longest, period/drainParts)
 	limit := o.state.Started + period - heardLate
@@ -225,9 +225,9 @@
 // decide returns the phase to be written and why.
 func (o *Owner) decide(f Fleet, now time.Duration) (Phase, string) {
 	e := o.evidence()
-	m := Early
+	m := DuringTrial
 	if o.state.Phase > Trying {
-		m = Raised
+		m = DuringRamp
 	}
 	if found := o.look(&e, f, m); found.Bad() && o.sawOthers {
 		o.revert(found.String())
@@ -252,18 +252,18 @@
 
 // look judges the target. One endpoint that alone speaks against it is left out once
 // the others have cleared the target, unless many answers were bad already.
-func (o *Owner) look(e *Evidence, f Fleet, m Moment) Finding {
-	found := o.judge.Judge(e, o.suspects, m)
-	if !found.Bad() || m > Raised || e.Target().Bad >= mostBad {
+func (o *Owner) look(e *Evidence, f Fleet, m DecisionPoint) Finding {
+	found := o.judge.Evaluate(e, o.suspects, m)
+	if !found.Bad() || m > DuringRamp || e.Target().Bad >= mostBad {
 		return found
 	}
 	worst := e.worst(o.suspects)
-	if worst == "" || float64(len(o.suspects)+1) > max(1, suspectsPart*float64(f.Targets)) {
+	if worst == "" || float64(len(o.suspects)+1) > max(1, suspectsPart*float64(f.TargetEndpoints)) {
 		return found
 	}
 	without := append(slices.Clone(o.suspects), worst)
-	rest := o.judge.Judge(e, without, m)
-	if rest.Odds < clearOdds {
+	rest := o.judge.Evaluate(e, without, m)
+	if rest.BayesFactor < clearOdds {
 		o.suspects = without
 	}
 	return rest
@@ -271,7 +271,7 @@
 
 // tryShare is the share while the target is tried.
 func (o *Owner) tryShare(f Fleet) float64 {
-	if f.Targets == 0 {
+	if f.TargetEndpoints == 0 {
 		return 0
 	}
 	return triedPart * o.bounds.Share
@@ -282,10 +282,10 @@
 	if now < p.shift {
 		return 0, ""
 	}
-	if !o.sawOthers && f.Targets > 0 {
+	if !o.sawOthers && f.TargetEndpoints > 0 {
 		return Completed, "no endpoints of another version"
 	}
-	if f.Targets == 0 || float64(f.Targets) < enoughEndpoints*float64(f.Others) {
+	if f.TargetEndpoints == 0 || float64(f.TargetEndpoints) < enoughEndpoints*float64(f.OtherEndpoints) {
 		return o.tooFew(f, p, now)
 	}
 	if now >= p.drain {
@@ -299,10 +299,10 @@
 
 // settle decides at the last moment whether the target takes all requests.
 func (o *Owner) settle(f Fleet, e *Evidence, p plan, now time.Duration) (Phase, string) {
-	m := Last
+	m := FinalDecision
 	left := (p.limit - now).Seconds()
 	if float64(o.tried())+o.rate*left <= o.allowed(p, now) {
-		m = LastOfFew
+		m = FinalDecisionLowTraffic
 	}
 	found := o.look(e, f, m)
 	if !found.Bad() {
@@ -326,13 +326,13 @@
 // tooFew waits for endpoints of the target until it is too late.
 func (o *Owner) tooFew(f Fleet, p plan, now time.Duration) (Phase, string) {
 	if now >= p.limit-writeTime {
-		o.revert(fmt.Sprintf("%d endpoints of the target by the end, %d of the others", f.Targets, f.Others))
+		o.revert(fmt.Sprintf("%d endpoints of the target by the end, %d of the others", f.TargetEndpoints, f.OtherEndpoints))
 	}
 	return 0, ""
 }
 
 func (o *Owner) shift(f Fleet, e *Evidence, p plan, now time.Duration) (Phase, string) {
-	if float64(f.Targets) < enoughEndpoints*float64(f.Others) {
+	if float64(f.TargetEndpoints) < enoughEndpoints*float64(f.OtherEndpoints) {
 		return o.tooFew(f, p, now)
 	}
 	if now < p.drain {
@@ -364,7 +364,7 @@
 			return 0, ""
 		}
 	}
-	if f.Targets == 0 {
+	if f.TargetEndpoints == 0 {
 		o.revert("no endpoint of the target is left")
 		return 0, ""
 	}
--- a/pkg/rollout/owner_test.go
+++ b/pkg/rollout/owner_test.go
@@ -10,7 +10,7 @@
 
 // reportOf is what a host has counted of three routes with four kinds each.
 func reportOf(host, answers int) rollout.Report {
-	r := rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Epoch: 1, Asked: 20 * answers, Tried: answers}
+	r := rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Epoch: 1, Requests: 20 * answers, TargetRequests: answers}
 	for kind := range 12 {
 		r.Tallies = append(r.Tallies, rollout.Tally{Kind: rollout.Kind(kind * 4), Count: rollout.Count{Answers: 19 * answers, Bad: answers / 5}})
 		for e := range 4 {
@@ -25,17 +25,17 @@
 // With no endpoint of another version there is nothing to compare with: an order for the
 // version in use is completed, whatever part of its answers fail.
 func TestOrderForTheVersionInUse(t *testing.T) {
-	o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: time.Minute}, bounds, rollout.Prices(), 1, time.Minute)
-	fleet := rollout.Fleet{Callers: 1, Targets: 4, Live: []string{"h"}}
+	o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: time.Minute}, bounds, rollout.DefaultBayesTest(), 1, time.Minute)
+	fleet := rollout.Fleet{Advertised: 1, TargetEndpoints: 4, Live: []string{"h"}}
 	tallies := []rollout.Tally{{Kind: 4, Endpoint: "e", Count: rollout.Count{Answers: 300, Bad: 60}}}
 	for now := time.Minute; now < time.Minute+order.Period; now += 100 * time.Millisecond {
-		o.ApplyReport("h", rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Asked: 300, Tallies: tallies}, now)
+		o.ApplyReport("h", rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Requests: 300, Tallies: tallies}, now)
 		step := o.Next(fleet, now)
 		if step.Write == rollout.Completed {
 			return
 		}
 		if step.Write != 0 || step.Directive.Phase == rollout.Reverted {
-			t.Fatalf("%v after the order: got %v (%s), want it completed", now-time.Minute, step.Write, step.Why)
+			t.Fatalf("%v after the order: got %v (%s), want it completed", now-time.Minute, step.Write, step.Reason)
 		}
 	}
 	t.Error("not completed within the period")
@@ -47,20 +47,20 @@
 	const takeoverAfter, answersAfter = 17500 * time.Millisecond, 18700 * time.Millisecond
 	start := time.Minute
 	for _, bad := range []bool{false, true} {
-		o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: start}, bounds, rollout.Prices(), 14, start+takeoverAfter)
-		fleet := rollout.Fleet{Callers: 3, Others: 4, Targets: 4, Live: []string{"h"}}
+		o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: start}, bounds, rollout.DefaultBayesTest(), 14, start+takeoverAfter)
+		fleet := rollout.Fleet{Advertised: 3, OtherEndpoints: 4, TargetEndpoints: 4, Live: []string{"h"}}
 		want, got := rollout.Draining, rollout.Phase(0)
 		if bad {
 			want = rollout.Reverted
 		}
 		for now := start + takeoverAfter; now < start+order.Period && got == 0; now += 100 * time.Millisecond {
-			r := rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Epoch: 14, Asked: int(150 * (now - start - takeoverAfter).Seconds())}
+			r := rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Epoch: 14, Requests: int(150 * (now - start - takeoverAfter).Seconds())}
 			if now >= start+answersAfter {
 				count := rollout.Count{Answers: 12}
 				if bad {
 					count.Bad = 6
 				}
-				r.Tried = 12
+				r.TargetRequests = 12
 				r.Tallies = []rollout.Tally{{Kind: 4, Count: rollout.Count{Answers: 340}}, {Kind: 4, Endpoint: "e", Count: count}}
 			}
 			o.ApplyReport("h", r, now)
@@ -75,8 +75,8 @@
 // A decision on the reports of eight hosts: 0.52 ms, ten times a second while an order is
 // under way.
 func BenchmarkDecision(b *testing.B) {
-	o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: time.Minute}, bounds, rollout.Prices(), 1, time.Minute)
-	fleet := rollout.Fleet{Callers: 8, Others: 60, Targets: 60}
+	o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: time.Minute}, bounds, rollout.DefaultBayesTest(), 1, time.Minute)
+	fleet := rollout.Fleet{Advertised: 8, OtherEndpoints: 60, TargetEndpoints: 60}
 	now := time.Minute
 	for step := range 100 {
 		now += 100 * time.Millisecond
--- a/pkg/rollout/reports.go
+++ b/pkg/rollout/reports.go
@@ -30,29 +30,29 @@
 }
 
 // slowBounds are the hosts' bounds together: their geometric mean, by answers.
-func (o *Owner) slowBounds() []SlowBound {
+func (o *Owner) slowBounds() []SlowThreshold {
 	type sum struct{ logs, answers float64 }
 	sums := map[Kind]sum{}
 	for _, r := range o.reports {
-		for _, b := range r.Bounds {
+		for _, b := range r.SlowThresholds {
 			s := sums[b.Kind]
 			sums[b.Kind] = sum{s.logs + float64(b.Answers)*math.Log(b.Value), s.answers + float64(b.Answers)}
 		}
 	}
-	var bounds []SlowBound
+	var bounds []SlowThreshold
 	for kind, s := range sums {
 		if s.answers >= referenceAnswers {
-			bounds = append(bounds, SlowBound{Kind: kind, Value: math.Exp(s.logs / s.answers), Answers: int(s.answers)})
+			bounds = append(bounds, SlowThreshold{Kind: kind, Value: math.Exp(s.logs / s.answers), Answers: int(s.answers)})
 		}
 	}
-	slices.SortFunc(bounds, func(a, b SlowBound) int { return cmp.Compare(a.Kind, b.Kind) })
+	slices.SortFunc(bounds, func(a, b SlowThreshold) int { return cmp.Compare(a.Kind, b.Kind) })
 	return bounds
 }
 
 func (o *Owner) asked() int {
 	sum := 0
 	for _, r := range o.reports {
-		sum += r.Asked
+		sum += r.Requests
 	}
 	return sum
 }
@@ -60,7 +60,7 @@
 func (o *Owner) tried() int {
 	sum := 0
 	for _, r := range o.reports {
-		sum += r.Tried
+		sum += r.TargetRequests
 	}
 	return sum
 }
--- a/pkg/rollout/restore.go
+++ b/pkg/rollout/restore.go
@@ -3,7 +3,7 @@
 // WasRenumberedFrom reports whether order is the earlier one under a new ID after a restore of the
 // store. A process that has not seen the ID change, because it started with the new one, compares only
 // service, target, period and era.
-func (s *Switch) WasRenumberedFrom(order, earlier Order) bool {
+func (s *Splitter) WasRenumberedFrom(order, earlier Order) bool {
 	v := s.find(order.Service)
 	if v == nil || !order.RenumberedFrom(earlier) {
 		return false
@@ -15,7 +15,7 @@
 }
 
 // Phase returns the phase of an order, 0 if the service's order has another ID or there is none.
-func (s *Switch) Phase(order Order) Phase {
+func (s *Splitter) Phase(order Order) Phase {
 	v := s.find(order.Service)
 	if v == nil {
 		return 0
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -85,8 +85,8 @@
 	Phase Phase
 	// Started is when the order was first heard of, by the store's clock.
 	Started time.Duration
-	// Why is the evidence or the lack that decided the phase, for operators.
-	Why string
+	// Reason is the evidence or the lack that decided the phase, for operators.
+	Reason string
 }
 
 // Bounds are what the operator allows a version that turns out bad.
@@ -118,13 +118,13 @@
 	// Suspects are endpoints of the target that are left out, as they may be at fault
 	// themselves.
 	Suspects []string
-	// Bounds are what counts as slow over all hosts, for those with too few answers of their own.
-	Bounds []SlowBound
+	// SlowThresholds are what counts as slow over all hosts, for those with too few answers of their own.
+	SlowThresholds []SlowThreshold
 }
 
-// SlowBound is the value above which answers of a kind are slow, and from how many
+// SlowThreshold is the value above which answers of a kind are slow, and from how many
 // answers of the other versions it was worked out.
-type SlowBound struct {
+type SlowThreshold struct {
 	Kind    Kind
 	Value   float64
 	Answers int
@@ -180,13 +180,13 @@
 	// Phase is what the host has entered, Epoch and Number are of the latest word taken.
 	Phase         Phase
 	Epoch, Number int64
-	// Asked is the requests for the service since the host heard of the order, Tried
+	// Requests is the requests for the service since the host heard of the order, TargetRequests
 	// those of them that were sent to the target.
-	Asked, Tried int
+	Requests, TargetRequests int
 	// OthersRunning is what runs now at endpoints that are not of the target.
 	OthersRunning int
-	// Longest is the longest time that such a send has taken lately.
-	Longest time.Duration
+	// LongestOther is the longest time that such a send has taken lately.
+	LongestOther time.Duration
 	Tallies []Tally
-	Bounds  []SlowBound
+	SlowThresholds  []SlowThreshold
 }
--- a/pkg/rollout/split.go
+++ b/pkg/rollout/split.go
@@ -83,7 +83,7 @@
 	kinds        map[Kind]*kindCount
 	tallies      map[tallyKey]*Count
 	// pending are sends under way at the target.
-	pending map[*Send]struct{}
+	pending map[*Attempt]struct{}
 }
 
 // kindCount is the requests of one route since the order.
@@ -101,10 +101,10 @@
 }
 
 // side says where a request goes.
-func (d *split) side(kind Kind, request string, now time.Time) Side {
+func (d *split) side(kind Kind, request string, now time.Time) Subset {
 	switch {
 	case d.phase == Completed && now.Sub(d.endedAt) > targetOnly:
-		return Any
+		return Default
 	case d.phase == Completed || d.phase == Draining:
 		return Target
 	case d.phase == Reverted || d.alone || d.lapsed(now):
--- a/pkg/rollout/switch.go
+++ b/pkg/rollout/switch.go
@@ -11,16 +11,16 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Side says which endpoints a request goes to.
-type Side int
+// Subset says which endpoints a request goes to.
+type Subset int
 
 // The sides.
 const (
-	// Any is all endpoints but those whose version may be ordered unheard: no order
+	// Default is all endpoints but those whose version may be ordered unheard: no order
 	// concerns the service.
-	Any Side = iota
-	// Every is those too.
-	Every
+	Default Subset = iota
+	// All is those too.
+	All
 	// Others are the endpoints that are not of an ordered version.
 	Others
 	// Target is the endpoints of the ordered version.
@@ -30,27 +30,27 @@
 // Rule says which endpoints a side has. The zero value has all. What it holds is not
 // to be changed.
 type Rule struct {
-	// Only is the version that may take the request, empty for all but those in Not.
-	Only string
-	Not  []string
-	// Among are the endpoints that may take it, nil for all.
-	Among map[string]bool
+	// OnlyRelease is the version that may take the request, empty for all but those in Not.
+	OnlyRelease string
+	ExcludedReleases  []string
+	// OnlyEndpoints are the endpoints that may take it, nil for all.
+	OnlyEndpoints map[string]bool
 }
 
 // Allows reports whether an endpoint may take the request.
 func (r *Rule) Allows(info *endpoint.Info) bool {
-	if r.Only != "" && info.Release != r.Only {
+	if r.OnlyRelease != "" && info.Release != r.OnlyRelease {
 		return false
 	}
-	if len(r.Not) > 0 && slices.Contains(r.Not, info.Release) {
+	if len(r.ExcludedReleases) > 0 && slices.Contains(r.ExcludedReleases, info.Release) {
 		return false
 	}
-	return r.Among == nil || r.Among[info.ID]
+	return r.OnlyEndpoints == nil || r.OnlyEndpoints[info.ID]
 }
 
-// Switch splits one host's requests between versions and counts how they end. It is
+// Splitter splits one host's requests between versions and counts how they end. It is
 // safe for concurrent use.
-type Switch struct {
+type Splitter struct {
 	bounds Bounds
 
 	mu       sync.RWMutex
@@ -61,12 +61,12 @@
 }
 
 // New returns a switch; with bounds that are not enabled it lets all requests pass.
-func New(bounds Bounds) *Switch {
-	return &Switch{bounds: bounds, services: map[string]*service{}}
+func New(bounds Bounds) *Splitter {
+	return &Splitter{bounds: bounds, services: map[string]*service{}}
 }
 
 // Bounds returns what a bad version may get.
-func (s *Switch) Bounds() Bounds { return s.bounds }
+func (s *Splitter) Bounds() Bounds { return s.bounds }
 
 // service is one service's split. Its fields are guarded by its lock.
 type service struct {
@@ -92,13 +92,13 @@
 // KindOf returns the kind of a name.
 func KindOf(name string) Kind { return Kind(xxhash.Sum64String(name)) &^ kindParts }
 
-func (s *Switch) find(name string) *service {
+func (s *Splitter) find(name string) *service {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.services[name]
 }
 
-func (s *Switch) of(name string) *service {
+func (s *Splitter) of(name string) *service {
 	if found := s.find(name); found != nil {
 		return found
 	}
@@ -112,9 +112,9 @@
 	return found
 }
 
-// Take takes in an operator's order and reports whether it is news. One that is older
+// AddOrder takes in an operator's order and reports whether it is news. One that is older
 // than the one held is left. joined says that it was there when the process started.
-func (s *Switch) Take(o Order, joined bool) bool {
+func (s *Splitter) AddOrder(o Order, joined bool) bool {
 	if !s.bounds.Enabled() || o.Check() != nil {
 		return false
 	}
@@ -138,7 +138,7 @@
 	_, known := v.releases[o.Target]
 	v.order = &split{
 		order: o, phase: Trying, joined: joined, inUse: known && !slices.Contains(v.unvetted, o.Target),
-		kinds: map[Kind]*kindCount{}, tallies: map[tallyKey]*Count{}, pending: map[*Send]struct{}{},
+		kinds: map[Kind]*kindCount{}, tallies: map[tallyKey]*Count{}, pending: map[*Attempt]struct{}{},
 	}
 	v.rules()
 	return true
@@ -157,18 +157,18 @@
 	if d == nil {
 		return
 	}
-	d.target = Rule{Only: d.order.Target, Among: d.among}
+	d.target = Rule{OnlyRelease: d.order.Target, OnlyEndpoints: d.among}
 	if d.alone {
-		d.others = Rule{Not: not}
+		d.others = Rule{ExcludedReleases: not}
 		return
 	}
-	d.others = Rule{Not: append(not, d.order.Target)}
+	d.others = Rule{ExcludedReleases: append(not, d.order.Target)}
 }
 
-// Apply applies the owner's directive. It reports whether the share or the phase changed.
-func (s *Switch) Apply(w Directive, now time.Time) bool {
+// ApplyDirective applies the owner's directive. It reports whether the share or the phase changed.
+func (s *Splitter) ApplyDirective(w Directive, now time.Time) bool {
 	// A host that learns of an order by a directive may be late: it has no slack.
-	s.Take(w.order(), true)
+	s.AddOrder(w.order(), true)
 	v := s.find(w.Service)
 	if v == nil {
 		return false
@@ -189,9 +189,9 @@
 	return lapsed || before.Share != w.Share || before.Phase != w.Phase
 }
 
-// Ended takes in how an order ended, or that everything goes to its target, as the
+// ApplyState takes in how an order ended, or that everything goes to its target, as the
 // store tells it.
-func (s *Switch) Ended(state State, now time.Time) bool {
+func (s *Splitter) ApplyState(state State, now time.Time) bool {
 	v := s.find(state.Order.Service)
 	if v == nil {
 		return false
@@ -226,9 +226,9 @@
 	return true
 }
 
-// Lapsed returns the open orders whose word has lapsed since it was last asked: this
+// NewlyExpired returns the open orders whose word has lapsed since it was last asked: this
 // host sends their requests to the version before.
-func (s *Switch) Lapsed(now time.Time) []Order {
+func (s *Splitter) NewlyExpired(now time.Time) []Order {
 	var lapsed []Order
 	s.each(func(v *service) {
 		d := v.order
@@ -244,10 +244,10 @@
 	return lapsed
 }
 
-// Counts reports whether an endpoint counts as one that serves, where the number of a
+// CountsTowardCapacity reports whether an endpoint counts as one that serves, where the number of a
 // service's endpoints is planned: not those of a version that is not in use yet or any
 // more.
-func (s *Switch) Counts(info *endpoint.Info, now time.Time) bool {
+func (s *Splitter) CountsTowardCapacity(info *endpoint.Info, now time.Time) bool {
 	v := s.find(info.Service)
 	if v == nil {
 		return true
@@ -265,8 +265,8 @@
 	}
 }
 
-// Completed returns the order that last replaced a service's endpoints, 0 for none.
-func (s *Switch) Completed(name string) int64 {
+// CompletedOrder returns the order that last replaced a service's endpoints, 0 for none.
+func (s *Splitter) CompletedOrder(name string) int64 {
 	v := s.find(name)
 	if v == nil {
 		return 0
@@ -279,8 +279,8 @@
 	return v.order.order.ID
 }
 
-// IsOpen reports whether an order for a service is under way.
-func (s *Switch) IsOpen(name string) bool {
+// InProgress reports whether an order for a service is under way.
+func (s *Splitter) InProgress(name string) bool {
 	v := s.find(name)
 	if v == nil {
 		return false
@@ -290,9 +290,9 @@
 	return v.watching() != nil
 }
 
-// Open returns the orders whose end is not known to stand in the store, those that all
+// OpenOrders returns the orders whose end is not known to stand in the store, those that all
 // hosts were told to revert too: somebody has to write it.
-func (s *Switch) Open() []Order {
+func (s *Splitter) OpenOrders() []Order {
 	var open []Order
 	s.each(func(v *service) {
 		if v.order != nil && !v.order.recorded {
@@ -304,7 +304,7 @@
 }
 
 // each calls visit for each service under its lock.
-func (s *Switch) each(visit func(*service)) {
+func (s *Splitter) each(visit func(*service)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	for _, v := range s.services {
@@ -314,18 +314,18 @@
 	}
 }
 
-// Side says where a request goes. A hash of its id decides, so that each further send
+// SubsetFor says where a request goes. A hash of its id decides, so that each further send
 // of it goes the same way and no host needs another's word.
-func (s *Switch) Side(name string, kind Kind, request string, now time.Time) Side {
+func (s *Splitter) SubsetFor(name string, kind Kind, request string, now time.Time) Subset {
 	v := s.find(name)
 	if v == nil {
-		return Any
+		return Default
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	d := v.order
 	if d == nil {
-		return Any
+		return Default
 	}
 	d.asked++
 	d.kindOf(kind).asked++
@@ -333,7 +333,7 @@
 }
 
 // Rule returns the endpoints of a side.
-func (s *Switch) Rule(name string, side Side) Rule {
+func (s *Splitter) Rule(name string, side Subset) Rule {
 	v := s.find(name)
 	if v == nil {
 		return Rule{}
@@ -341,10 +341,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case side == Every:
+	case side == All:
 		return Rule{}
-	case v.order == nil || side == Any:
-		return Rule{Not: v.unvetted}
+	case v.order == nil || side == Default:
+		return Rule{ExcludedReleases: v.unvetted}
 	case side == Target:
 		return v.order.target
 	default:
@@ -352,21 +352,21 @@
 	}
 }
 
-// Instead says where a request goes for whose side no endpoint takes work: back to the
+// Fallback says where a request goes for whose side no endpoint takes work: back to the
 // others from a target that is tried, and to the target where nothing else is left and
 // its share allows. ok is false where there is nowhere.
-func (s *Switch) Instead(name string, side Side, now time.Time) (instead Side, ok bool) {
+func (s *Splitter) Fallback(name string, side Subset, now time.Time) (instead Subset, ok bool) {
 	v := s.find(name)
-	if v == nil || side == Every {
-		return Every, false
+	if v == nil || side == All {
+		return All, false
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	d := v.order
 	switch {
-	case d == nil || side == Any:
+	case d == nil || side == Default:
 		// A release may have replaced all endpoints faster than its version is vetted.
-		return Every, len(v.unvetted) > 0
+		return All, len(v.unvetted) > 0
 	case side == Target:
 		return Others, d.phase != Completed
 	case d.phase == Reverted:
--- a/pkg/rollout/switch_test.go
+++ b/pkg/rollout/switch_test.go
@@ -26,14 +26,14 @@
 }
 
 // split is a switch of one host that knows endpoints of some versions, each with eight.
-func split(releases ...string) (*rollout.Switch, []endpoint.Info) {
+func split(releases ...string) (*rollout.Splitter, []endpoint.Info) {
 	s := rollout.New(bounds)
 	var infos []endpoint.Info
 	for _, release := range releases {
-		s.Saw(service, release, began)
+		s.ObserveRelease(service, release, began)
 		infos = append(infos, endpoints(release, 8)...)
 	}
-	s.Survey(infos, true, began)
+	s.UpdateEndpoints(infos, true, began)
 	return s, infos
 }
 
@@ -43,7 +43,7 @@
 }
 
 // goes returns which versions may take a request, "-" for none.
-func goes(s *rollout.Switch, infos []endpoint.Info, side rollout.Side) string {
+func goes(s *rollout.Splitter, infos []endpoint.Info, side rollout.Subset) string {
 	rule := s.Rule(service, side)
 	seen := map[string]bool{}
 	text := ""
@@ -59,17 +59,17 @@
 	return text
 }
 
-func sideOf(s *rollout.Switch, id string, now time.Time) rollout.Side {
-	return s.Side(service, rollout.KindOf("route"), id, now)
+func sideOf(s *rollout.Splitter, id string, now time.Time) rollout.Subset {
+	return s.SubsetFor(service, rollout.KindOf("route"), id, now)
 }
 
 // A target that is tried gets its share and no more whatever the routes' parts are, a
 // rare route is tried too, and a request goes the same way however often it is sent.
 func TestTriedShare(t *testing.T) {
 	s, infos := split("v1")
-	s.Take(order, false)
-	s.Survey(append(infos, endpoints("v2", 8)...), true, began)
-	s.Apply(word(rollout.Trying, 0.06), began)
+	s.AddOrder(order, false)
+	s.UpdateEndpoints(append(infos, endpoints("v2", 8)...), true, began)
+	s.ApplyDirective(word(rollout.Trying, 0.06), began)
 	tried := map[string]int{}
 	const asked = 5000
 	for i := range asked {
@@ -78,12 +78,12 @@
 			name = "rare"
 		}
 		id := fmt.Sprint("r", i)
-		if s.Side(service, rollout.KindOf(name), id, began) != rollout.Target {
+		if s.SubsetFor(service, rollout.KindOf(name), id, began) != rollout.Target {
 			continue
 		}
 		tried[name]++
 		target := endpoints("v2", 1)[0]
-		s.Begin(service, &target, rollout.KindOf(name), 0, began)
+		s.StartAttempt(service, &target, rollout.KindOf(name), 0, began)
 	}
 	if got, most := tried["common"]+tried["rare"], 0.06*asked+3; float64(got) > most || float64(got) < 0.5*most {
 		t.Errorf("tried: got %d, want %.0f at most and half of it at least", got, most)
@@ -91,7 +91,7 @@
 	if got := tried["rare"]; got < 60 {
 		t.Errorf("tried of a rare route with 250 requests: got %d, want 60 at least", got)
 	}
-	s.Apply(word(rollout.Shifting, 0.4), began)
+	s.ApplyDirective(word(rollout.Shifting, 0.4), began)
 	for i := range 50 {
 		id := fmt.Sprint("again", i)
 		if first, second := sideOf(s, id, began), sideOf(s, id, began); first != second {
@@ -106,21 +106,21 @@
 	for _, c := range []struct {
 		phase rollout.Phase
 		after time.Duration
-		want  rollout.Side
+		want  rollout.Subset
 	}{
 		{rollout.Shifting, 700 * time.Millisecond, rollout.Target},
 		{rollout.Shifting, 900 * time.Millisecond, rollout.Others},
 		{rollout.Draining, time.Minute, rollout.Target},
 	} {
 		s, infos := split("v1")
-		s.Take(order, false)
-		s.Survey(append(infos, endpoints("v2", 8)...), true, began)
-		s.Apply(word(c.phase, 1), began)
+		s.AddOrder(order, false)
+		s.UpdateEndpoints(append(infos, endpoints("v2", 8)...), true, began)
+		s.ApplyDirective(word(c.phase, 1), began)
 		now := began.Add(c.after)
 		if got := sideOf(s, "r", now); got != c.want {
 			t.Errorf("%v, %v after the word: got side %v, want %v", c.phase, c.after, got, c.want)
 		}
-		if lapsed := len(s.Lapsed(now)) == 1; lapsed != (c.want == rollout.Others) {
+		if lapsed := len(s.NewlyExpired(now)) == 1; lapsed != (c.want == rollout.Others) {
 			t.Errorf("%v, %v after the word: told as lapsed: %v", c.phase, c.after, lapsed)
 		}
 	}
@@ -130,14 +130,14 @@
 // no slack of its own: it may have started since.
 func TestOrderIsLearnedByTheWord(t *testing.T) {
 	s, infos := split("v1")
-	s.Saw(service, "v2", began)
+	s.ObserveRelease(service, "v2", began)
 	infos = append(infos, endpoints("v2", 8)...)
-	s.Survey(infos, false, began)
-	s.Apply(word(rollout.Trying, 0.06), began)
+	s.UpdateEndpoints(infos, false, began)
+	s.ApplyDirective(word(rollout.Trying, 0.06), began)
 	if got := goes(s, infos, sideOf(s, "r", began)); got != "v1" {
 		t.Errorf("first request: got %s, want v1: there is no slack", got)
 	}
-	s.Apply(word(rollout.Draining, 1), began)
+	s.ApplyDirective(word(rollout.Draining, 1), began)
 	if got := goes(s, infos, sideOf(s, "r", began)); got != "v2" {
 		t.Errorf("drained: got %s, want v2", got)
 	}
@@ -150,22 +150,22 @@
 // does not get everything unseen.
 func TestTargetIsNotAloneForALoss(t *testing.T) {
 	s, _ := split("v1")
-	s.Take(order, false)
-	s.Survey(endpoints("v2", 8), true, began)
-	s.Apply(word(rollout.Trying, 0.06), began)
+	s.AddOrder(order, false)
+	s.UpdateEndpoints(endpoints("v2", 8), true, began)
+	s.ApplyDirective(word(rollout.Trying, 0.06), began)
 	target := endpoints("v2", 1)[0]
 	got := 0
 	for i := range 1000 {
 		side := sideOf(s, fmt.Sprint(i), began)
 		if goes(s, endpoints("v2", 8), side) == "-" {
-			instead, ok := s.Instead(service, side, began)
+			instead, ok := s.Fallback(service, side, began)
 			if !ok {
 				continue
 			}
 			side = instead
 		}
 		got++
-		s.Begin(service, &target, 0, 0, began)
+		s.StartAttempt(service, &target, 0, 0, began)
 	}
 	if got > 103 {
 		t.Errorf("with no other endpoint left: got %d of 1000 requests at the target, want 103 at most", got)
@@ -176,15 +176,15 @@
 // would have been heard; where the operator is not heard that takes longer.
 func TestNewVersionsWaitForAnOrder(t *testing.T) {
 	s, infos := split("v1")
-	s.Saw(service, "v2", began)
+	s.ObserveRelease(service, "v2", began)
 	infos = append(infos, endpoints("v2", 8)...)
 	for _, c := range []struct {
 		after time.Duration
 		fresh bool
 		want  string
 	}{{0, true, "v1"}, {2 * time.Second, true, "v1"}, {5 * time.Second, false, "v1"}, {6 * time.Second, true, "v1v2"}} {
-		s.Survey(infos, c.fresh, began.Add(c.after))
-		if instead, ok := s.Instead(service, rollout.Any, began); ok != (c.want == "v1") || ok && goes(s, infos[8:], instead) != "v2" {
+		s.UpdateEndpoints(infos, c.fresh, began.Add(c.after))
+		if instead, ok := s.Fallback(service, rollout.Default, began); ok != (c.want == "v1") || ok && goes(s, infos[8:], instead) != "v2" {
 			t.Errorf("%v after the first endpoint of v2, none of v1 left: got side %v, %v", c.after, instead, ok)
 		}
 		if got := goes(s, infos, sideOf(s, "r", began)); got != c.want {
@@ -200,10 +200,10 @@
 	infos = append(infos, endpoints("v2", 8)...)
 	infos = append(infos, endpoints("v3", 8)...)
 	end := func(o rollout.Order, phase rollout.Phase) {
-		s.Ended(rollout.State{Order: o, Phase: phase}, began)
+		s.ApplyState(rollout.State{Order: o, Phase: phase}, began)
 	}
-	s.Take(order, false)
-	s.Survey(infos[:16], true, began)
+	s.AddOrder(order, false)
+	s.UpdateEndpoints(infos[:16], true, began)
 	if got := goes(s, infos[:16], sideOf(s, "r", began)); got != "v1" {
 		t.Errorf("ordered, no word yet: got %s, want v1", got)
 	}
@@ -213,17 +213,17 @@
 		t.Errorf("reverted, then a late word of its completion: got %s, want v1", got)
 	}
 	next := rollout.Order{Service: service, Target: "v3", Period: time.Minute, ID: 9}
-	if s.Take(rollout.Order{Service: service, Target: "v3", Period: time.Minute, ID: 4}, false) {
+	if s.AddOrder(rollout.Order{Service: service, Target: "v3", Period: time.Minute, ID: 4}, false) {
 		t.Error("an older order was taken")
 	}
-	s.Take(next, false)
-	s.Survey(infos, true, began)
+	s.AddOrder(next, false)
+	s.UpdateEndpoints(infos, true, began)
 	if got := goes(s, infos, rollout.Others) + " " + goes(s, infos, rollout.Target); got != "v1 v3" {
 		t.Errorf("v3 after v2 was reverted: got %s, want v1 v3", got)
 	}
 	back := rollout.Order{Service: service, Target: "v1", Period: time.Minute, ID: 12}
-	s.Take(back, false)
-	s.Survey(infos, true, began)
+	s.AddOrder(back, false)
+	s.UpdateEndpoints(infos, true, began)
 	if got := goes(s, infos, sideOf(s, "r", began)); got != "v1" {
 		t.Errorf("back to v1: got %s, want v1", got)
 	}
@@ -240,25 +240,25 @@
 // may get, and never to one that was reverted a moment ago.
 func TestInstead(t *testing.T) {
 	s, infos := split("v1")
-	s.Take(order, false)
-	s.Survey(append(infos, endpoints("v2", 8)...), true, began)
+	s.AddOrder(order, false)
+	s.UpdateEndpoints(append(infos, endpoints("v2", 8)...), true, began)
 	target := endpoints("v2", 1)[0]
 	allowed := 0
 	for i := range 200 {
 		sideOf(s, fmt.Sprint(i), began)
-		if side, ok := s.Instead(service, rollout.Others, began); ok && side == rollout.Target {
+		if side, ok := s.Fallback(service, rollout.Others, began); ok && side == rollout.Target {
 			allowed++
-			s.Begin(service, &target, 0, 0, began)
+			s.StartAttempt(service, &target, 0, 0, began)
 		}
 	}
 	if allowed == 0 || allowed > 20 {
 		t.Errorf("with no other endpoint: got %d of 200 to the target, want some, 20 at most", allowed)
 	}
-	s.Ended(rollout.State{Order: order, Phase: rollout.Reverted}, began)
-	if _, ok := s.Instead(service, rollout.Others, began.Add(time.Second)); ok {
+	s.ApplyState(rollout.State{Order: order, Phase: rollout.Reverted}, began)
+	if _, ok := s.Fallback(service, rollout.Others, began.Add(time.Second)); ok {
 		t.Error("a reverted version was offered")
 	}
-	if side, ok := s.Instead(service, rollout.Others, began.Add(2*time.Minute)); !ok || side != rollout.Target {
+	if side, ok := s.Fallback(service, rollout.Others, began.Add(2*time.Minute)); !ok || side != rollout.Target {
 		t.Errorf("long after a revert with nothing else left: got %v, %v, want the target", side, ok)
 	}
 }
@@ -268,14 +268,14 @@
 	s, infos := split("v1")
 	kind := rollout.KindOf("route")
 	for i := range 40 {
-		sent := s.Begin(service, &infos[i%8], kind, 0, began)
+		sent := s.StartAttempt(service, &infos[i%8], kind, 0, began)
 		now := began.Add(time.Duration(40+i) * time.Millisecond)
-		s.Answered(sent, false, now)
-		s.End(sent, now)
+		s.RecordAnswer(sent, false, now)
+		s.FinishAttempt(sent, now)
 	}
-	s.Take(order, false)
+	s.AddOrder(order, false)
 	target := endpoints("v2", 1)[0]
-	s.Begin(service, &target, kind, 0, began)
+	s.StartAttempt(service, &target, kind, 0, began)
 	for _, c := range []struct {
 		after time.Duration
 		bad   int
@@ -295,13 +295,13 @@
 		b.Run(fmt.Sprint("ordered=", ordered), func(b *testing.B) {
 			s, _ := split("v1")
 			if ordered {
-				s.Take(order, false)
-				s.Apply(word(rollout.Trying, 0.06), began)
+				s.AddOrder(order, false)
+				s.ApplyDirective(word(rollout.Trying, 0.06), began)
 			}
 			kind := rollout.KindOf("route")
 			b.ReportAllocs()
 			for b.Loop() {
-				s.Side(service, kind, "9c41d07be2a35f68", began)
+				s.SubsetFor(service, kind, "9c41d07be2a35f68", began)
 			}
 		})
 	}
--- a/pkg/rolloutlab/host.go
+++ b/pkg/rolloutlab/host.go
@@ -29,7 +29,7 @@
 	play        *play
 	number      int
 	incarnation string
-	split       *rollout.Switch
+	split       *rollout.Splitter
 	order       rollout.Order
 	// harmedUntil is until when it does not count as in touch.
 	harmedUntil      time.Duration
@@ -72,7 +72,7 @@
 		h.start()
 		p.survey()
 		if h.hasOrder {
-			h.split.Take(h.order, true)
+			h.split.AddOrder(h.order, true)
 			h.readRow()
 			p.survey()
 		}
@@ -82,7 +82,7 @@
 func (h *host) hearOrder(o rollout.Order) {
 	h.order, h.hasOrder = o, true
 	if !h.down {
-		h.split.Take(o, false)
+		h.split.AddOrder(o, false)
 		h.play.survey()
 		h.feed()
 	}
@@ -96,7 +96,7 @@
 
 func (h *host) readRow() {
 	if h.play.hasRow && !h.cut && !h.down && !h.play.storeBad[StoreDown] {
-		h.split.Ended(h.play.row, h.play.time())
+		h.split.ApplyState(h.play.row, h.play.time())
 	}
 }
 
@@ -113,10 +113,10 @@
 	id := strconv.Itoa(number)
 	route := p.draw()
 	kind := rollout.KindOf("route" + strconv.Itoa(route))
-	side := h.split.Side(service, kind, id, p.time())
+	side := h.split.SubsetFor(service, kind, id, p.time())
 	e := h.choose(side)
 	if e == nil {
-		if instead, ok := h.split.Instead(service, side, p.time()); ok {
+		if instead, ok := h.split.Fallback(service, side, p.time()); ok {
 			e = h.choose(instead)
 		}
 	}
@@ -146,7 +146,7 @@
 }
 
 // choose picks the less busy of two endpoints of a side.
-func (h *host) choose(side rollout.Side) *server {
+func (h *host) choose(side rollout.Subset) *server {
 	rule := h.split.Rule(service, side)
 	var allowed []*server
 	for _, e := range h.play.endpoints {
@@ -180,7 +180,7 @@
 	}
 	failed = failed || bad && p.site.Target.Slow == 0
 	split, incarnation := h.split, h.incarnation
-	sent := split.Begin(service, &e.info, kind, 0, p.time())
+	sent := split.StartAttempt(service, &e.info, kind, 0, p.time())
 	p.after(took, func() {
 		e.running--
 		if bad {
@@ -189,8 +189,8 @@
 		if incarnation != h.incarnation {
 			return
 		}
-		split.Answered(sent, failed || e.gone, p.time())
-		split.End(sent, p.time())
+		split.RecordAnswer(sent, failed || e.gone, p.time())
+		split.FinishAttempt(sent, p.time())
 	})
 }
 
@@ -277,7 +277,7 @@
 }
 
 func (p *play) fleet(d *desk) rollout.Fleet {
-	f := rollout.Fleet{Callers: len(p.hosts)}
+	f := rollout.Fleet{Advertised: len(p.hosts)}
 	for incarnation := range d.heard {
 		f.Live = append(f.Live, incarnation)
 	}
@@ -285,9 +285,9 @@
 		switch {
 		case e.gone:
 		case e.info.Release == target:
-			f.Targets++
+			f.TargetEndpoints++
 		default:
-			f.Others++
+			f.OtherEndpoints++
 		}
 	}
 	return f
@@ -299,7 +299,7 @@
 	if p.storeBad[StoreDown] || epoch != p.epoch || p.row.Phase.Ended() {
 		return
 	}
-	p.row.Phase, p.row.Why = s.Write, s.Why
+	p.row.Phase, p.row.Reason = s.Write, s.Reason
 	if s.Write.Ended() {
 		p.outcome.Ended = p.line.Now() - warmUp
 	}
@@ -313,7 +313,7 @@
 	if p.storeBad[StoreLate] {
 		late = time.Second
 	}
-	p.after(late, func() { d.owner.Entered(s.Write, s.Why) })
+	p.after(late, func() { d.owner.SetPhase(s.Write, s.Reason) })
 }
 
 // round tells all hosts the owner's word and takes their reports.
@@ -328,7 +328,7 @@
 		}
 		split, incarnation := h.split, h.incarnation
 		p.after(wayTime, func() {
-			split.Apply(w, p.time())
+			split.ApplyDirective(w, p.time())
 			report, ok := split.Report(service, orderID, p.time())
 			if !ok || p.random.Float64() < lossPart {
 				return
--- a/pkg/rolloutlab/lab_test.go
+++ b/pkg/rolloutlab/lab_test.go
@@ -27,7 +27,7 @@
 	s := rolloutlab.Site{
 		Hosts: 4 + random.IntN(9), Endpoints: 60, Rate: 5 * float64(uint(1)<<random.IntN(7)) * (1 + 0.25*random.Float64()),
 		Period: time.Duration(6+random.IntN(55)) * time.Second,
-		Bounds: rollout.Bounds{Share: 0.1, Slack: 50}, Judge: rollout.Prices(),
+		Bounds: rollout.Bounds{Share: 0.1, Slack: 50}, Judge: rollout.DefaultBayesTest(),
 	}
 	s.Boot = time.Duration(random.Float64() * min(4, 0.3*s.Period.Seconds()) * float64(time.Second))
 	s.Routes = []rolloutlab.Route{
@@ -203,7 +203,7 @@
 	exposed, bad := 0, 0
 	for seed := uint64(1); seed < 40; seed += 2 {
 		site := drawSite(seed)
-		site.Judge.Prior = 1e-30
+		site.Judge.PriorBad = 1e-30
 		o := rolloutlab.Run(site, seed)
 		bad++
 		exposed += btoi(o.Exposed())
--- a/pkg/rolloutlab/play.go
+++ b/pkg/rolloutlab/play.go
@@ -107,7 +107,7 @@
 func (p *play) judge() {
 	o := &p.outcome
 	o.Phase = p.row.Phase
-	o.Why = p.row.Why
+	o.Why = p.row.Reason
 	o.Allowed = p.site.Bounds.Share*float64(o.Asked) + p.site.Bounds.Slack
 	if !p.site.Target.Bad() {
 		o.Allowed = math.Inf(1)
@@ -171,9 +171,9 @@
 	}
 	for _, h := range p.hosts {
 		for _, info := range infos {
-			h.split.Saw(service, info.Release, p.time())
+			h.split.ObserveRelease(service, info.Release, p.time())
 		}
-		h.split.Survey(infos, true, p.time())
+		h.split.UpdateEndpoints(infos, true, p.time())
 	}
 }
 
--- a/pkg/rolloutlab/site.go
+++ b/pkg/rolloutlab/site.go
@@ -89,7 +89,7 @@
 	Target Badness
 	Faults []Fault
 	Bounds rollout.Bounds
-	Judge  rollout.Bayes
+	Judge  rollout.BayesTest
 }
 
 // Route is one kind of request.
--- a/pkg/rolloutsync/desk.go
+++ b/pkg/rolloutsync/desk.go
@@ -18,29 +18,29 @@
 	"ironhollow/pkg/table"
 )
 
-// Status is the row that tells operators how a roll-out is.
-type Status interface {
+// StatusEncoder is the row that tells operators how a roll-out is.
+type StatusEncoder interface {
 	StatusKey(service string) string
 	EncodeStatus(state rollout.State) ([]byte, error)
 }
 
-// Fleet tells what an owner needs to know of hosts and endpoints.
-type Fleet func(order rollout.Order) rollout.Fleet
+// FleetFunc tells what an owner needs to know of hosts and endpoints.
+type FleetFunc func(order rollout.Order) rollout.Fleet
 
-// Held tells the lease under which this process owns all orders, and how long it is
+// LeaseFunc tells the lease under which this process owns all orders, and how long it is
 // held yet.
-type Held func() (grant lease.Grant, left time.Duration, ok bool)
+type LeaseFunc func() (grant lease.Grant, left time.Duration, ok bool)
 
-// Desk owns the open orders while this process holds the lease. Step is used by one
+// Coordinator owns the open orders while this process holds the lease. Step is used by one
 // goroutine, Hear and Words by any.
-type Desk struct {
-	rollouts *rollout.Switch
-	judge    rollout.Bayes
+type Coordinator struct {
+	rollouts *rollout.Splitter
+	judge    rollout.BayesTest
 	writer   *table.Writer
-	status   Status
-	fleet    Fleet
+	status   StatusEncoder
+	fleet    FleetFunc
 	clock    *storeclock.Clock
-	held     Held
+	held     LeaseFunc
 	log      *log.Logger
 
 	mu sync.Mutex
@@ -63,9 +63,9 @@
 	endedAt time.Duration
 }
 
-// NewDesk returns a desk that owns nothing yet.
-func NewDesk(rollouts *rollout.Switch, judge rollout.Bayes, writer *table.Writer, status Status, fleet Fleet, clock *storeclock.Clock, held Held, logger *log.Logger) *Desk {
-	return &Desk{
+// NewCoordinator returns a desk that owns nothing yet.
+func NewCoordinator(rollouts *rollout.Splitter, judge rollout.BayesTest, writer *table.Writer, status StatusEncoder, fleet FleetFunc, clock *storeclock.Clock, held LeaseFunc, logger *log.Logger) *Coordinator {
+	return &Coordinator{
 		rollouts: rollouts, judge: judge, writer: writer, status: status, fleet: fleet, clock: clock, held: held, log: logger,
 		owned: map[string]*owned{},
 	}
@@ -79,7 +79,7 @@
 const leastLeft = 150 * time.Millisecond
 
 // Step takes the open orders on, decides, and writes what was decided.
-func (d *Desk) Step(ctx context.Context) {
+func (d *Coordinator) Step(ctx context.Context) {
 	grant, left, ok := d.held()
 	now, known := d.clock.Store()
 	if !ok || !known || left < leastLeft {
@@ -88,7 +88,7 @@
 	}
 	ctx, cancel := steady.WithTimeout(ctx, left-leastLeft/2)
 	defer cancel()
-	open := d.rollouts.Open()
+	open := d.rollouts.OpenOrders()
 	d.keep(open, now)
 	for _, order := range open {
 		d.step(ctx, order, grant, now)
@@ -96,14 +96,14 @@
 }
 
 // forget drops all orders: another process may own them.
-func (d *Desk) forget() {
+func (d *Coordinator) forget() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.owned)
 }
 
 // keep drops the orders that are not open any more, those that have ended after a while.
-func (d *Desk) keep(open []rollout.Order, now time.Duration) {
+func (d *Coordinator) keep(open []rollout.Order, now time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for service, o := range d.owned {
@@ -121,13 +121,13 @@
 	}
 }
 
-func (d *Desk) get(service string) *owned {
+func (d *Coordinator) get(service string) *owned {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.owned[service]
 }
 
-func (d *Desk) step(ctx context.Context, order rollout.Order, grant lease.Grant, now time.Duration) {
+func (d *Coordinator) step(ctx context.Context, order rollout.Order, grant lease.Grant, now time.Duration) {
 	o := d.get(order.Service)
 	if o != nil && (o.owner.State().Order.ID != order.ID || o.epoch != grant.Epoch) {
 		o = nil
@@ -144,7 +144,7 @@
 }
 
 // next decides and keeps what the hosts are told.
-func (d *Desk) next(o *owned, order rollout.Order, now time.Duration) rollout.Step {
+func (d *Coordinator) next(o *owned, order rollout.Order, now time.Duration) rollout.Step {
 	fleet := d.fleet(order)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -152,7 +152,7 @@
 	o.directive = step.Directive
 	if o.directive.Number != o.shown.Number || o.shown.Order == 0 {
 		d.log.Info().Str("service", order.Service).Int64("order", order.ID).Int64("epoch", o.epoch).Int64("directive", o.directive.Number).
-			Str("state", o.owner.Summary(now)).Strs("left-out", o.directive.Suspects).Str("why", step.Why).Msg("roll-out goes on")
+			Str("state", o.owner.Summary(now)).Strs("left-out", o.directive.Suspects).Str("why", step.Reason).Msg("roll-out goes on")
 		o.shown = o.directive
 	}
 	return step
@@ -161,7 +161,7 @@
 // take reads an order's row, or makes it, and writes it anew: from then on no write of
 // an owner before, or of this one that is still on its way, takes effect. before is what
 // this process owned and is in doubt of, nil for nothing.
-func (d *Desk) take(ctx context.Context, before *owned, order rollout.Order, grant lease.Grant, now time.Duration) *owned {
+func (d *Coordinator) take(ctx context.Context, before *owned, order rollout.Order, grant lease.Grant, now time.Duration) *owned {
 	held, exists, err := d.writer.Store().Get(ctx, Key(order.Service))
 	if err != nil {
 		return nil
@@ -190,7 +190,7 @@
 	}
 	recovered := d.recoverPhase(&state)
 	if state.Phase.Ended() && !recovered && !renumbered {
-		d.rollouts.Ended(state, d.clock.Now())
+		d.rollouts.ApplyState(state, d.clock.Now())
 		return nil
 	}
 	version, err := d.commit(ctx, state, grant.Epoch, condition)
@@ -199,14 +199,14 @@
 		return nil
 	}
 	if state.Phase.Ended() {
-		d.rollouts.Ended(state, d.clock.Now())
+		d.rollouts.ApplyState(state, d.clock.Now())
 		return nil
 	}
 	if before != nil {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		before.version, before.inDoubt = version, false
-		before.owner.Entered(state.Phase, state.Why)
+		before.owner.SetPhase(state.Phase, state.Reason)
 		return before
 	}
 	o := &owned{owner: rollout.NewOwner(state, d.rollouts.Bounds(), d.judge, grant.Epoch, now), epoch: grant.Epoch, version: version}
@@ -220,7 +220,7 @@
 
 // recoverPhase raises a state read from a restored store to the phase that this host knows was
 // written before the restore. It reports whether the restore had lost that phase.
-func (d *Desk) recoverPhase(state *rollout.State) bool {
+func (d *Coordinator) recoverPhase(state *rollout.State) bool {
 	if !storeversion.IsRestored(storeversion.Era(state.Order.ID)) {
 		return false
 	}
@@ -228,12 +228,12 @@
 	if phase < rollout.Draining || phase <= state.Phase {
 		return false
 	}
-	state.Phase, state.Why = phase, "written before the store was restored"
+	state.Phase, state.Reason = phase, "written before the store was restored"
 	return true
 }
 
 // commit writes an order's row and the operator's together.
-func (d *Desk) commit(ctx context.Context, state rollout.State, epoch int64, condition table.Condition) (version int64, err error) {
+func (d *Coordinator) commit(ctx context.Context, state rollout.State, epoch int64, condition table.Condition) (version int64, err error) {
 	value, err := encodeState(state, epoch)
 	if err != nil {
 		return 0, err
@@ -268,11 +268,11 @@
 
 // write writes a phase. Where it is not known whether that took effect, or another
 // process has written, the row is read anew before anything else is written.
-func (d *Desk) write(ctx context.Context, o *owned, step rollout.Step) {
+func (d *Coordinator) write(ctx context.Context, o *owned, step rollout.Step) {
 	d.mu.Lock()
 	state := o.owner.State()
 	d.mu.Unlock()
-	state.Phase, state.Why = step.Write, step.Why
+	state.Phase, state.Reason = step.Write, step.Reason
 	version, err := d.commit(ctx, state, o.epoch, table.AtVersion{Version: o.version})
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -285,18 +285,18 @@
 	// read the row back before the next write.
 	o.inDoubt = storeversion.Era(version) != storeversion.Era(o.version)
 	o.version = version
-	o.owner.Entered(step.Write, step.Why)
+	o.owner.SetPhase(step.Write, step.Reason)
 	if step.Write.Ended() {
 		o.endedAt, _ = d.clock.Store()
 		o.directive = o.owner.Next(rollout.Fleet{}, o.endedAt).Directive
 	}
-	d.rollouts.Ended(state, d.clock.Now())
+	d.rollouts.ApplyState(state, d.clock.Now())
 	d.log.Info().Str("service", state.Order.Service).Int64("order", state.Order.ID).Str("target", state.Order.Target).
-		Str("phase", step.Write.String()).Str("why", step.Why).Int64("epoch", o.epoch).Msg("roll-out decided")
+		Str("phase", step.Write.String()).Str("why", step.Reason).Int64("epoch", o.epoch).Msg("roll-out decided")
 }
 
 // ApplyReport applies a host's report.
-func (d *Desk) ApplyReport(incarnation string, r rollout.Report) {
+func (d *Coordinator) ApplyReport(incarnation string, r rollout.Report) {
 	now, known := d.clock.Store()
 	if !known {
 		return
@@ -309,7 +309,7 @@
 }
 
 // Directives returns what the hosts are to be sent, nothing while this process owns nothing.
-func (d *Desk) Directives() []rollout.Directive {
+func (d *Coordinator) Directives() []rollout.Directive {
 	if _, _, ok := d.held(); !ok {
 		return nil
 	}
--- a/pkg/rolloutsync/desk_test.go
+++ b/pkg/rolloutsync/desk_test.go
@@ -46,9 +46,9 @@
 type host struct {
 	fleet    *fleet
 	name     string
-	rollouts *rollout.Switch
+	rollouts *rollout.Splitter
 	leases   *lease.Manager
-	desk     *rolloutsync.Desk
+	desk     *rolloutsync.Coordinator
 	paused   atomic.Bool
 	stop     context.CancelFunc
 }
@@ -101,11 +101,11 @@
 		grant, ok := h.leases.Held(shard)
 		return grant, h.leases.Left(shard), ok
 	}
-	h.desk = rolloutsync.NewDesk(h.rollouts, rollout.Prices(), writer, status{}, f.known, clock, held, quiet)
-	h.rollouts.Saw(service, "v1", time.Now())
-	h.rollouts.Survey(infos(), true, time.Now())
-	h.rollouts.Take(order, f.starts > 3)
-	h.rollouts.Survey(infos(), true, time.Now())
+	h.desk = rolloutsync.NewCoordinator(h.rollouts, rollout.DefaultBayesTest(), writer, status{}, f.known, clock, held, quiet)
+	h.rollouts.ObserveRelease(service, "v1", time.Now())
+	h.rollouts.UpdateEndpoints(infos(), true, time.Now())
+	h.rollouts.AddOrder(order, f.starts > 3)
+	h.rollouts.UpdateEndpoints(infos(), true, time.Now())
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
 	f.mu.Lock()
@@ -131,7 +131,7 @@
 }
 
 func (f *fleet) known(rollout.Order) rollout.Fleet {
-	known := rollout.Fleet{Callers: len(f.hosts), Others: 4, Targets: 4}
+	known := rollout.Fleet{Advertised: len(f.hosts), OtherEndpoints: 4, TargetEndpoints: 4}
 	for _, h := range f.all() {
 		if !h.paused.Load() {
 			known.Live = append(known.Live, h.name)
@@ -164,7 +164,7 @@
 			if other.paused.Load() || h.fleet.draw(10) == 0 {
 				continue
 			}
-			other.rollouts.Apply(w, time.Now())
+			other.rollouts.ApplyDirective(w, time.Now())
 			if r, ok := other.rollouts.Report(service, w.Order, time.Now()); ok {
 				h.desk.ApplyReport(other.name, r)
 			}
@@ -175,7 +175,7 @@
 func (h *host) readRow(ctx context.Context) {
 	if row, ok, err := h.fleet.store.Get(ctx, rolloutsync.Key(service)); ok && err == nil {
 		if state, err := rolloutsync.DecodeState(row.Value); err == nil {
-			h.rollouts.Ended(state, time.Now())
+			h.rollouts.ApplyState(state, time.Now())
 		}
 	}
 }
@@ -184,7 +184,7 @@
 func (h *host) serve(context.Context) {
 	now := time.Now()
 	kind := rollout.KindOf("route")
-	side := h.rollouts.Side(service, kind, fmt.Sprint(h.fleet.draw(1<<40)), now)
+	side := h.rollouts.SubsetFor(service, kind, fmt.Sprint(h.fleet.draw(1<<40)), now)
 	rule := h.rollouts.Rule(service, side)
 	first := h.fleet.draw(8)
 	for i := range 8 {
@@ -192,12 +192,12 @@
 		if !rule.Allows(&info) {
 			continue
 		}
-		sent := h.rollouts.Begin(service, &info, kind, 0, now)
+		sent := h.rollouts.StartAttempt(service, &info, kind, 0, now)
 		go func() {
 			time.Sleep(time.Duration(20+h.fleet.draw(40)) * time.Millisecond)
 			failed := h.fleet.isBad() && info.Release == "v2" && h.fleet.draw(2) == 0
-			h.rollouts.Answered(sent, failed, time.Now())
-			h.rollouts.End(sent, time.Now())
+			h.rollouts.RecordAnswer(sent, failed, time.Now())
+			h.rollouts.FinishAttempt(sent, time.Now())
 		}()
 		return
 	}
@@ -267,7 +267,7 @@
 		t.Errorf("seed %d: got %v, want %v", seed, most, want)
 	}
 	for _, h := range f.hosts {
-		if open := h.rollouts.Open(); len(open) > 0 {
+		if open := h.rollouts.OpenOrders(); len(open) > 0 {
 			t.Errorf("seed %d: %s holds the order for open, want it %v", seed, h.name, most)
 		}
 	}
@@ -321,7 +321,7 @@
 			renumbered := order
 			renumbered.ID = storeversion.New(1, 3)
 			for _, h := range f.hosts {
-				if h.rollouts.Take(renumbered, false) {
+				if h.rollouts.AddOrder(renumbered, false) {
 					t.Errorf("%s: order from before the restore: got it taken as new, want it recognized", h.name)
 				}
 			}
@@ -330,7 +330,7 @@
 				t.Errorf("phase after the restore: got %v, want %v as before", got, ended)
 			}
 			for _, h := range f.hosts {
-				if open := h.rollouts.Open(); len(open) > 0 {
+				if open := h.rollouts.OpenOrders(); len(open) > 0 {
 					t.Errorf("%s still has the order open, want it %v", h.name, ended)
 				}
 				h.stop()
@@ -356,7 +356,7 @@
 			renumbered := order
 			renumbered.ID = storeversion.New(1, 3)
 			for _, h := range f.hosts {
-				h.rollouts.Take(renumbered, false)
+				h.rollouts.AddOrder(renumbered, false)
 			}
 			time.Sleep(20 * time.Second)
 			if got := f.phase(); got != rollout.Completed {
@@ -383,8 +383,8 @@
 			next := order
 			next.ID = id
 			for _, h := range f.hosts {
-				h.rollouts.Take(next, false)
-				h.rollouts.Survey(infos(), true, time.Now())
+				h.rollouts.AddOrder(next, false)
+				h.rollouts.UpdateEndpoints(infos(), true, time.Now())
 			}
 		}
 		takeOnAll(storeversion.New(1, 3))
@@ -409,7 +409,7 @@
 func TestWordsAndReportsAreCarried(t *testing.T) {
 	w := rollout.Directive{
 		Service: service, Order: 5, Target: "v2", Period: time.Second, Phase: rollout.Shifting, Share: 0.25, Slack: 3, Epoch: 2, Number: 9, Suspects: []string{"e1"},
-		Bounds: []rollout.SlowBound{{Kind: 4, Value: 0.5, Answers: 20}},
+		SlowThresholds: []rollout.SlowThreshold{{Kind: 4, Value: 0.5, Answers: 20}},
 	}
 	data, err := rolloutsync.EncodeDirectives([]rollout.Directive{w})
 	if err != nil {
@@ -420,12 +420,12 @@
 		t.Errorf("words: got %s, want %s", got, want)
 	}
 	r := rollout.Report{
-		Service: service, Order: 5, Phase: rollout.Draining, Epoch: 2, Number: 9, Asked: 100, Tried: 7, OthersRunning: 2, Longest: 3 * time.Second,
+		Service: service, Order: 5, Phase: rollout.Draining, Epoch: 2, Number: 9, Requests: 100, TargetRequests: 7, OthersRunning: 2, LongestOther: 3 * time.Second,
 		Tallies: []rollout.Tally{
 			{Kind: 4, Count: rollout.Count{Answers: 90, Bad: 1}},
 			{Kind: 4, Endpoint: "e1", Count: rollout.Count{Answers: 7, Bad: 3}},
 		},
-		Bounds: []rollout.SlowBound{{Kind: 4, Value: 0.5, Answers: 20}},
+		SlowThresholds: []rollout.SlowThreshold{{Kind: 4, Value: 0.5, Answers: 20}},
 	}
 	if data, err = rolloutsync.EncodeReports([]rollout.Report{r}); err != nil {
 		t.Fatal(err)
--- a/pkg/rolloutsync/wire.go
+++ b/pkg/rolloutsync/wire.go
@@ -82,7 +82,7 @@
 	for _, w := range directives {
 		m.Words = append(m.Words, wireDirective{
 			Service: w.Service, Order: w.Order, Target: w.Target, PeriodMS: w.Period.Milliseconds(), Phase: int(w.Phase), Share: float32(w.Share), Slack: w.Slack,
-			Epoch: w.Epoch, Number: w.Number, Suspects: w.Suspects, Bounds: encodeBounds(w.Bounds),
+			Epoch: w.Epoch, Number: w.Number, Suspects: w.Suspects, Bounds: encodeBounds(w.SlowThresholds),
 		})
 	}
 	return cbor.Marshal(m)
@@ -99,8 +99,8 @@
 
 func encodeReport(r rollout.Report) report {
 	w := report{
-		Service: r.Service, Order: r.Order, Phase: int(r.Phase), Epoch: r.Epoch, Number: r.Number, Asked: r.Asked, Tried: r.Tried,
-		OthersRunning: r.OthersRunning, LongestMS: r.Longest.Milliseconds(), Bounds: encodeBounds(r.Bounds),
+		Service: r.Service, Order: r.Order, Phase: int(r.Phase), Epoch: r.Epoch, Number: r.Number, Asked: r.Requests, Tried: r.TargetRequests,
+		OthersRunning: r.OthersRunning, LongestMS: r.LongestOther.Milliseconds(), Bounds: encodeBounds(r.SlowThresholds),
 	}
 	places := map[string]int{"": 0}
 	for _, t := range r.Tallies[:min(len(r.Tallies), mostTallies)] {
@@ -120,7 +120,7 @@
 	return w
 }
 
-func encodeBounds(bounds []rollout.SlowBound) []bound {
+func encodeBounds(bounds []rollout.SlowThreshold) []bound {
 	var list []bound
 	for _, b := range bounds[:min(len(bounds), mostBounds)] {
 		list = append(list, bound{Kind: uint32(b.Kind), Value: float32(b.Value), Answers: b.Answers})
@@ -128,10 +128,10 @@
 	return list
 }
 
-func decodeBounds(bounds []bound) []rollout.SlowBound {
-	var list []rollout.SlowBound
+func decodeBounds(bounds []bound) []rollout.SlowThreshold {
+	var list []rollout.SlowThreshold
 	for _, b := range bounds {
-		list = append(list, rollout.SlowBound{Kind: rollout.Kind(b.Kind), Value: float64(b.Value), Answers: b.Answers})
+		list = append(list, rollout.SlowThreshold{Kind: rollout.Kind(b.Kind), Value: float64(b.Value), Answers: b.Answers})
 	}
 	return list
 }
@@ -145,7 +145,7 @@
 	for _, w := range m.Words {
 		directives = append(directives, rollout.Directive{
 			Service: w.Service, Order: w.Order, Target: w.Target, Period: time.Duration(w.PeriodMS) * time.Millisecond, Phase: rollout.Phase(w.Phase), Share: float64(w.Share), Slack: w.Slack,
-			Epoch: w.Epoch, Number: w.Number, Suspects: w.Suspects, Bounds: decodeBounds(w.Bounds),
+			Epoch: w.Epoch, Number: w.Number, Suspects: w.Suspects, SlowThresholds: decodeBounds(w.Bounds),
 		})
 	}
 	for _, r := range m.Reports {
@@ -160,8 +160,8 @@
 
 func (r report) decode() (rollout.Report, error) {
 	d := rollout.Report{
-		Service: r.Service, Order: r.Order, Phase: rollout.Phase(r.Phase), Epoch: r.Epoch, Number: r.Number, Asked: r.Asked, Tried: r.Tried,
-		OthersRunning: r.OthersRunning, Longest: time.Duration(r.LongestMS) * time.Millisecond, Bounds: decodeBounds(r.Bounds),
+		Service: r.Service, Order: r.Order, Phase: rollout.Phase(r.Phase), Epoch: r.Epoch, Number: r.Number, Requests: r.Asked, TargetRequests: r.Tried,
+		OthersRunning: r.OthersRunning, LongestOther: time.Duration(r.LongestMS) * time.Millisecond, SlowThresholds: decodeBounds(r.Bounds),
 	}
 	for _, t := range r.Tallies {
 		if t.Endpoint < 0 || t.Endpoint > len(r.Endpoints) || t.Kind < 0 || t.Kind >= len(r.Kinds) {
@@ -198,7 +198,7 @@
 func encodeState(s rollout.State, epoch int64) ([]byte, error) {
 	return cbor.Marshal(row{
 		Service: s.Order.Service, Target: s.Order.Target, PeriodMS: s.Order.Period.Milliseconds(), Order: s.Order.ID,
-		Phase: int(s.Phase), StartedMS: s.Started.Milliseconds(), Why: s.Why, Epoch: epoch,
+		Phase: int(s.Phase), StartedMS: s.Started.Milliseconds(), Why: s.Reason, Epoch: epoch,
 	})
 }
 
@@ -212,6 +212,6 @@
 		Order: rollout.Order{
 			Service: r.Service, Target: r.Target, Period: time.Duration(r.PeriodMS) * time.Millisecond, ID: r.Order,
 		},
-		Phase: rollout.Phase(r.Phase), Started: time.Duration(r.StartedMS) * time.Millisecond, Why: r.Why,
+		Phase: rollout.Phase(r.Phase), Started: time.Duration(r.StartedMS) * time.Millisecond, Reason: r.Why,
 	}, nil
 }
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -84,7 +84,7 @@
 	// last answered, both counted from the clock's start in nanoseconds; 0 while it
 	// fails.
 	inTouchSince, heardAt atomic.Int64
-	rollouts              *rollout.Switch
+	rollouts              *rollout.Splitter
 	// rowsRead says that the hosts' rows have been read once, idle what they showed then.
 	rowsRead bool
 	idle     atomic.Int64
@@ -97,7 +97,7 @@
 // New returns the view of a host whose process has the incarnation self. heartbeat
 // is the time between two writes of an endpoint's row.
 func New(decoder Decoder, heartbeat time.Duration, c *storeclock.Clock, members *roster.Roster, home route.Home, self string,
-	rollouts *rollout.Switch, logger *log.Logger,
+	rollouts *rollout.Splitter, logger *log.Logger,
 ) *View {
 	directory := endpoint.NewDirectory()
 	othersHeard := func(whole time.Duration) bool { return members.InTouch(self, whole, c.Now()) }
@@ -117,11 +117,11 @@
 
 // decodeSeen decodes endpoints' rows and notes their versions before requests can go
 // there.
-func decodeSeen(decoder Decoder, rollouts *rollout.Switch, c *storeclock.Clock) discovery.Decode {
+func decodeSeen(decoder Decoder, rollouts *rollout.Splitter, c *storeclock.Clock) discovery.Decode {
 	return func(id string, value []byte) (endpoint.Info, error) {
 		info, err := decoder.DecodeEndpoint(id, value)
 		if err == nil {
-			rollouts.Saw(info.Service, info.Release, c.Now())
+			rollouts.ObserveRelease(info.Service, info.Release, c.Now())
 		}
 		return info, err
 	}
@@ -305,7 +305,7 @@
 		v.log.Error().Err(err).Int64("row", row.Version).Msg("order of a roll-out not taken")
 		return
 	}
-	if v.rollouts.Take(order, first) {
+	if v.rollouts.AddOrder(order, first) {
 		v.log.Info().Str("service", order.Service).Str("target", order.Target).Dur("period", order.Period).Int64("order", order.ID).
 			Bool("at-start", first).Msg("roll-out ordered")
 	}
