--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -81,7 +81,7 @@
 // gatherer returns the entry that commits for this data centre.
 func (g *Gatherer) gatherer() (membership.Node, bool) {
 	var centre []membership.Node
-	for _, n := range g.nodes.Serving() {
+	for _, n := range g.nodes.ServingNodes() {
 		if n.DataCenter == g.self.DataCenter {
 			centre = append(centre, n)
 		}
--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -46,7 +46,7 @@
 	leases    *lease.Manager
 	engines   engine.API
 	cloud     cloud.API
-	hosts     hostlist.List
+	hosts     hostlist.Source
 	operators *operatorapi.API
 	counters  *Counters
 	tls       process.TLS
@@ -108,7 +108,7 @@
 	return cloud.New(s.cloudAddress, s.platformTime, client)
 }
 
-func newHosts(s Settings, client *http.Client) hostlist.List {
+func newHosts(s Settings, client *http.Client) hostlist.Source {
 	return hostlist.New(s.hostListAddress, s.platformTime, client)
 }
 
@@ -121,7 +121,7 @@
 func newApp(
 	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.Guard,
 	writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table, endpoints *endpoint.Directory,
-	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engines engine.API, cloudAPI cloud.API, hosts hostlist.List,
+	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engines engine.API, cloudAPI cloud.API, hosts hostlist.Source,
 	operators *operatorapi.API, counters *Counters, t process.TLS,
 ) *App {
 	return &App{
--- a/pkg/app/control/shards.go
+++ b/pkg/app/control/shards.go
@@ -82,7 +82,7 @@
 			list = append(list, n)
 			continue
 		}
-		if n.Control && n.Serves() {
+		if n.HasControl && n.Serves() {
 			list = append(list, n)
 		}
 	}
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -151,7 +151,7 @@
 
 // share keeps limits and gates in step with the other entries.
 func (a *App) share(context.Context) {
-	nodes := a.nodes.Serving()
+	nodes := a.nodes.ServingNodes()
 	serving := max(len(nodes), 1)
 	a.router.SetEntries(serving)
 	a.shareLimits(nodes)
@@ -244,7 +244,7 @@
 // recoverNode takes this entry's part of the jobs that incarnations of a node
 // up to the given one still own.
 func (a *App) recoverNode(ctx context.Context, id string, incarnation int64) {
-	serving := a.nodes.Serving()
+	serving := a.nodes.ServingNodes()
 	rank := membership.RankOf(id, a.self.ID, serving)
 	of := min(helpers, len(serving))
 	if rank < 0 || rank >= of || a.wasRecovered(id, incarnation) {
@@ -278,7 +278,7 @@
 func (a *App) sweep(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTime)
 	defer cancel()
-	if membership.RankOf("sweep", a.self.ID, a.nodes.Serving()) != 0 {
+	if membership.RankOf("sweep", a.self.ID, a.nodes.ServingNodes()) != 0 {
 		return
 	}
 	registered, err := a.registered(ctx)
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -147,7 +147,7 @@
 
 func (n *node) orderEndpoints(ctx context.Context, held func() (lease.Grant, bool)) {
 	current, _ := n.view.Tables().Current()
-	if current == nil || !n.view.Endpoints().Known() {
+	if current == nil || !n.view.Endpoints().Loaded() {
 		return
 	}
 	serving := map[autoscale.Place]int{}
@@ -157,7 +157,7 @@
 			serving[autoscale.Place{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
 		}
 	}
-	works := n.view.Roster().Works(now)
+	works := n.view.Roster().Demands(now)
 	most := 0.0
 	if rate, ok := current.TokenRate(); ok {
 		most = rate * engineFigures.Prefill.Seconds()
@@ -201,7 +201,7 @@
 
 // sweepRows removes rows of processes that are long dead.
 func (n *node) sweepRows(ctx context.Context) {
-	for _, incarnation := range n.view.Roster().Silent(rowKept) {
+	for _, incarnation := range n.view.Roster().SilentIncarnations(rowKept) {
 		write := table.Write{Key: storeview.RosterTable + "/" + incarnation, Delete: true, If: table.Always{}}
 		if _, ok := n.store.Commit(ctx, table.Commit{Writes: []table.Write{write}}).(table.Done); !ok {
 			return
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -46,7 +46,7 @@
 // beat writes this process's row until ctx ends.
 func (n *node) beat(ctx context.Context) {
 	n.awaitStore(ctx)
-	if n.view.IsRelayed() && !n.view.Roster().Advertises(n.settings.Node) {
+	if n.view.IsRelayed() && !n.view.Roster().IsAdvertised(n.settings.Node) {
 		pause.For(ctx, rand.N(n.rowSpread()))
 	}
 	loop := n.watchdog.Watch("heartbeat")
@@ -73,13 +73,13 @@
 // the core do, so that rows, calls for them and their bytes do not grow with the fleet.
 func (n *node) writesRow() bool {
 	members := n.view.Roster()
-	return !members.IsLeveled() || members.InCore(n.settings.Node)
+	return !members.IsHierarchical() || members.InCore(n.settings.Node)
 }
 
 // rowSpread is the time over which rows of hosts without callers are spread, by how many
 // are known.
 func (n *node) rowSpread() time.Duration {
-	return roster.Pace(rowSpread, n.view.Roster().Sharing())
+	return roster.ScaleInterval(rowSpread, n.view.Roster().Sharing())
 }
 
 // awaitStore waits until the store has answered.
@@ -97,18 +97,18 @@
 // A host that has served nobody yet waits for least, whatever its rank.
 func (n *node) rowPause(least time.Duration) time.Duration {
 	members := n.view.Roster()
-	if members.IsLeveled() {
-		return roster.Pace(heartbeat, members.CoreSize())
+	if members.IsHierarchical() {
+		return roster.ScaleInterval(heartbeat, members.CoreSize())
 	}
 	serving := n.router.HasOwn() || len(n.counter.Recent()) > 0
-	if serving || members.Advertises(n.settings.Node) {
-		pace := roster.Pace(heartbeat, members.Advertised())
+	if serving || members.IsAdvertised(n.settings.Node) {
+		pace := roster.ScaleInterval(heartbeat, members.Advertised())
 		if serving || !n.view.IsRelayed() {
 			return pace
 		}
 		return max(pace, least)
 	}
-	return roster.Pace(idleHeartbeats*heartbeat, members.Sharing())
+	return roster.ScaleInterval(idleHeartbeats*heartbeat, members.Sharing())
 }
 
 // idleHeartbeats is how many times less often a host without callers writes its row: its
@@ -128,12 +128,12 @@
 	row := roster.Row{
 		Host:        n.host(),
 		Sequence:    n.row.sequence,
-		Written:     written,
+		WrittenAt:   written,
 		ClockOffset: offset,
 		Counts:      n.counter.Recent(),
 	}
 	row.Loads = n.loads.Own()
-	row.Works = n.ownWorks(now)
+	row.Demands = n.ownWorks(now)
 	value, err := row.Encode()
 	if err != nil {
 		n.log.Error().Err(err).Msg("own row not encoded")
@@ -156,14 +156,14 @@
 
 func (n *node) host() roster.Host {
 	return roster.Host{
-		Incarnation: string(n.incarnation),
-		Node:        n.settings.Node,
-		DataCenter:  n.settings.DataCenter,
-		Callers:     n.settings.Callers,
-		Peers:       n.settings.Peers,
-		Since:       n.clock.Since(),
-		Millicores:  int(millicores * n.settings.Cores),
-		Leaving:     n.life.leaving(),
+		Incarnation:   string(n.incarnation),
+		Node:          n.settings.Node,
+		DataCenter:    n.settings.DataCenter,
+		CallerAddress: n.settings.Callers,
+		PeerAddress:   n.settings.Peers,
+		StartedAt:     n.clock.Since(),
+		Millicores:    int(millicores * n.settings.Cores),
+		Leaving:       n.life.leaving(),
 	}
 }
 
@@ -179,7 +179,7 @@
 func (n *node) noteRole() {
 	members := n.view.Roster()
 	now := fleetRole{
-		advertised: members.Advertises(n.settings.Node),
+		advertised: members.IsAdvertised(n.settings.Node),
 		relay:      n.view.IsRelay(),
 		standby:    n.standsBy(),
 		hosts:      members.Advertised(),
--- a/pkg/app/node/listen.go
+++ b/pkg/app/node/listen.go
@@ -82,9 +82,9 @@
 func (n *node) directoryHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.platform.DirectoryPath(), func(w http.ResponseWriter, _ *http.Request) {
-		entries := n.view.Roster().Entries()
+		entries := n.view.Roster().AdvertisedHosts()
 		if len(entries) == 0 && !n.life.leaving() {
-			entries = []roster.Entry{{Node: n.settings.Node, DataCenter: n.settings.DataCenter, Callers: n.settings.Callers}}
+			entries = []roster.AdvertisedHost{{Node: n.settings.Node, DataCenter: n.settings.DataCenter, CallerAddress: n.settings.Callers}}
 		}
 		if err := n.platform.EncodeEntries(w, entries, entriesKept); err != nil {
 			n.log.Debug().Err(err).Msg("a caller left while it was told the entries")
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -9,15 +9,15 @@
 )
 
 // ownWorks is the engine time asked for here, of services whose size follows it.
-func (n *node) ownWorks(now time.Time) []roster.Work {
+func (n *node) ownWorks(now time.Time) []roster.Demand {
 	current, _ := n.view.Tables().Current()
 	if current == nil {
 		return nil
 	}
-	var works []roster.Work
+	var works []roster.Demand
 	for _, service := range current.Services() {
 		if rate := n.router.Work(route.Target{Service: service.Name}, now); service.Scaling != nil && rate > 0 {
-			works = append(works, roster.Work{Service: service.Name, Rate: rate})
+			works = append(works, roster.Demand{Service: service.Name, Rate: rate})
 		}
 	}
 	return works
@@ -28,7 +28,7 @@
 	now := n.clock.Now()
 	return gossip.Update{
 		Status: roster.Status{
-			Host: n.host(), Loads: n.loads.Own(), Works: n.ownWorks(now), Counts: n.counter.Latest(), InTouch: n.view.InTouch(),
+			Host: n.host(), Loads: n.loads.Own(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.InTouch(),
 			LeaseVersion: n.leases.Version(dutyShard),
 		},
 		Spent:   n.limits.Own(now),
@@ -57,7 +57,7 @@
 		n.view.Roster().Subscribe(update.Host, now)
 		return
 	}
-	if len(update.Digest.Alive)+len(update.Digest.Hosts) > 0 {
+	if len(update.Digest.LiveHosts)+len(update.Digest.Hosts) > 0 {
 		n.view.Roster().ApplyDigest(update.Incarnation, update.Digest, now)
 		return
 	}
@@ -89,7 +89,7 @@
 
 // sharers returns the hosts that take callers, by name.
 func (n *node) sharers() []string {
-	entries := n.view.Roster().Entries()
+	entries := n.view.Roster().AdvertisedHosts()
 	names := make([]string, len(entries))
 	for i, e := range entries {
 		names[i] = e.Node
@@ -101,21 +101,21 @@
 // in the roster. Only the core receives all counts; others learn it from digests.
 func (n *node) countRequests() {
 	members := n.view.Roster()
-	if n.settings.UsageWindow <= 0 || !members.IsLeveled() || !members.InCore(n.settings.Node) {
+	if n.settings.UsageWindow <= 0 || !members.IsHierarchical() || !members.InCore(n.settings.Node) {
 		return
 	}
 	sum := 0
-	for _, begun := range members.Begun(n.counter.Running() - 1) {
+	for _, begun := range members.StartedRequests(n.counter.Running() - 1) {
 		sum += begun
 	}
-	members.SetRequests(float64(sum) / n.settings.UsageWindow.Seconds())
+	members.SetRequestRate(float64(sum) / n.settings.UsageWindow.Seconds())
 }
 
 // applyLoads hands what the other processes have sent to the decisions.
 func (n *node) applyLoads() {
 	now := n.clock.Now()
 	n.view.Roster().MergeSelf(n.host(), now)
-	if members := n.view.Roster(); !members.IsLeveled() || members.InCore(n.settings.Node) || n.router.HasOwn() {
+	if members := n.view.Roster(); !members.IsHierarchical() || members.InCore(n.settings.Node) || n.router.HasOwn() {
 		// Others receive no loads.
 		n.loads.Apply(now)
 	}
@@ -127,5 +127,5 @@
 	n.noteRole()
 	n.surveyRollouts(now)
 	n.router.SetHosts(n.sharers(), now)
-	n.limits.SetFleet(n.view.Roster().Fleet(string(n.incarnation), now))
+	n.limits.SetFleet(n.view.Roster().CountHosts(string(n.incarnation), now))
 }
--- a/pkg/app/node/platform.go
+++ b/pkg/app/node/platform.go
@@ -37,5 +37,5 @@
 	// DirectoryPath and ReadyPath are what callers and the platform ask for.
 	DirectoryPath() string
 	ReadyPath() string
-	EncodeEntries(w http.ResponseWriter, entries []roster.Entry, keep time.Duration) error
+	EncodeEntries(w http.ResponseWriter, entries []roster.AdvertisedHost, keep time.Duration) error
 }
--- a/pkg/app/node/poison.go
+++ b/pkg/app/node/poison.go
@@ -33,7 +33,7 @@
 	go n.keeper.Run(ctx)
 	n.awaitStore(ctx)
 	for n.clock.Running() < othersTell {
-		if n.view.Roster().Known() && n.view.Roster().Advertises(n.settings.Node) {
+		if n.view.Roster().Loaded() && n.view.Roster().IsAdvertised(n.settings.Node) {
 			n.keeper.Load(ctx)
 			return
 		}
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -209,7 +209,7 @@
 }
 
 // Share returns the part of a bound on all hosts together that this one may use.
-func (f fleet) Share() float64 { return f.Roster.Share(f.node) }
+func (f fleet) Share() float64 { return f.Roster.LimitShare(f.node) }
 
 // newTransport is for calls to the platform. A close that gives up on a call
 // throws away what the network still holds, so that it can't arrive later.
--- a/pkg/app/node/rollouts.go
+++ b/pkg/app/node/rollouts.go
@@ -124,7 +124,7 @@
 	}
 	n.applyDirectives(directives, now)
 	own := n.reports(directives)
-	if len(own) == 0 || update.Peers == "" {
+	if len(own) == 0 || update.PeerAddress == "" {
 		return
 	}
 	data, err := rolloutsync.EncodeReports(own)
@@ -132,12 +132,12 @@
 		n.log.Error().Err(err).Msg("reports of roll-outs not encoded")
 		return
 	}
-	n.datagrams.send(data, update.Peers)
+	n.datagrams.send(data, update.PeerAddress)
 }
 
 // surveyRollouts brings the split of requests up to date with the endpoints.
 func (n *node) surveyRollouts(now time.Time) {
-	if !n.rollouts.Bounds().Enabled() || !n.view.Endpoints().Known() {
+	if !n.rollouts.Bounds().Enabled() || !n.view.Endpoints().Loaded() {
 		return
 	}
 	_, fresh := n.view.Tables().Current()
@@ -191,7 +191,7 @@
 
 // rolloutFleet is what an owner needs to know of hosts and endpoints.
 func rolloutFleet(view *storeview.View, order rollout.Order) rollout.Fleet {
-	f := rollout.Fleet{Live: view.Roster().Live(), Callers: view.Roster().Advertised()}
+	f := rollout.Fleet{Live: view.Roster().LiveIncarnations(), Callers: view.Roster().Advertised()}
 	for _, info := range view.Directory().View().Infos() {
 		switch {
 		case info.Service != order.Service || info.State != endpoint.Live:
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -186,7 +186,7 @@
 
 // admit holds the team to its rate.
 func (a *API) admit(team fleet.Team) error {
-	entries := max(len(a.Nodes.Serving()), 1)
+	entries := max(len(a.Nodes.ServingNodes()), 1)
 	ok, after := a.Rates.Allow(limit.Team{Name: team.Name(), Rate: team.Rate(), Burst: team.Burst()}, entries, time.Now())
 	if ok {
 		return nil
--- a/pkg/callerapi/counters.go
+++ b/pkg/callerapi/counters.go
@@ -34,5 +34,5 @@
 
 // chooseEntries returns the entry hosts to use now.
 func (a *API) chooseEntries(dataCenter string) []membership.Node {
-	return entrychoice.Choose(a.Nodes.Serving(), dataCenter, entropy.Rand)
+	return entrychoice.Choose(a.Nodes.ServingNodes(), dataCenter, entropy.Rand)
 }
--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -14,17 +14,17 @@
 	"ironhollow/pkg/storeversion"
 )
 
-// Decode reads an endpoint's row; id is its key.
-type Decode func(id string, value []byte) (endpoint.Info, error)
+// DecodeFunc reads an endpoint's row; id is its key.
+type DecodeFunc func(id string, value []byte) (endpoint.Info, error)
 
-// ReturnTime is how long endpoints whose rows lapsed while the store was away
+// RenewalGrace is how long endpoints whose rows lapsed while the store was away
 // have to be back: the users say about two seconds from the store's return.
-const ReturnTime = 2 * time.Second
+const RenewalGrace = 2 * time.Second
 
-// Rows takes batches of rows in order. It is safe for concurrent use.
-type Rows struct {
+// Syncer takes batches of rows in order. It is safe for concurrent use.
+type Syncer struct {
 	directory *endpoint.Directory
-	decode    Decode
+	decode    DecodeFunc
 	now       func() time.Time
 
 	// lapseTime is how long the store must have been away for rows to lapse by it.
@@ -58,24 +58,24 @@
 
 // New returns rows of nothing; heartbeat is the time between two writes of an endpoint's row,
 // othersInTouch is as in Rows.
-func New(directory *endpoint.Directory, decode Decode, heartbeat time.Duration, othersHeard func(time.Duration) bool, now func() time.Time, logger *log.Logger) *Rows {
-	return &Rows{
+func New(directory *endpoint.Directory, decode DecodeFunc, heartbeat time.Duration, othersHeard func(time.Duration) bool, now func() time.Time, logger *log.Logger) *Syncer {
+	return &Syncer{
 		directory: directory, decode: decode, lapseTime: heartbeatsMissed * heartbeat, othersInTouch: othersHeard, now: now, lines: newLines(logger),
 		lapsed: map[string]time.Time{},
 		left:   map[string]int64{},
 	}
 }
 
-// Known reports whether the rows have been read once.
-func (r *Rows) Known() bool { return r.known.Load() }
+// Loaded reports whether the rows have been read once.
+func (r *Syncer) Loaded() bool { return r.known.Load() }
 
-// Lost notes that the store did not answer. Rows that are gone when it does
+// MarkStoreUnavailable notes that the store did not answer. Rows that are gone when it does
 // again may have gone because nobody could renew them, if it was away for long
 // enough; a call or two that fail take no row away.
-func (r *Rows) Lost() { r.lost.Store(true) }
+func (r *Syncer) MarkStoreUnavailable() { r.lost.Store(true) }
 
 // Apply applies rows and removals.
-func (r *Rows) Apply(batch feed.Batch) {
+func (r *Syncer) Apply(batch feed.Batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	defer r.lines.flush()
@@ -108,26 +108,26 @@
 
 // Expire removes endpoints that are not back in time after the store was. The store may have no
 // changes just then, so that no batch comes.
-func (r *Rows) Expire() {
+func (r *Syncer) Expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.expire(r.now())
 	r.lines.flush()
 }
 
-func (r *Rows) lapse(id string, away bool, now time.Time) {
+func (r *Syncer) lapse(id string, away bool, now time.Time) {
 	if !away {
 		delete(r.lapsed, id)
 		r.gone(id, "row removed")
 		return
 	}
 	if _, waiting := r.lapsed[id]; !waiting {
-		r.lapsed[id] = now.Add(ReturnTime)
+		r.lapsed[id] = now.Add(RenewalGrace)
 		r.lines.lapsed(id)
 	}
 }
 
-func (r *Rows) expire(now time.Time) {
+func (r *Syncer) expire(now time.Time) {
 	for id, until := range r.lapsed {
 		if now.After(until) {
 			delete(r.lapsed, id)
@@ -136,7 +136,7 @@
 	}
 }
 
-func (r *Rows) gone(id, why string) {
+func (r *Syncer) gone(id, why string) {
 	info, ok := r.directory.Get(id)
 	if !ok || info.State == endpoint.Gone {
 		return
@@ -149,7 +149,7 @@
 	r.lines.gone(info, why)
 }
 
-func (r *Rows) take(row feed.Row) {
+func (r *Syncer) take(row feed.Row) {
 	delete(r.lapsed, row.Key)
 	heard, err := r.decode(row.Key, row.Value)
 	if err != nil {
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 
 // site is a directory fed by rows whose value is the endpoint's state.
 type site struct {
-	*discovery.Rows
+	*discovery.Syncer
 	directory *endpoint.Directory
 	now       time.Time
 	version   int64
@@ -43,7 +43,7 @@
 func newSite() *site {
 	s := &site{directory: endpoint.NewDirectory(), now: time.Unix(1000, 0)}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	s.Rows = discovery.New(s.directory, decode, 1200*time.Millisecond, func(d time.Duration) bool { return s.others >= d }, func() time.Time { return s.now }, logger)
+	s.Syncer = discovery.New(s.directory, decode, 1200*time.Millisecond, func(d time.Duration) bool { return s.others >= d }, func() time.Time { return s.now }, logger)
 	return s
 }
 
@@ -68,7 +68,7 @@
 
 func TestRowsComeAndGo(t *testing.T) {
 	s := newSite()
-	if s.Known() {
+	if s.Loaded() {
 		t.Error("known before anything was read")
 	}
 	s.rows(true, "a", "live", "b", "live", "c", "live")
@@ -92,7 +92,7 @@
 	for _, full := range []bool{false, true} {
 		s := newSite()
 		s.rows(true, "back", "live", "dead", "live", "other", "live")
-		s.Lost()
+		s.MarkStoreUnavailable()
 		s.now = s.now.Add(10 * time.Second)
 		s.want(t, "away", "dead", true)
 		if full {
@@ -115,10 +115,10 @@
 func TestLapsedEndpointGoesWithoutABatch(t *testing.T) {
 	s := newSite()
 	s.rows(true, "dead", "live")
-	s.Lost()
+	s.MarkStoreUnavailable()
 	s.now = s.now.Add(10 * time.Second)
 	s.rows(false, "dead", "")
-	s.now = s.now.Add(discovery.ReturnTime)
+	s.now = s.now.Add(discovery.RenewalGrace)
 	s.Expire()
 	s.want(t, "two seconds after", "dead", true)
 	s.now = s.now.Add(time.Millisecond)
@@ -130,7 +130,7 @@
 func TestLeavingWhileTheStoreIsAway(t *testing.T) {
 	s := newSite()
 	s.rows(true, "a", "live")
-	s.Lost()
+	s.MarkStoreUnavailable()
 	s.rows(false, "a", "leaving")
 	s.want(t, "returned", "a", false)
 }
@@ -140,17 +140,17 @@
 func TestShortLossKeepsNoEndpoint(t *testing.T) {
 	s := newSite()
 	s.rows(true, "a", "live", "b", "live")
-	s.Lost()
+	s.MarkStoreUnavailable()
 	s.now = s.now.Add(1300 * time.Millisecond)
 	s.rows(false, "a", "")
 	s.want(t, "after a call that failed", "a", false)
-	s.Lost()
+	s.MarkStoreUnavailable()
 	s.now = s.now.Add(1300 * time.Millisecond)
 	s.rows(true)
 	s.want(t, "not in a snapshot after a call that failed", "b", false)
 }
 
-// Endpoints whose rows are missing after a restore must not be removed before ReturnTime has passed.
+// Endpoints whose rows are missing after a restore must not be removed before RenewalGrace has passed.
 func TestEndpointsThatARestoredStoreLacksAreKept(t *testing.T) {
 	s := newSite()
 	s.rows(true, "a", "live", "b", "live")
@@ -160,7 +160,7 @@
 	s.want(t, "restored", "a", true)
 	s.want(t, "restored", "b", true)
 	s.rows(false, "a", "live")
-	s.now = s.now.Add(discovery.ReturnTime + time.Millisecond)
+	s.now = s.now.Add(discovery.RenewalGrace + time.Millisecond)
 	s.Expire()
 	s.want(t, "written again", "a", true)
 	s.want(t, "not written again", "b", false)
@@ -171,7 +171,7 @@
 func TestLeavingWhileThisHostIsCutOff(t *testing.T) {
 	s := newSite()
 	s.rows(true, "a", "live")
-	s.Lost()
+	s.MarkStoreUnavailable()
 	s.now = s.now.Add(6 * time.Second)
 	s.others = time.Minute
 	s.rows(false, "a", "")
--- a/pkg/discovery/lines.go
+++ b/pkg/discovery/lines.go
@@ -41,7 +41,7 @@
 // lapsed notes that an endpoint is kept though its row lapsed.
 func (l *lines) lapsed(id string) {
 	l.add("lapsed", func() {
-		l.log.Info().Str("endpoint", id).Dur("kept", ReturnTime).Msg("endpoint's row lapsed while the store was away")
+		l.log.Info().Str("endpoint", id).Dur("kept", RenewalGrace).Msg("endpoint's row lapsed while the store was away")
 	})
 }
 
--- a/pkg/gossip/digest.go
+++ b/pkg/gossip/digest.go
@@ -39,31 +39,31 @@
 }
 
 func (m *eventMessage) addDigest(p roster.Digest) {
-	m.Requests = float32(p.Requests)
-	m.Sharing = p.Sharing
-	for _, a := range p.Alive {
+	m.Requests = float32(p.RequestRate)
+	m.Sharing = p.HostCount
+	for _, a := range p.LiveHosts {
 		m.Alive = append(m.Alive, wireAlive{Hash: a.Hash, AgeMS: a.Age.Milliseconds(), Leaving: a.Leaving, Advertised: a.Advertised})
 	}
 	for _, h := range p.Hosts {
 		m.Hosts = append(m.Hosts, wireHost{
-			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, Callers: h.Callers, Peers: h.Peers,
-			SinceMS: h.Since.Milliseconds(), Millicores: h.Millicores, Leaving: h.Leaving,
+			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, Callers: h.CallerAddress, Peers: h.PeerAddress,
+			SinceMS: h.StartedAt.Milliseconds(), Millicores: h.Millicores, Leaving: h.Leaving,
 		})
 	}
 }
 
 func (m eventMessage) digest() roster.Digest {
-	p := roster.Digest{Sharing: min(max(m.Sharing, 0), maxSharing)}
+	p := roster.Digest{HostCount: min(max(m.Sharing, 0), maxSharing)}
 	if requests := float64(m.Requests); requests > 0 && !math.IsInf(requests, 0) {
-		p.Requests = requests
+		p.RequestRate = requests
 	}
 	for _, a := range m.Alive {
-		p.Alive = append(p.Alive, roster.Alive{Hash: a.Hash, Age: time.Duration(min(max(a.AgeMS, 0), oldest.Milliseconds())) * time.Millisecond, Leaving: a.Leaving, Advertised: a.Advertised})
+		p.LiveHosts = append(p.LiveHosts, roster.LiveHost{Hash: a.Hash, Age: time.Duration(min(max(a.AgeMS, 0), oldest.Milliseconds())) * time.Millisecond, Leaving: a.Leaving, Advertised: a.Advertised})
 	}
 	for _, h := range m.Hosts {
 		p.Hosts = append(p.Hosts, roster.Host{
-			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, Callers: h.Callers, Peers: h.Peers,
-			Since: time.Duration(h.SinceMS) * time.Millisecond, Millicores: h.Millicores, Leaving: h.Leaving,
+			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, CallerAddress: h.Callers, PeerAddress: h.Peers,
+			StartedAt: time.Duration(h.SinceMS) * time.Millisecond, Millicores: h.Millicores, Leaving: h.Leaving,
 		})
 	}
 	return p
@@ -76,7 +76,7 @@
 	m := eventMessage{Incarnation: update.Incarnation, Subscribes: true}
 	m.addDigest(roster.Digest{Hosts: []roster.Host{update.Host}})
 	e.sendEvent(m, peers)
-	if e.activity.Serves {
+	if e.activity.ServesCallers {
 		e.sendUpdate(update, peers)
 	} else {
 		e.sendEvents(update, peers)
@@ -85,7 +85,7 @@
 
 // noteActivity keeps what this host does, as far as its recipients depend on it.
 func (e *Exchange) noteActivity(update Update) {
-	e.activity = roster.Activity{Serves: len(update.Loads)+len(update.Counts) > 0, HoldsDuties: update.LeaseVersion > 0}
+	e.activity = roster.Activity{ServesCallers: len(update.Loads)+len(update.Counts) > 0, HoldsDuties: update.LeaseVersion > 0}
 }
 
 // sendDigests sends the core's digests to the subscribers, and the subscribers' to the core.
@@ -95,7 +95,7 @@
 	for _, p := range e.roster.CoreDigests(e.self, e.digests, now) {
 		e.sendDigest(p, a.Subscribers)
 	}
-	for _, p := range e.roster.FollowerDigests(e.self, e.digests, now) {
+	for _, p := range e.roster.DataCenterDigests(e.self, e.digests, now) {
 		e.sendDigest(p, a.Frequent)
 	}
 }
@@ -119,7 +119,7 @@
 		case len(p.Hosts) > 0:
 			p.Hosts = p.Hosts[:len(p.Hosts)-1]
 		default:
-			p.Alive = p.Alive[:len(p.Alive)*3/4]
+			p.LiveHosts = p.LiveHosts[:len(p.LiveHosts)*3/4]
 		}
 	}
 }
--- a/pkg/gossip/fuzz_test.go
+++ b/pkg/gossip/fuzz_test.go
@@ -47,9 +47,9 @@
 			heard[told.Incarnation] = true
 			members.ApplyDigest(told.Incarnation, told.Digest, time.Now())
 			members.ApplyCounts(told.Incarnation, told.Counts)
-			members.Entries()
-			if told.Digest.Sharing < 0 || roster.Pace(time.Second, members.Sharing()) <= 0 {
-				t.Errorf("hosts: got %d told, %d known, want a number to pace by", told.Digest.Sharing, members.Sharing())
+			members.AdvertisedHosts()
+			if told.Digest.HostCount < 0 || roster.ScaleInterval(time.Second, members.Sharing()) <= 0 {
+				t.Errorf("hosts: got %d told, %d known, want a number to pace by", told.Digest.HostCount, members.Sharing())
 			}
 		}
 		address := freeAddress(t)
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -119,7 +119,7 @@
 		if sendInfrequent && len(audience.Aggregators) > 0 {
 			e.subscribe(audience.Aggregators)
 		}
-		if sendInfrequent && audience.Aggregates() {
+		if sendInfrequent && audience.HasSubscribers() {
 			e.sendDigests(audience)
 		}
 		received()
@@ -141,7 +141,7 @@
 
 // Of returns the pause to the next round and whether infrequent recipients are due in this one.
 func (p *Pace) Of(a roster.Recipients) (pause time.Duration, sendInfrequent bool) {
-	if !a.Leveled {
+	if !a.Hierarchical {
 		return p.Next(len(a.Frequent), len(a.Infrequent))
 	}
 	pause = levelPause
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -60,13 +60,13 @@
 func listen(t *testing.T, host roster.Host) *listener {
 	t.Helper()
 	l := &listener{host: host}
-	l.host.Peers = freeAddress(t)
+	l.host.PeerAddress = freeAddress(t)
 	take := func(told gossip.Update) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.got = append(l.got, told)
 	}
-	e, err := gossip.Listen(l.host.Peers, l.host, roster.New(silence, gossip.Interval), func() gossip.Update { return gossip.Update{} }, take, time.Now, quiet())
+	e, err := gossip.Listen(l.host.PeerAddress, l.host, roster.New(silence, gossip.Interval), func() gossip.Update { return gossip.Update{} }, take, time.Now, quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 
 func host(i, millicores int) roster.Host {
 	name := fmt.Sprintf("h%02d", i)
-	return roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), Callers: name, Millicores: millicores}
+	return roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), CallerAddress: name, Millicores: millicores}
 }
 
 // In a large fleet those that share the callers are sent datagrams five times a second, all
@@ -139,14 +139,14 @@
 	now := time.Now()
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
-	members.StoreAnswered(now)
+	members.NoteStoreResponse(now)
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, now)
 	self := host(0, 800)
 	want := roster.Status{
-		Host: self, InTouch: 3 * time.Second, LeaseVersion: 12,
-		Loads:  []roster.Load{{Endpoint: "e1", Running: 3, PrefillTokens: 500}},
-		Works:  []roster.Work{{Service: "svc", Rate: 0.5}},
-		Counts: []roster.Count{{Window: 7, Team: "red", Begun: 4}},
+		Host: self, StoreReachableFor: 3 * time.Second, LeaseVersion: 12,
+		Loads:   []roster.Load{{Endpoint: "e1", Running: 3, PrefillTokens: 500}},
+		Demands: []roster.Demand{{Service: "svc", Rate: 0.5}},
+		Counts:  []roster.RequestCount{{Window: 7, Team: "red", Started: 4}},
 	}
 	placed := []route.Placement{{Endpoint: "e1", Prefix: []uint64{1, 1 << 63}}}
 	run(t, self, members, gossip.Update{Status: want, Placed: placed}, other)
@@ -190,7 +190,7 @@
 					members.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a", Node: "a", DataCenter: "dc"}, Sequence: int64(sent)}, now)
 					heard = now
 				}
-				members.StoreAnswered(now)
+				members.NoteStoreResponse(now)
 				if got := members.DataCenters(); len(got) != 1 && sent > 2 {
 					t.Fatalf("%d hosts, %d near: not known %v after its last datagram", hosts, sharing, now.Sub(heard))
 				}
@@ -199,7 +199,7 @@
 			if sharing == 0 {
 				continue
 			}
-			members.StoreAnswered(heard.Add(silence + 10*time.Millisecond))
+			members.NoteStoreResponse(heard.Add(silence + 10*time.Millisecond))
 			if got := members.DataCenters(); len(got) != 0 {
 				t.Errorf("%d hosts, %d near: still known after %v", hosts, sharing, silence)
 			}
@@ -213,7 +213,7 @@
 	now := time.Now()
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
-	members.StoreAnswered(now)
+	members.NoteStoreResponse(now)
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, now)
 	f := poison.FingerprintOf("POST", "/x", "red", []byte("body"))
 	ends := []poison.End{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
@@ -250,7 +250,7 @@
 func TestNoticesArrive(t *testing.T) {
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
-	members.StoreAnswered(time.Now())
+	members.NoteStoreResponse(time.Now())
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, time.Now())
 	notices := []notice.Report{
 		{Endpoint: "e1", Born: 1_800_000_000_000, Notice: endpoint.Notice{Leaving: true}},
@@ -276,7 +276,7 @@
 func TestManyNoticesFit(t *testing.T) {
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
-	members.StoreAnswered(time.Now())
+	members.NoteStoreResponse(time.Now())
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, time.Now())
 	told := gossip.Update{Status: roster.Status{Host: host(0, 800)}}
 	for i := range 30 {
--- a/pkg/gossip/levels_test.go
+++ b/pkg/gossip/levels_test.go
@@ -53,17 +53,17 @@
 	f := &playedFleet{at: map[string]*played{}, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, uint64(size)))}
 	for i := range size {
 		name := fmt.Sprintf("h%04d", i)
-		h := &played{self: roster.Host{Incarnation: name + ".1", Node: name, DataCenter: fmt.Sprint("dc", i%dataCenters), Callers: name, Peers: name + ":1", Millicores: small}}
+		h := &played{self: roster.Host{Incarnation: name + ".1", Node: name, DataCenter: fmt.Sprint("dc", i%dataCenters), CallerAddress: name, PeerAddress: name + ":1", Millicores: small}}
 		if i/dataCenters%largeEach == 0 {
 			h.self.Millicores = 1600
 		}
 		h.members = roster.New(playedSilence, gossip.Interval)
 		h.next = f.now.Add(f.after(time.Second))
 		f.hosts = append(f.hosts, h)
-		f.at[h.self.Peers] = h
+		f.at[h.self.PeerAddress] = h
 	}
 	for _, h := range f.hosts {
-		h.members.StoreAnswered(f.now)
+		h.members.NoteStoreResponse(f.now)
 		for _, other := range f.hosts {
 			// The small ones write no rows.
 			if other == h || other.self.Millicores > small {
@@ -108,7 +108,7 @@
 		}
 		relays := h.members.Relays(h.self.DataCenter, relaysEach)
 		isRelay := len(relays) == 0 || slices.ContainsFunc(relays, func(r roster.Host) bool { return r.Node == h.self.Node })
-		if isRelay || h.members.Recipients(h.self, roster.Activity{}, f.now).Aggregates() {
+		if isRelay || h.members.Recipients(h.self, roster.Activity{}, f.now).HasSubscribers() {
 			readers = append(readers, h)
 		}
 		if h.members.InCore(h.self.Node) {
@@ -119,7 +119,7 @@
 		for _, other := range writers {
 			h.members.Merge(roster.Row{Host: other.self, Sequence: int64(f.now.Unix()), Age: age}, f.now)
 		}
-		h.members.StoreAnswered(f.now)
+		h.members.NoteStoreResponse(f.now)
 	}
 }
 
@@ -141,14 +141,14 @@
 		f.send(h, a.Aggregators, func(other *played) { other.members.Subscribe(h.self, f.now) })
 	}
 	f.send(h, peers, func(other *played) { other.members.ApplyStatus(update, f.now) })
-	if !a.Aggregates() || !sendInfrequent {
+	if !a.HasSubscribers() || !sendInfrequent {
 		return
 	}
 	h.round++
 	for _, core := range h.members.CoreDigests(h.self, h.round, f.now) {
 		f.send(h, a.Subscribers, func(other *played) { other.members.ApplyDigest(h.self.Incarnation, core, f.now) })
 	}
-	for _, others := range h.members.FollowerDigests(h.self, h.round, f.now) {
+	for _, others := range h.members.DataCenterDigests(h.self, h.round, f.now) {
 		f.send(h, a.Frequent, func(other *played) { other.members.ApplyDigest(h.self.Incarnation, others, f.now) })
 	}
 }
@@ -191,9 +191,9 @@
 		}
 		centres := map[string]bool{}
 		advertisesDead := false
-		for _, e := range h.members.Entries() {
+		for _, e := range h.members.AdvertisedHosts() {
 			centres[e.DataCenter] = true
-			advertisesDead = advertisesDead || f.at[e.Callers+":1"].dead
+			advertisesDead = advertisesDead || f.at[e.CallerAddress+":1"].dead
 		}
 		if advertisesDead || len(centres) < len(dataCenters) {
 			wrong++
@@ -210,7 +210,7 @@
 		if h.dead {
 			continue
 		}
-		list := fmt.Sprint(h.members.Entries())
+		list := fmt.Sprint(h.members.AdvertisedHosts())
 		lists[list]++
 		most = max(most, lists[list])
 		all++
@@ -317,9 +317,9 @@
 	}
 	for _, h := range f.hosts {
 		h.self.Incarnation += "+"
-		h.self.Since = 0
+		h.self.StartedAt = 0
 		h.members = roster.New(playedSilence, gossip.Interval)
-		h.members.StoreAnswered(f.now)
+		h.members.NoteStoreResponse(f.now)
 		for _, row := range rows {
 			h.members.Merge(row, f.now)
 		}
@@ -363,7 +363,7 @@
 	f.restartAll()
 	f.play(time.Second)
 	for _, h := range f.hosts {
-		h.self.Since = time.Minute + f.after(2*time.Second).Truncate(time.Second)
+		h.self.StartedAt = time.Minute + f.after(2*time.Second).Truncate(time.Second)
 	}
 	f.play(settled - time.Second)
 	highest, lowest := 0, len(f.hosts)
--- a/pkg/gossip/shares_test.go
+++ b/pkg/gossip/shares_test.go
@@ -42,7 +42,7 @@
 
 func names(h *played) []string {
 	var list []string
-	for _, e := range h.members.Entries() {
+	for _, e := range h.members.AdvertisedHosts() {
 		list = append(list, e.Node)
 	}
 	return list
--- a/pkg/gossip/teams.go
+++ b/pkg/gossip/teams.go
@@ -38,14 +38,14 @@
 }
 
 // pick returns the figures to send in this round.
-func (f *teamFigures) pick(update Update, now time.Time) ([]limit.Spent, []roster.Count) {
+func (f *teamFigures) pick(update Update, now time.Time) ([]limit.Spent, []roster.RequestCount) {
 	spent := make([]limit.Spent, 0, maxFigures)
 	f.spent.round(len(update.Spent), now, func(i int) (string, float64) { return update.Spent[i].Team, update.Spent[i].Admitted },
 		func(i int) { spent = append(spent, update.Spent[i]) })
-	counts := make([]roster.Count, 0, maxFigures)
+	counts := make([]roster.RequestCount, 0, maxFigures)
 	f.counts.round(len(update.Counts), now, func(i int) (countKey, int) {
 		c := update.Counts[i]
-		return countKey{c.Window, c.Team}, c.Begun
+		return countKey{c.Window, c.Team}, c.Started
 	}, func(i int) { counts = append(counts, update.Counts[i]) })
 	return spent, counts
 }
@@ -102,7 +102,7 @@
 }
 
 // teamMessages encodes figures of teams into as many datagrams as they need.
-func teamMessages(incarnation string, spent []limit.Spent, counts []roster.Count) ([][]byte, error) {
+func teamMessages(incarnation string, spent []limit.Spent, counts []roster.RequestCount) ([][]byte, error) {
 	p := packer{incarnation: incarnation, message: eventMessage{Incarnation: incarnation}}
 	for _, s := range encodeSpent(spent) {
 		p.add(s, func(m *eventMessage) { m.Spent = append(m.Spent, s) })
@@ -172,18 +172,18 @@
 	return decoded
 }
 
-func encodeCounts(list []roster.Count) []count {
+func encodeCounts(list []roster.RequestCount) []count {
 	encoded := make([]count, 0, len(list))
 	for _, c := range list {
-		encoded = append(encoded, count{Window: c.Window, Team: c.Team, Begun: c.Begun})
+		encoded = append(encoded, count{Window: c.Window, Team: c.Team, Begun: c.Started})
 	}
 	return encoded
 }
 
-func decodeCounts(list []count) []roster.Count {
-	var decoded []roster.Count
+func decodeCounts(list []count) []roster.RequestCount {
+	var decoded []roster.RequestCount
 	for _, c := range list {
-		decoded = append(decoded, roster.Count{Window: c.Window, Team: c.Team, Begun: c.Begun})
+		decoded = append(decoded, roster.RequestCount{Window: c.Window, Team: c.Team, Started: c.Begun})
 	}
 	return decoded
 }
--- a/pkg/gossip/teams_test.go
+++ b/pkg/gossip/teams_test.go
@@ -19,13 +19,13 @@
 	)
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
-	members.StoreAnswered(time.Now())
+	members.NoteStoreResponse(time.Now())
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, time.Now())
 	self := host(0, 800)
 	told := gossip.Update{Status: roster.Status{Host: self, Loads: []roster.Load{{Endpoint: "e1", Running: 3}}}}
 	for i := range teams {
 		team := fmt.Sprintf("team-number-%d", i)
-		told.Counts = append(told.Counts, roster.Count{Window: window, Team: team, Begun: i + 1})
+		told.Counts = append(told.Counts, roster.RequestCount{Window: window, Team: team, Started: i + 1})
 		told.Spent = append(told.Spent, limit.Spent{Team: team, Admitted: float64(i + 1), Settled: true})
 	}
 	spent, counts := map[string]float64{}, map[string]int{}
@@ -39,7 +39,7 @@
 				spent[s.Team] = s.Admitted
 			}
 			for _, c := range got.Counts {
-				counts[c.Team] = c.Begun
+				counts[c.Team] = c.Started
 			}
 		}
 		return lives && len(spent) == teams && len(counts) == teams
--- a/pkg/gossip/urgent.go
+++ b/pkg/gossip/urgent.go
@@ -52,10 +52,10 @@
 func (e *Exchange) SendRollouts(data []byte, to string) {
 	peers := []string{to}
 	if to == "" {
-		near, far := e.roster.Peers(e.self)
+		near, far := e.roster.PeerAddresses(e.self)
 		peers = append(near, far...)
 	}
-	host := roster.Host{Incarnation: e.self.Incarnation, Peers: e.self.Peers}
+	host := roster.Host{Incarnation: e.self.Incarnation, PeerAddress: e.self.PeerAddress}
 	e.sendBrief(Update{Status: roster.Status{Host: host}, Rollouts: data}, peers)
 }
 
--- a/pkg/gossip/urgent_test.go
+++ b/pkg/gossip/urgent_test.go
@@ -15,7 +15,7 @@
 	other := listen(t, roster.Host{Incarnation: "other", Node: "other"})
 	self := roster.Host{Incarnation: "self", Node: "self"}
 	members := roster.New(silence, gossip.Interval)
-	members.StoreAnswered(time.Now())
+	members.NoteStoreResponse(time.Now())
 	members.Merge(roster.Row{Host: self, Sequence: 1}, time.Now())
 	members.Merge(roster.Row{Host: other.host, Sequence: 1}, time.Now())
 	e, err := gossip.Listen(freeAddress(t), self, members, func() gossip.Update { return gossip.Update{} }, func(gossip.Update) {}, time.Now, quiet())
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -78,14 +78,14 @@
 func encode(update Update, sequence int64) (data []byte, whole bool, err error) {
 	m := message{
 		Incarnation: update.Incarnation, Node: update.Node, DataCenter: update.DataCenter,
-		Callers: update.Callers, Peers: update.Peers, SinceMS: update.Since.Milliseconds(),
-		InTouchMS: update.InTouch.Milliseconds(), Leaving: update.Leaving, Sequence: sequence, Millicores: update.Millicores, LeaseVersion: update.LeaseVersion,
+		Callers: update.CallerAddress, Peers: update.PeerAddress, SinceMS: update.StartedAt.Milliseconds(),
+		InTouchMS: update.StoreReachableFor.Milliseconds(), Leaving: update.Leaving, Sequence: sequence, Millicores: update.Millicores, LeaseVersion: update.LeaseVersion,
 		Brief: update.Brief, Rollouts: update.Rollouts, Spent: encodeSpent(update.Spent), Counts: encodeCounts(update.Counts),
 	}
 	for _, p := range update.Placed {
 		m.Placed = append(m.Placed, placement{Endpoint: p.Endpoint, Prefix: p.Prefix})
 	}
-	for _, w := range update.Works {
+	for _, w := range update.Demands {
 		m.Works = append(m.Works, work{Service: w.Service, Rate: float32(w.Rate)})
 	}
 	for _, l := range update.Loads {
@@ -120,10 +120,10 @@
 
 func (m message) update() Update {
 	host := roster.Host{
-		Incarnation: m.Incarnation, Node: m.Node, DataCenter: m.DataCenter, Callers: m.Callers, Peers: m.Peers, Leaving: m.Leaving,
-		Since: time.Duration(m.SinceMS) * time.Millisecond, Millicores: m.Millicores,
+		Incarnation: m.Incarnation, Node: m.Node, DataCenter: m.DataCenter, CallerAddress: m.Callers, PeerAddress: m.Peers, Leaving: m.Leaving,
+		StartedAt: time.Duration(m.SinceMS) * time.Millisecond, Millicores: m.Millicores,
 	}
-	t := Update{Brief: m.Brief, Rollouts: m.Rollouts, Status: roster.Status{Host: host, Sequence: m.Sequence, InTouch: time.Duration(m.InTouchMS) * time.Millisecond, LeaseVersion: m.LeaseVersion}}
+	t := Update{Brief: m.Brief, Rollouts: m.Rollouts, Status: roster.Status{Host: host, Sequence: m.Sequence, StoreReachableFor: time.Duration(m.InTouchMS) * time.Millisecond, LeaseVersion: m.LeaseVersion}}
 	for _, l := range m.Loads {
 		t.Loads = append(t.Loads, roster.Load{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
@@ -131,7 +131,7 @@
 		t.Placed = append(t.Placed, route.Placement{Endpoint: p.Endpoint, Prefix: p.Prefix})
 	}
 	for _, w := range m.Works {
-		t.Works = append(t.Works, roster.Work{Service: w.Service, Rate: float64(w.Rate)})
+		t.Demands = append(t.Demands, roster.Demand{Service: w.Service, Rate: float64(w.Rate)})
 	}
 	t.Counts = decodeCounts(m.Counts)
 	t.Spent = decodeSpent(m.Spent)
--- a/pkg/hostlist/hostlist.go
+++ b/pkg/hostlist/hostlist.go
@@ -12,8 +12,8 @@
 	"ironhollow/pkg/httpx"
 )
 
-// List reads the hosts of one data centre, all of them if it is empty.
-type List interface {
+// Source reads the hosts of one data centre, all of them if it is empty.
+type Source interface {
 	Hosts(ctx context.Context, dataCenter string) ([]endpoint.Info, error)
 }
 
--- a/pkg/lab/host.go
+++ b/pkg/lab/host.go
@@ -38,7 +38,7 @@
 	name := fmt.Sprintf("h%03d", number)
 	h := &host{
 		play: p, number: number,
-		self: roster.Host{Node: name, DataCenter: p.dataCenter(number), Peers: name, Millicores: 800},
+		self: roster.Host{Node: name, DataCenter: p.dataCenter(number), PeerAddress: name, Millicores: 800},
 	}
 	h.start(endpoint.NewDirectory())
 	return h
--- a/pkg/loadsync/loadsync.go
+++ b/pkg/loadsync/loadsync.go
@@ -78,6 +78,6 @@
 		Running:      others.Running + s.router.OwnLoad(info.ID).Running,
 		Slots:        max(info.Slots, 1),
 		QueuedTokens: others.PrefillTokens,
-		QueuedAt:     others.At,
+		QueuedAt:     others.ReceivedAt,
 	})
 }
--- a/pkg/membership/node.go
+++ b/pkg/membership/node.go
@@ -46,8 +46,8 @@
 	// Ready says that the node knows enough to serve: a configuration, and the
 	// endpoints. It is not named to callers before.
 	Ready bool
-	// Control says that a control process is attached to the node.
-	Control bool
+	// HasControl says that a control process is attached to the node.
+	HasControl bool
 	// Load is used places in tenths of the node's capacity.
 	Load int
 }
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -10,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is how many parts a table's digest has.
-const Buckets = 16
+// BucketCount is how many parts a table's digest has.
+const BucketCount = 16
 
 // Table keeps all nodes known to a process. It is safe for concurrent use.
 type Table struct {
 	mu    sync.RWMutex
 	nodes map[string]Node
-	sums  [Buckets]uint64
+	sums  [BucketCount]uint64
 	// view is made anew after a change; nil until asked for.
 	view []Node
 }
@@ -25,8 +25,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{nodes: map[string]Node{}} }
 
-// Bucket returns the part of the digest an id belongs to.
-func Bucket(id string) int { return int(xxhash.Sum64String(id) % Buckets) }
+// BucketOf returns the part of the digest an id belongs to.
+func BucketOf(id string) int { return int(xxhash.Sum64String(id) % BucketCount) }
 
 // Merge takes in what was heard and returns what is now known, and whether
 // that was news.
@@ -42,7 +42,7 @@
 	}
 	if isNews {
 		t.nodes[heard.ID] = next
-		t.sums[Bucket(heard.ID)] ^= oldSum ^ next.sum()
+		t.sums[BucketOf(heard.ID)] ^= oldSum ^ next.sum()
 		t.view = nil
 	}
 	return next, isNews
@@ -76,8 +76,8 @@
 	return t.view
 }
 
-// Serving returns the nodes callers may be sent to.
-func (t *Table) Serving() []Node {
+// ServingNodes returns the nodes callers may be sent to.
+func (t *Table) ServingNodes() []Node {
 	var list []Node
 	for _, n := range t.Nodes() {
 		if n.Serves() {
@@ -88,17 +88,17 @@
 }
 
 // Sums returns the digest, part by part.
-func (t *Table) Sums() [Buckets]uint64 {
+func (t *Table) Sums() [BucketCount]uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.sums
 }
 
 // InBuckets returns the nodes of the parts for which want is true.
-func (t *Table) InBuckets(want [Buckets]bool) []Node {
+func (t *Table) InBuckets(want [BucketCount]bool) []Node {
 	var list []Node
 	for _, n := range t.Nodes() {
-		if want[Bucket(n.ID)] {
+		if want[BucketOf(n.ID)] {
 			list = append(list, n)
 		}
 	}
--- a/pkg/operatorapi/operatorwire/wire.go
+++ b/pkg/operatorapi/operatorwire/wire.go
@@ -185,7 +185,7 @@
 	for i, n := range nodes {
 		out[i] = NodeStatus{
 			Node: n.ID, Status: n.Status.String(), Leaving: n.Leaving, Ready: n.Ready, DataCenter: n.DataCenter,
-			CallerAddress: n.CallerAddress, Control: n.Control, Load: n.Load,
+			CallerAddress: n.CallerAddress, Control: n.HasControl, Load: n.Load,
 		}
 	}
 	return out
--- a/pkg/peer/codec.go
+++ b/pkg/peer/codec.go
@@ -98,7 +98,7 @@
 		w.Nodes = append(w.Nodes, peerschema.Node{
 			Node: n.ID, Incarnation: int(n.Incarnation), Status: int(n.Status), Leaving: n.Leaving, Counter: int(n.Counter),
 			DataCenter: n.DataCenter, Region: n.Region, PeerAddress: n.PeerAddress, CallerAddress: n.CallerAddress,
-			Ready: n.Ready, Control: n.Control, Load: n.Load,
+			Ready: n.Ready, Control: n.HasControl, Load: n.Load,
 		})
 	}
 	for _, i := range m.Endpoints {
@@ -173,7 +173,7 @@
 		news.Nodes = append(news.Nodes, membership.Node{
 			ID: n.Node, Incarnation: int64(n.Incarnation), Status: membership.Status(n.Status), Leaving: n.Leaving,
 			Counter: int64(n.Counter), DataCenter: n.DataCenter, Region: n.Region, PeerAddress: n.PeerAddress,
-			CallerAddress: n.CallerAddress, Ready: n.Ready, Control: n.Control, Load: n.Load,
+			CallerAddress: n.CallerAddress, Ready: n.Ready, HasControl: n.Control, Load: n.Load,
 		})
 	}
 	for _, e := range w.Endpoints {
--- a/pkg/peer/codec_test.go
+++ b/pkg/peer/codec_test.go
@@ -19,7 +19,7 @@
 	peer.Digest{Revision: 7, Nodes: 1<<63 - 1, Endpoints: 3, Demands: []peer.Demand{{Team: 1 << 31, Value: 2.5}}},
 	peer.Pull{After: 3, Nodes: []uint64{1, 1<<64 - 1}, Endpoints: []uint64{}},
 	peer.News{
-		Nodes:     []membership.Node{{ID: "n", Incarnation: 1, Status: membership.Suspect, Leaving: true, Counter: 4, Control: true, Load: 7}},
+		Nodes:     []membership.Node{{ID: "n", Incarnation: 1, Status: membership.Suspect, Leaving: true, Counter: 4, HasControl: true, Load: 7}},
 		Endpoints: []endpoint.Info{{ID: "e", Incarnation: 2, State: endpoint.Leaving, Counter: 1, Kind: endpoint.Model, LeaveBy: time.UnixMilli(99), Adapter: "a"}},
 		Changes:   []config.Change{{Revision: 2, Whole: true, Sections: []fleet.Section{fleet.NewSection("team", "t", `{}`)}}},
 	},
--- a/pkg/peer/mesh.go
+++ b/pkg/peer/mesh.go
@@ -174,8 +174,8 @@
 		attached = attached || state.role == RoleControl
 	}
 	return m.changeSelf(func(n *membership.Node) bool {
-		changed := n.Control != attached
-		n.Control = attached
+		changed := n.HasControl != attached
+		n.HasControl = attached
 		return changed
 	})
 }
--- a/pkg/peer/mesh_test.go
+++ b/pkg/peer/mesh_test.go
@@ -203,7 +203,7 @@
 	}
 	n.run(30 * time.Second)
 	for _, id := range n.order {
-		if got := len(n.nodes[id].nodes.Serving()); got != 12 {
+		if got := len(n.nodes[id].nodes.ServingNodes()); got != 12 {
 			t.Errorf("%s: got %d nodes alive after the reunion, want 12", id, got)
 		}
 	}
@@ -223,7 +223,7 @@
 	m := n.add("n900", "dc00")
 	n.connect("n900", "n002")
 	took := n.runUntil(time.Minute, func() bool {
-		return m.config.Current().Revision() == 3 && len(m.endpoints.View().Infos()) == 200 && len(m.nodes.Serving()) == 6
+		return m.config.Current().Revision() == 3 && len(m.endpoints.View().Infos()) == 200 && len(m.nodes.ServingNodes()) == 6
 	})
 	if took > 6*time.Second {
 		t.Errorf("has all after %v, want within 6s", took)
@@ -247,7 +247,7 @@
 		fresh.mesh.Tell(peer.News{Nodes: all}, n.now)
 	}
 	took := n.runUntil(time.Minute, func() bool {
-		return n.knownTo(func(m *member) bool { return len(m.nodes.Serving()) == 12 }) == 12
+		return n.knownTo(func(m *member) bool { return len(m.nodes.ServingNodes()) == 12 }) == 12
 	})
 	if took > 15*time.Second {
 		t.Errorf("all are known alive after %v, want within 15s", took)
--- a/pkg/peer/news.go
+++ b/pkg/peer/news.go
@@ -53,8 +53,8 @@
 // answer sends the parts in which the other side differs.
 func (m *Mesh) answer(link Link, p Pull) []Out {
 	news := News{Changes: m.config.After(p.After)}
-	if len(p.Nodes) == membership.Buckets {
-		var want [membership.Buckets]bool
+	if len(p.Nodes) == membership.BucketCount {
+		var want [membership.BucketCount]bool
 		for i, sum := range m.nodes.Sums() {
 			want[i] = sum != p.Nodes[i]
 		}
--- a/pkg/roster/advertised.go
+++ b/pkg/roster/advertised.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Entry is an entry host that serves.
-type Entry struct {
-	Node, DataCenter, Callers string
+// AdvertisedHost is an entry host that serves.
+type AdvertisedHost struct {
+	Node, DataCenter, CallerAddress string
 }
 
 // Parameters of the hosts that are advertised to callers. In a large fleet a few take all
@@ -37,20 +37,20 @@
 	advertisedShare = 0.8
 )
 
-// Entries returns the advertised hosts, by name.
-func (r *Roster) Entries() []Entry {
+// AdvertisedHosts returns the advertised hosts, by name.
+func (r *Roster) AdvertisedHosts() []AdvertisedHost {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []Entry
+	var list []AdvertisedHost
 	for _, m := range r.advertised() {
-		list = append(list, Entry{m.row.Node, m.row.DataCenter, m.row.Callers})
+		list = append(list, AdvertisedHost{m.row.Node, m.row.DataCenter, m.row.CallerAddress})
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Node < list[j].Node })
 	return list
 }
 
-// Advertises reports whether a host is advertised to callers.
-func (r *Roster) Advertises(node string) bool {
+// IsAdvertised reports whether a host is advertised to callers.
+func (r *Roster) IsAdvertised(node string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.advertised(), func(m *member) bool { return m.row.Node == node })
@@ -63,8 +63,8 @@
 	return max(len(r.advertised()), 1)
 }
 
-// Share returns the part of a bound on all hosts together that a host may use.
-func (r *Roster) Share(node string) float64 {
+// LimitShare returns the part of a bound on all hosts together that a host may use.
+func (r *Roster) LimitShare(node string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	advertised := r.advertised()
@@ -147,8 +147,8 @@
 	return cores
 }
 
-// SetRequests sets how many requests a second recently began over all hosts.
-func (r *Roster) SetRequests(rate float64) {
+// SetRequestRate sets how many requests a second recently began over all hosts.
+func (r *Roster) SetRequestRate(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests = rate
@@ -178,7 +178,7 @@
 	}
 	// Hosts whose start time is unknown rank last.
 	compare := func(a, b *member) int {
-		return cmp.Or(compareBool(a.row.Since == 0, b.row.Since == 0), cmp.Compare(a.row.Since, b.row.Since), compareBool(advertised[a], advertised[b]), cmp.Compare(a.row.Node, b.row.Node))
+		return cmp.Or(compareBool(a.row.StartedAt == 0, b.row.StartedAt == 0), cmp.Compare(a.row.StartedAt, b.row.StartedAt), compareBool(advertised[a], advertised[b]), cmp.Compare(a.row.Node, b.row.Node))
 	}
 	var first []*member
 	outsideCore := r.isOutsideCore()
@@ -207,10 +207,10 @@
 	}
 }
 
-// Peers returns the addresses for datagrams of the other hosts, also of silent ones: a new
+// PeerAddresses returns the addresses for datagrams of the other hosts, also of silent ones: a new
 // process may answer there. Near are those that share the callers with this host or keep what
 // it counts, far all others.
-func (r *Roster) Peers(self Host) (near, far []string) {
+func (r *Roster) PeerAddresses(self Host) (near, far []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.peers(self)
@@ -223,14 +223,14 @@
 		group[m.row.Node] = true
 	}
 	for _, m := range r.sharing() {
-		if m.row.Incarnation == self.Incarnation || m.row.Peers == "" {
+		if m.row.Incarnation == self.Incarnation || m.row.PeerAddress == "" {
 			continue
 		}
 		if group[self.Node] && group[m.row.Node] {
-			near = append(near, m.row.Peers)
+			near = append(near, m.row.PeerAddress)
 			continue
 		}
-		far = append(far, m.row.Peers)
+		far = append(far, m.row.PeerAddress)
 	}
 	return near, far
 }
--- a/pkg/roster/advertised_test.go
+++ b/pkg/roster/advertised_test.go
@@ -13,7 +13,7 @@
 // four data centres.
 func large(hosts int) *roster.Roster {
 	r := roster.New(silence, interval)
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	for i := range hosts {
 		cores := 0.2
 		if i < 8 {
@@ -26,13 +26,13 @@
 
 func sized(i int, cores float64) roster.Host {
 	name := fmt.Sprintf("h%02d", i)
-	return roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), Callers: name, Peers: name + ":1", Millicores: int(1000 * cores)}
+	return roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), CallerAddress: name, PeerAddress: name + ":1", Millicores: int(1000 * cores)}
 }
 
 // The largest hosts of a large fleet are advertised, some in each data centre.
 func TestLargestHostsAreAdvertised(t *testing.T) {
 	r := large(91)
-	entries := r.Entries()
+	entries := r.AdvertisedHosts()
 	each := map[string]int{}
 	for _, e := range entries {
 		each[e.DataCenter]++
@@ -43,7 +43,7 @@
 	if len(entries) != 8 || len(each) != 4 {
 		t.Errorf("told: got %d hosts of %d data centres, want 8 of 4", len(entries), len(each))
 	}
-	if !r.Advertises("h00") || r.Advertises("h50") {
+	if !r.IsAdvertised("h00") || r.IsAdvertised("h50") {
 		t.Error("told: want the large h00 and not the small h50")
 	}
 }
@@ -52,11 +52,11 @@
 func TestHowManyHostsAreAdvertised(t *testing.T) {
 	for _, c := range []struct{ hosts, want int }{{9, 9}, {23, 23}, {40, 10}, {91, 23}} {
 		r := roster.New(silence, interval)
-		r.StoreAnswered(start)
+		r.NoteStoreResponse(start)
 		for i := range c.hosts {
 			r.ApplyStatus(roster.Status{Host: sized(i, 0), Sequence: 1}, start)
 		}
-		if got := len(r.Entries()); got != c.want {
+		if got := len(r.AdvertisedHosts()); got != c.want {
 			t.Errorf("%d hosts: got %d told, want %d", c.hosts, got, c.want)
 		}
 	}
@@ -68,7 +68,7 @@
 	leaving := sized(0, 0.8)
 	leaving.Leaving = true
 	r.ApplyStatus(roster.Status{Host: leaving, Sequence: 2}, start)
-	if r.Advertises("h00") {
+	if r.IsAdvertised("h00") {
 		t.Error("a host that leaves: got told, want not")
 	}
 	later := start.Add(silence + time.Second)
@@ -77,14 +77,14 @@
 			r.ApplyStatus(roster.Status{Host: sized(i, map[bool]float64{true: 0.8, false: 0.2}[i < 8]), Sequence: 3}, later)
 		}
 	}
-	if r.Advertises("h01") {
+	if r.IsAdvertised("h01") {
 		t.Error("a silent host: got told, want not")
 	}
-	if got := len(r.Entries()); got < 8 {
+	if got := len(r.AdvertisedHosts()); got < 8 {
 		t.Errorf("told while two of the large ones are away: got %d, want 8 or more", got)
 	}
 	r.ApplyStatus(roster.Status{Host: sized(1, 0.8), Sequence: 3}, later.Add(time.Second))
-	if !r.Advertises("h01") {
+	if !r.IsAdvertised("h01") {
 		t.Error("a host that is back: got not told, want told")
 	}
 }
@@ -95,7 +95,7 @@
 		r := large(hosts)
 		sum := 0.0
 		for i := range hosts {
-			sum += r.Share(sized(i, 0).Node)
+			sum += r.LimitShare(sized(i, 0).Node)
 		}
 		if math.Abs(sum-1) > 0.001 {
 			t.Errorf("%d hosts: got %.3f together, want 1", hosts, sum)
@@ -107,16 +107,16 @@
 // each other; all others are far.
 func TestNearPeers(t *testing.T) {
 	r := large(91)
-	near, far := r.Peers(sized(0, 0.8))
+	near, far := r.PeerAddresses(sized(0, 0.8))
 	if len(near) != 10 || len(far) != 80 {
 		t.Errorf("of a host that callers are told: got %d near and %d far, want 10 and 80", len(near), len(far))
 	}
 	for _, h := range r.Standbys() {
-		if r.Advertises(h.Node) {
+		if r.IsAdvertised(h.Node) {
 			t.Errorf("standby %s: got told to callers, want one without callers", h.Node)
 		}
 	}
-	near, far = r.Peers(sized(50, 0.2))
+	near, far = r.PeerAddresses(sized(50, 0.2))
 	if len(near) != 0 || len(far) != 90 {
 		t.Errorf("of another host: got %d near and %d far, want 0 and 90", len(near), len(far))
 	}
@@ -132,11 +132,11 @@
 		now = now.Add(4 * time.Second)
 		members.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: sequence + 1}, now)
 	}
-	if got := len(members.Entries()); got != 1 {
+	if got := len(members.AdvertisedHosts()); got != 1 {
 		t.Fatalf("heard just now: got %d hosts told, want 1", got)
 	}
-	members.StoreAnswered(now.Add(silence + 200*time.Millisecond))
-	if got := members.Entries(); len(got) != 0 {
+	members.NoteStoreResponse(now.Add(silence + 200*time.Millisecond))
+	if got := members.AdvertisedHosts(); len(got) != 0 {
 		t.Errorf("silent: got %v told, want none", got)
 	}
 }
--- a/pkg/roster/apply.go
+++ b/pkg/roster/apply.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// StoreAnswered notes that the store has answered, with or without changes. Rows age only
+// NoteStoreResponse notes that the store has answered, with or without changes. Rows age only
 // while it does.
-func (r *Roster) StoreAnswered(now time.Time) {
+func (r *Roster) NoteStoreResponse(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.seenAt = now
@@ -49,7 +49,7 @@
 	if status.Sequence <= m.status.Sequence {
 		return
 	}
-	r.setUnknownSince(m, status.Since)
+	r.setUnknownSince(m, status.StartedAt)
 	if status.Leaving {
 		r.leave(m)
 	}
@@ -57,7 +57,7 @@
 		r.changed()
 	}
 	for i := range status.Loads {
-		status.Loads[i].At = now
+		status.Loads[i].ReceivedAt = now
 	}
 	m.notePace(now)
 	m.status, m.statusAt = status, now
@@ -67,7 +67,7 @@
 
 // ApplyCounts applies counts that a process sends apart from its status. Those of an unknown
 // process are skipped: it sends them again.
-func (r *Roster) ApplyCounts(incarnation string, counts []Count) {
+func (r *Roster) ApplyCounts(incarnation string, counts []RequestCount) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m, ok := r.members[incarnation]; ok {
@@ -85,7 +85,7 @@
 		m = &member{row: Row{Host: host}, changedAt: now}
 		r.add(m)
 	}
-	r.setUnknownSince(m, host.Since)
+	r.setUnknownSince(m, host.StartedAt)
 	if host.Leaving {
 		r.leave(m)
 	}
@@ -95,8 +95,8 @@
 // setUnknownSince sets the start time of a member if it is not known yet: a process sends its first
 // datagrams before it has read the store's clock. The lock is held.
 func (r *Roster) setUnknownSince(m *member, since time.Duration) {
-	if m.row.Since == 0 && since > 0 {
-		m.row.Since = since
+	if m.row.StartedAt == 0 && since > 0 {
+		m.row.StartedAt = since
 		r.changed()
 	}
 }
--- a/pkg/roster/digest.go
+++ b/pkg/roster/digest.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Alive says that a process is alive, in few bytes.
-type Alive struct {
+// LiveHost says that a process is alive, in few bytes.
+type LiveHost struct {
 	// Hash is of its incarnation.
 	Hash uint32
 	// Age is how long ago it was last seen.
@@ -23,14 +23,14 @@
 
 // Digest is the part of the membership that an aggregator sends.
 type Digest struct {
-	// Alive are processes that it has seen.
-	Alive []Alive
+	// LiveHosts are processes that it has seen.
+	LiveHosts []LiveHost
 	// Hosts are some of them in full, for receivers that do not know them.
 	Hosts []Host
-	// Requests is how many a second recently began over all hosts, 0 for not known.
-	Requests float64
-	// Sharing is how many hosts may serve, 0 for not known.
-	Sharing int
+	// RequestRate is how many a second recently began over all hosts, 0 for not known.
+	RequestRate float64
+	// HostCount is how many hosts may serve, 0 for not known.
+	HostCount int
 }
 
 // Parameters of digests.
@@ -52,9 +52,9 @@
 	for chunk := range slices.Chunk(members, maxAlive) {
 		// The candidates come last: others in each round, so that they go in full.
 		hosts := append(inTurn(chunk, round, maxHosts/2), hostsOf(chunk[max(len(chunk)-maxHosts/2, 0):])...)
-		p := Digest{Requests: r.requests, Sharing: r.shared(), Hosts: hosts}
+		p := Digest{RequestRate: r.requests, HostCount: r.shared(), Hosts: hosts}
 		for _, m := range chunk {
-			p.Alive = appendAlive(p.Alive, m, now, r.silence, slices.Contains(advertised, m))
+			p.LiveHosts = appendAlive(p.LiveHosts, m, now, r.silence, slices.Contains(advertised, m))
 		}
 		list = append(list, p)
 	}
@@ -82,9 +82,9 @@
 	return list
 }
 
-// FollowerDigests returns what an aggregator sends the core: the hosts of its data centre that
+// DataCenterDigests returns what an aggregator sends the core: the hosts of its data centre that
 // send it datagrams, those in the core too, which other data centres may not know yet.
-func (r *Roster) FollowerDigests(self Host, round int, now time.Time) []Digest {
+func (r *Roster) DataCenterDigests(self Host, round int, now time.Time) []Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var followers []*member
@@ -97,7 +97,7 @@
 	for chunk := range slices.Chunk(followers, maxAlive) {
 		p := Digest{}
 		for _, m := range chunk {
-			p.Alive = appendAlive(p.Alive, m, now, r.silence, false)
+			p.LiveHosts = appendAlive(p.LiveHosts, m, now, r.silence, false)
 		}
 		p.Hosts = inTurn(chunk, round, maxHosts)
 		list = append(list, p)
@@ -106,12 +106,12 @@
 }
 
 // appendAlive adds a process that was seen within a time.
-func appendAlive(list []Alive, m *member, now time.Time, within time.Duration, advertised bool) []Alive {
+func appendAlive(list []LiveHost, m *member, now time.Time, within time.Duration, advertised bool) []LiveHost {
 	age := max(now.Sub(m.seenAt()), 0)
 	if age > within {
 		return list
 	}
-	return append(list, Alive{Hash: hashOf(m.row.Incarnation), Age: age, Leaving: m.row.Leaving, Advertised: advertised})
+	return append(list, LiveHost{Hash: hashOf(m.row.Incarnation), Age: age, Leaving: m.row.Leaving, Advertised: advertised})
 }
 
 // inTurn returns some of the members, others in each round.
@@ -168,12 +168,12 @@
 	for _, host := range p.Hosts {
 		m, ok := r.members[host.Incarnation]
 		if ok {
-			r.setUnknownSince(m, host.Since)
+			r.setUnknownSince(m, host.StartedAt)
 		} else if host.Incarnation != "" && host.Node != "" {
 			r.add(&member{row: Row{Host: host}})
 		}
 	}
-	for _, alive := range p.Alive {
+	for _, alive := range p.LiveHosts {
 		m, ok := r.members[r.byHash[alive.Hash]]
 		if !ok {
 			continue
@@ -187,11 +187,11 @@
 		}
 		m.seenByPeer(now.Add(-alive.Age))
 	}
-	if p.Requests > 0 {
-		r.requests = p.Requests
+	if p.RequestRate > 0 {
+		r.requests = p.RequestRate
 	}
-	if p.Sharing > 0 {
-		r.reportedSharing, r.sharingAt = p.Sharing, now
+	if p.HostCount > 0 {
+		r.reportedSharing, r.sharingAt = p.HostCount, now
 	}
 	r.seenAt, r.digestAt = now, now
 }
--- a/pkg/roster/levels.go
+++ b/pkg/roster/levels.go
@@ -42,17 +42,17 @@
 	Frequent, Infrequent []string
 	// Subscribers are sent digests alone, in few rounds.
 	Subscribers []string
-	// Leveled says that Frequent and Infrequent are of one level and not the whole fleet.
-	Leveled bool
+	// Hierarchical says that Frequent and Infrequent are of one level and not the whole fleet.
+	Hierarchical bool
 	// Aggregators are those to which this host subscribes, in few rounds.
 	Aggregators []string
 }
 
 // Activity is what a host does that determines its recipients.
 type Activity struct {
-	// Serves says that it has recently served callers: one that is not of the core sends what
+	// ServesCallers says that it has recently served callers: one that is not of the core sends what
 	// it admitted and counted to all of the core.
-	Serves bool
+	ServesCallers bool
 	// HoldsDuties says that it holds the lease of the duties: it receives all counts.
 	HoldsDuties bool
 }
@@ -67,21 +67,21 @@
 	}
 	core := r.core()
 	subscribers := r.subscribers(self, core, now)
-	a := Recipients{Leveled: true}
+	a := Recipients{Hierarchical: true}
 	for _, m := range subscribers {
 		if m.row.DataCenter == self.DataCenter {
-			a.Subscribers = append(a.Subscribers, m.row.Peers)
+			a.Subscribers = append(a.Subscribers, m.row.PeerAddress)
 		}
 		if !m.statusAt.IsZero() && now.Sub(m.statusAt) < subscriptionTTL {
 			// It serves, as it sends more than subscriptions.
-			a.Infrequent = append(a.Infrequent, m.row.Peers)
+			a.Infrequent = append(a.Infrequent, m.row.PeerAddress)
 		}
 	}
 	r.noteAggregates(self, len(a.Subscribers) > 0)
 	_, isCore := core[self.Node]
 	for _, m := range sorted(core) {
-		if m.row.Node != self.Node && m.row.Peers != "" {
-			a.Frequent = append(a.Frequent, m.row.Peers)
+		if m.row.Node != self.Node && m.row.PeerAddress != "" {
+			a.Frequent = append(a.Frequent, m.row.PeerAddress)
 		}
 	}
 	receives := isCore || len(a.Subscribers) > 0 || self.Leaving || does.HoldsDuties
@@ -97,14 +97,14 @@
 	if receives {
 		return a
 	}
-	if does.Serves {
+	if does.ServesCallers {
 		a.Aggregators = slices.Compact(slices.Sorted(slices.Values(append(a.Aggregators, a.Frequent...))))
 	}
-	return Recipients{Leveled: true, Aggregators: a.Aggregators}
+	return Recipients{Hierarchical: true, Aggregators: a.Aggregators}
 }
 
-// Aggregates reports whether the host has subscribers.
-func (a Recipients) Aggregates() bool { return len(a.Subscribers) > 0 }
+// HasSubscribers reports whether the host has subscribers.
+func (a Recipients) HasSubscribers() bool { return len(a.Subscribers) > 0 }
 
 // noteAggregates notes whether this host aggregates, which changes its ranking. The lock is
 // held.
@@ -128,8 +128,8 @@
 	return !r.leveledAt.IsZero() && r.seenAt.Sub(r.leveledAt) < leveledKept
 }
 
-// IsLeveled reports whether the fleet is so large that it has levels.
-func (r *Roster) IsLeveled() bool {
+// IsHierarchical reports whether the fleet is so large that it has levels.
+func (r *Roster) IsHierarchical() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.isLeveled()
@@ -218,7 +218,7 @@
 	isAggregator := r.isAggregator(self, core)
 	for _, m := range r.live() {
 		_, isCore := core[m.row.Node]
-		if isCore || m.row.Node == self.Node || m.row.Peers == "" {
+		if isCore || m.row.Node == self.Node || m.row.PeerAddress == "" {
 			continue
 		}
 		subscribed := !m.subscribedAt.IsZero() && now.Sub(m.subscribedAt) < subscriptionTTL
@@ -252,7 +252,7 @@
 func (r *Roster) aggregatorsOf(self Host, now time.Time) []string {
 	var ranked []*member
 	for _, m := range r.sharing() {
-		if m.row.DataCenter == self.DataCenter && m.row.Node != self.Node && !m.row.Leaving && m.row.Peers != "" && !m.isSkipped(now) {
+		if m.row.DataCenter == self.DataCenter && m.row.Node != self.Node && !m.row.Leaving && m.row.PeerAddress != "" && !m.isSkipped(now) {
 			ranked = append(ranked, m)
 		}
 	}
@@ -270,7 +270,7 @@
 		if m.requestedAt.IsZero() || m.hasAnswered() {
 			m.requestedAt = now
 		}
-		addresses = append(addresses, m.row.Peers)
+		addresses = append(addresses, m.row.PeerAddress)
 	}
 	return addresses
 }
--- a/pkg/roster/loads.go
+++ b/pkg/roster/loads.go
@@ -45,8 +45,8 @@
 	l.Endpoint = other.Endpoint
 	l.Running += other.Running
 	l.PrefillTokens += other.PrefillTokens
-	if other.PrefillTokens > 0 && other.At.After(l.At) {
-		l.At = other.At
+	if other.PrefillTokens > 0 && other.ReceivedAt.After(l.ReceivedAt) {
+		l.ReceivedAt = other.ReceivedAt
 	}
 	return l
 }
@@ -71,7 +71,7 @@
 	}
 	m.status.Sequence = sequence
 	for _, l := range loads {
-		l.At = now
+		l.ReceivedAt = now
 		m.status.setLoad(l)
 	}
 }
@@ -86,17 +86,17 @@
 	t.Loads = append(t.Loads, l)
 }
 
-// Works returns the engine time a second asked for over all processes, by
+// Demands returns the engine time a second asked for over all processes, by
 // service.
-func (r *Roster) Works(now time.Time) map[string]float64 {
+func (r *Roster) Demands(now time.Time) map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	works := map[string]float64{}
 	recent := r.recent()
 	for _, m := range r.live() {
-		sent := m.row.Works
+		sent := m.row.Demands
 		if now.Sub(m.statusAt) < recent {
-			sent = m.status.Works
+			sent = m.status.Demands
 		}
 		for _, w := range sent {
 			works[w.Service] += w.Rate
--- a/pkg/roster/member.go
+++ b/pkg/roster/member.go
@@ -29,7 +29,7 @@
 	requestedAt time.Time
 }
 
-func (m *member) count(counts []Count) {
+func (m *member) count(counts []RequestCount) {
 	if m.counts == nil {
 		m.counts = map[int64]map[string]int{}
 	}
@@ -38,7 +38,7 @@
 			m.counts[c.Window] = map[string]int{}
 			delete(m.counts, c.Window-windowsKept)
 		}
-		m.counts[c.Window][c.Team] = max(m.counts[c.Window][c.Team], c.Begun)
+		m.counts[c.Window][c.Team] = max(m.counts[c.Window][c.Team], c.Started)
 	}
 }
 
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -63,8 +63,8 @@
 // would grow with the square of the fleet.
 const pacedFleet = 16
 
-// Pace stretches a pause between writes or reads of rows for a number of hosts.
-func Pace(pause time.Duration, hosts int) time.Duration {
+// ScaleInterval stretches a pause between writes or reads of rows for a number of hosts.
+func ScaleInterval(pause time.Duration, hosts int) time.Duration {
 	return pause * time.Duration(max(hosts, pacedFleet)) / pacedFleet
 }
 
@@ -83,8 +83,8 @@
 	return missed * r.interval(len(r.members))
 }
 
-// Known reports whether the rows have been read once.
-func (r *Roster) Known() bool {
+// Loaded reports whether the rows have been read once.
+func (r *Roster) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.known
@@ -125,8 +125,8 @@
 	}
 }
 
-// Keep drops all rows that a snapshot does not name.
-func (r *Roster) Keep(named func(incarnation string) bool) {
+// Retain drops all rows that a snapshot does not name.
+func (r *Roster) Retain(named func(incarnation string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for incarnation := range r.members {
@@ -164,7 +164,7 @@
 	if r.bySize == nil {
 		r.bySize = map[string][]*member{}
 		for _, m := range live {
-			if !m.row.Leaving && m.row.Peers != "" {
+			if !m.row.Leaving && m.row.PeerAddress != "" {
 				r.bySize[m.row.DataCenter] = append(r.bySize[m.row.DataCenter], m)
 			}
 		}
@@ -175,14 +175,14 @@
 	return r.bySize[dataCenter]
 }
 
-// InTouch reports whether another host with a recent status has been in touch with the
+// PeerReachedStore reports whether another host with a recent status has been in touch with the
 // store for the whole of a time.
-func (r *Roster) InTouch(self string, whole time.Duration, now time.Time) bool {
+func (r *Roster) PeerReachedStore(self string, whole time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	recent := r.recent()
 	for _, m := range r.members {
-		if m.row.Incarnation != self && now.Sub(m.statusAt) < recent && m.status.InTouch >= whole {
+		if m.row.Incarnation != self && now.Sub(m.statusAt) < recent && m.status.StoreReachableFor >= whole {
 			return true
 		}
 	}
@@ -202,9 +202,9 @@
 	return false
 }
 
-// Live returns the incarnations of the hosts that are not silent, those that are about
+// LiveIncarnations returns the incarnations of the hosts that are not silent, those that are about
 // to stop too.
-func (r *Roster) Live() []string {
+func (r *Roster) LiveIncarnations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []string
@@ -214,9 +214,9 @@
 	return list
 }
 
-// Fleet returns how many hosts have sent recent datagrams, this one included, and how many
+// CountHosts returns how many hosts have sent recent datagrams, this one included, and how many
 // others may serve that have not: restarting, or cut off.
-func (r *Roster) Fleet(self string, now time.Time) (recent, silent int) {
+func (r *Roster) CountHosts(self string, now time.Time) (recent, silent int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	recent = 1
@@ -281,9 +281,9 @@
 	return r.sharedHosts
 }
 
-// Begun returns the requests that began in a window, by team, over all rows,
+// StartedRequests returns the requests that began in a window, by team, over all rows,
 // those of dead processes too.
-func (r *Roster) Begun(window int64) map[string]int {
+func (r *Roster) StartedRequests(window int64) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	counts := map[string]int{}
@@ -326,8 +326,8 @@
 	}
 }
 
-// Silent returns processes with a row that were not seen for a time.
-func (r *Roster) Silent(after time.Duration) []string {
+// SilentIncarnations returns processes with a row that were not seen for a time.
+func (r *Roster) SilentIncarnations(after time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []string
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -33,9 +33,9 @@
 // exchange applies one status of each sender at the receivers.
 func exchange(senders, receivers []host, sequence int64, now time.Time) {
 	for _, l := range receivers {
-		l.roster.StoreAnswered(now)
+		l.roster.NoteStoreResponse(now)
 		for _, t := range senders {
-			l.roster.Merge(roster.Row{Host: roster.Host{Incarnation: t.name, Node: t.name, Callers: t.name}, Sequence: sequence}, now)
+			l.roster.Merge(roster.Row{Host: roster.Host{Incarnation: t.name, Node: t.name, CallerAddress: t.name}, Sequence: sequence}, now)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 	for _, name := range []string{"b", "c"} {
 		r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: name, Node: name}, Sequence: 1}, now)
 	}
-	heard, silent := r.Fleet("a", now)
+	heard, silent := r.CountHosts("a", now)
 	if heard != 3 || silent != 3 {
 		t.Errorf("fleet: got %d heard, %d silent, want 3 and 3", heard, silent)
 	}
@@ -64,7 +64,7 @@
 	if got, want := hosts[0].roster.Sharing(), 2; got != want {
 		t.Errorf("hosts that may serve: got %d, want %d", got, want)
 	}
-	if got := hosts[0].roster.Entries(); len(got) != 2 {
+	if got := hosts[0].roster.AdvertisedHosts(); len(got) != 2 {
 		t.Errorf("entries: got %v, want a and b", got)
 	}
 }
@@ -73,22 +73,22 @@
 // silent.
 func TestRowsDoNotAgeWhileTheStoreIsAway(t *testing.T) {
 	hosts := fleet("a", "b", "c")
-	if got := len(hosts[0].roster.Entries()); got != 3 {
+	if got := len(hosts[0].roster.AdvertisedHosts()); got != 3 {
 		t.Errorf("entries after a minute without the store: got %d, want 3", got)
 	}
 	// The first answer brings no news of b and c.
-	hosts[0].roster.StoreAnswered(start.Add(time.Minute))
-	if got := len(hosts[0].roster.Entries()); got != 0 {
+	hosts[0].roster.NoteStoreResponse(start.Add(time.Minute))
+	if got := len(hosts[0].roster.AdvertisedHosts()); got != 0 {
 		t.Errorf("entries after an answer without news: got %d, want 0", got)
 	}
 }
 
 func TestLateWritesOfARowAreLeft(t *testing.T) {
 	r := roster.New(silence, interval)
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	r.Merge(roster.Row{Host: roster.Host{Incarnation: "a", Node: "a", Leaving: true}, Sequence: 7}, start)
 	r.Merge(roster.Row{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: 6}, start)
-	if got := r.Entries(); len(got) != 0 {
+	if got := r.AdvertisedHosts(); len(got) != 0 {
 		t.Errorf("entries: got %v, want none: the host is leaving", got)
 	}
 }
@@ -96,7 +96,7 @@
 // A third of the clocks is stepped: the fleet's time stays.
 func TestClockOffsetIsNotMovedByAMinority(t *testing.T) {
 	r := roster.New(silence, interval)
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	for i, offset := range []time.Duration{0, time.Millisecond, -time.Millisecond, 2 * time.Millisecond, -2400 * time.Millisecond, -2400 * time.Millisecond} {
 		name := string(rune('a' + i))
 		r.Merge(roster.Row{Host: roster.Host{Incarnation: name, Node: name}, Sequence: 1, ClockOffset: time.Hour + offset}, start)
@@ -109,11 +109,11 @@
 
 func TestRowsSurviveTheirCodec(t *testing.T) {
 	want := roster.Row{
-		Host:        roster.Host{Incarnation: "n.x", Node: "n", DataCenter: "dc", Callers: "127.0.0.1:1", Peers: "127.0.0.1:2"},
+		Host:        roster.Host{Incarnation: "n.x", Node: "n", DataCenter: "dc", CallerAddress: "127.0.0.1:1", PeerAddress: "127.0.0.1:2"},
 		Sequence:    9,
 		ClockOffset: -3 * time.Second,
 		Loads:       []roster.Load{{Endpoint: "e", Running: 2, PrefillTokens: 30}},
-		Counts:      []roster.Count{{Window: 5, Team: "t", Begun: 6}},
+		Counts:      []roster.RequestCount{{Window: 5, Team: "t", Started: 6}},
 	}
 	data, err := want.Encode()
 	if err != nil {
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Node != want.Node || got.Peers != want.Peers || got.ClockOffset != want.ClockOffset || got.Loads[0] != want.Loads[0] || got.Counts[0] != want.Counts[0] {
+	if got.Node != want.Node || got.PeerAddress != want.PeerAddress || got.ClockOffset != want.ClockOffset || got.Loads[0] != want.Loads[0] || got.Counts[0] != want.Counts[0] {
 		t.Errorf("row: got %+v, want %+v", got, want)
 	}
 	if _, err := roster.Decode("n.x", data[:len(data)-3]); err == nil {
@@ -139,7 +139,7 @@
 	for at := 200 * time.Millisecond; at <= 4*time.Second; at += 200 * time.Millisecond {
 		r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "b", Node: "b"}, Sequence: int64(at)}, start.Add(at))
 	}
-	got := r.Entries()
+	got := r.AdvertisedHosts()
 	if len(got) != 1 || got[0].Node != "b" {
 		t.Errorf("entries 4 s after c was last heard: got %v, want b alone: a has not told itself", got)
 	}
@@ -147,24 +147,24 @@
 
 // peersOf returns all addresses to which a host sends.
 func peersOf(r *roster.Roster, self string) []string {
-	near, far := r.Peers(roster.Host{Incarnation: self, Node: self})
+	near, far := r.PeerAddresses(roster.Host{Incarnation: self, Node: self})
 	return append(near, far...)
 }
 
 func TestRestartedFleetFindsItself(t *testing.T) {
 	r := roster.New(silence, interval)
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	for _, name := range []string{"b", "c"} {
-		r.Merge(roster.Row{Host: roster.Host{Incarnation: name + ".old", Node: name, Peers: name + ":1"}, Sequence: 8}, start)
+		r.Merge(roster.Row{Host: roster.Host{Incarnation: name + ".old", Node: name, PeerAddress: name + ":1"}, Sequence: 8}, start)
 	}
 	if got := peersOf(r, "a.new"); len(got) != 2 {
 		t.Errorf("addresses of the others: got %v, want b's and c's", got)
 	}
 	later := start.Add(300 * time.Millisecond)
 	for _, name := range []string{"b", "c"} {
-		r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: name + ".new", Node: name, Peers: name + ":1"}, Sequence: 1}, later)
+		r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: name + ".new", Node: name, PeerAddress: name + ":1"}, Sequence: 1}, later)
 	}
-	heard, silent := r.Fleet("a.new", later)
+	heard, silent := r.CountHosts("a.new", later)
 	if heard != 3 || silent != 0 {
 		t.Errorf("fleet: got %d heard, %d silent, want 3 and 0", heard, silent)
 	}
@@ -174,14 +174,14 @@
 // datagrams alone reports no clock.
 func TestCountsOfADeadProcessRemain(t *testing.T) {
 	r := roster.New(silence, interval)
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	r.Merge(roster.Row{
 		Host: roster.Host{Incarnation: "a.1", Node: "a"}, Sequence: 1, ClockOffset: time.Hour,
-		Counts: []roster.Count{{Window: 7, Team: "t", Begun: 3}},
+		Counts: []roster.RequestCount{{Window: 7, Team: "t", Started: 3}},
 	}, start)
-	r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a.1", Node: "a"}, Sequence: 1, Counts: []roster.Count{{Window: 7, Team: "t", Begun: 5}}}, start)
-	r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a.2", Node: "a"}, Sequence: 1, Counts: []roster.Count{{Window: 7, Team: "t", Begun: 2}}}, start.Add(time.Second))
-	if got, want := r.Begun(7)["t"], 7; got != want {
+	r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a.1", Node: "a"}, Sequence: 1, Counts: []roster.RequestCount{{Window: 7, Team: "t", Started: 5}}}, start)
+	r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a.2", Node: "a"}, Sequence: 1, Counts: []roster.RequestCount{{Window: 7, Team: "t", Started: 2}}}, start.Add(time.Second))
+	if got, want := r.StartedRequests(7)["t"], 7; got != want {
 		t.Errorf("begun in the window: got %d, want %d", got, want)
 	}
 	if got, ok := r.ClockOffset(); ok && got != time.Hour {
@@ -192,12 +192,12 @@
 // In a large fleet datagrams are rarer; its hosts are not silent for that.
 func TestLargeFleetIsHeard(t *testing.T) {
 	r := roster.New(silence, func(hosts int) time.Duration { return time.Duration(hosts) * 12 * time.Millisecond })
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	for i := range 91 {
 		name := fmt.Sprint("h", i)
 		r.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: name, Node: name}, Sequence: 1}, start)
 	}
-	heard, silent := r.Fleet("h0", start.Add(2*time.Second))
+	heard, silent := r.CountHosts("h0", start.Add(2*time.Second))
 	if heard != 91 || silent != 0 {
 		t.Errorf("fleet 2 s after a round of datagrams: got %d heard, %d silent, want 91 and 0", heard, silent)
 	}
@@ -206,12 +206,12 @@
 // A host never counts itself as silent, however rarely its row is written.
 func TestHostCountsItself(t *testing.T) {
 	r := roster.New(silence, interval)
-	self := roster.Host{Incarnation: "a.1", Node: "a", DataCenter: "dc", Peers: "a:1"}
+	self := roster.Host{Incarnation: "a.1", Node: "a", DataCenter: "dc", PeerAddress: "a:1"}
 	r.Merge(roster.Row{Host: self, Sequence: 1}, start)
 	later := start.Add(time.Minute)
-	r.StoreAnswered(later)
+	r.NoteStoreResponse(later)
 	r.MergeSelf(self, later)
-	if got := r.Entries(); len(got) != 1 {
+	if got := r.AdvertisedHosts(); len(got) != 1 {
 		t.Errorf("entries: got %v, want the host itself", got)
 	}
 	if got := r.Relays("dc", 1); len(got) != 1 || got[0].Node != "a" {
@@ -225,7 +225,7 @@
 	hosts := []roster.Host{sized(0, 0.8), sized(4, 0.8)}
 	for i := range hosts {
 		r := roster.New(silence, interval)
-		r.StoreAnswered(start)
+		r.NoteStoreResponse(start)
 		r.MergeSelf(hosts[i], start)
 		stored, err := roster.Row{Host: hosts[1-i], Sequence: 1}.Encode()
 		if err != nil {
@@ -245,10 +245,10 @@
 // The oldest hosts, which have received most, stand by for a duty.
 func TestOldestHosts(t *testing.T) {
 	r := roster.New(silence, interval)
-	r.StoreAnswered(start)
+	r.NoteStoreResponse(start)
 	for i := range 10 {
 		name := fmt.Sprint("h", i)
-		r.Merge(roster.Row{Host: roster.Host{Incarnation: name, Node: name, Since: time.Duration(20-i) * time.Second}, Sequence: 1}, start)
+		r.Merge(roster.Row{Host: roster.Host{Incarnation: name, Node: name, StartedAt: time.Duration(20-i) * time.Second}, Sequence: 1}, start)
 	}
 	oldest := r.Standbys()
 	if len(oldest) != 3 || oldest[0].Node != "h9" || oldest[1].Node != "h8" || oldest[2].Node != "h7" {
@@ -279,18 +279,18 @@
 
 func TestOthersInTouchWithTheStore(t *testing.T) {
 	r := roster.New(silence, interval)
-	told := roster.Status{Host: roster.Host{Incarnation: "b", Node: "b"}, Sequence: 1, InTouch: 5 * time.Second}
+	told := roster.Status{Host: roster.Host{Incarnation: "b", Node: "b"}, Sequence: 1, StoreReachableFor: 5 * time.Second}
 	r.ApplyStatus(told, start)
-	if !r.InTouch("a", 4*time.Second, start) {
+	if !r.PeerReachedStore("a", 4*time.Second, start) {
 		t.Error("b in touch for 4 s: got no, want yes")
 	}
-	if r.InTouch("a", 6*time.Second, start) {
+	if r.PeerReachedStore("a", 6*time.Second, start) {
 		t.Error("b in touch for 6 s: got yes, want no: it was away itself")
 	}
-	if r.InTouch("b", 4*time.Second, start) {
+	if r.PeerReachedStore("b", 4*time.Second, start) {
 		t.Error("another host than b: got yes, want no")
 	}
-	if r.InTouch("a", 4*time.Second, start.Add(time.Minute)) {
+	if r.PeerReachedStore("a", 4*time.Second, start.Add(time.Minute)) {
 		t.Error("a minute after b was last heard: got yes, want no")
 	}
 }
@@ -313,7 +313,7 @@
 	r.ApplyLoads("b", 4, load(3, 7000), later)
 	r.ApplyLoads("b", 3, load(5, 5), later)
 	got := r.Load("a", "e1", later)
-	if want := (roster.Load{Endpoint: "e1", Running: 5, PrefillTokens: 7000, At: later}); got != want {
+	if want := (roster.Load{Endpoint: "e1", Running: 5, PrefillTokens: 7000, ReceivedAt: later}); got != want {
 		t.Errorf("load: got %+v, want %+v", got, want)
 	}
 	if all := r.Loads("a", later)["e1"]; all != got {
@@ -332,10 +332,10 @@
 		row := roster.Row{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: 1}
 		r.Merge(row, start)
 		later := start.Add(6 * time.Second)
-		r.StoreAnswered(later)
+		r.NoteStoreResponse(later)
 		row.Sequence, row.Age = 2, c.age
 		r.Merge(row, later)
-		if got := len(r.Entries()); got != c.want {
+		if got := len(r.AdvertisedHosts()); got != c.want {
 			t.Errorf("row written %v before it was read: got %d hosts told, want %d", c.age, got, c.want)
 		}
 	}
--- a/pkg/roster/row.go
+++ b/pkg/roster/row.go
@@ -16,22 +16,22 @@
 	Endpoint      string
 	Running       int
 	PrefillTokens int
-	// At is when it was received, by the receiver's clock.
-	At time.Time
+	// ReceivedAt is when it was received, by the receiver's clock.
+	ReceivedAt time.Time
 }
 
-// Work is the engine time a second that one entry's requests for a service ask
+// Demand is the engine time a second that one entry's requests for a service ask
 // for.
-type Work struct {
+type Demand struct {
 	Service string
 	Rate    float64
 }
 
-// Count is the requests of a team that began to run in a window.
-type Count struct {
-	Window int64
-	Team   string
-	Begun  int
+// RequestCount is the requests of a team that began to run in a window.
+type RequestCount struct {
+	Window  int64
+	Team    string
+	Started int
 }
 
 // Host is one process and where it is reached.
@@ -40,13 +40,13 @@
 	Incarnation string
 	Node        string
 	DataCenter  string
-	// Callers is the address for callers.
-	Callers string
-	// Peers is the address for datagrams of other hosts, empty for none.
-	Peers string
-	// Since is the store's clock when the process started: who is there for
+	// CallerAddress is the address for callers.
+	CallerAddress string
+	// PeerAddress is the address for datagrams of other hosts, empty for none.
+	PeerAddress string
+	// StartedAt is the store's clock when the process started: who is there for
 	// longest knows most.
-	Since time.Duration
+	StartedAt time.Duration
 	// Millicores is the processor share that the process has, in thousandths of a
 	// core; 0 if unknown. Hosts compare it, so that it must be the same for all.
 	Millicores int
@@ -59,12 +59,12 @@
 	// Sequence grows with each datagram.
 	Sequence int64
 	Loads    []Load
-	Works    []Work
+	Demands  []Demand
 	// Counts are of the latest windows: they must outlive the process.
-	Counts []Count
-	// InTouch is how long the process has been in touch with the store without a
+	Counts []RequestCount
+	// StoreReachableFor is how long the process has been in touch with the store without a
 	// gap, 0 while it is not.
-	InTouch time.Duration
+	StoreReachableFor time.Duration
 	// LeaseVersion is the version of the row by which the process holds the lease of
 	// the duties, 0 if it does not.
 	LeaseVersion int64
@@ -75,15 +75,15 @@
 	Host
 	// Sequence grows with each write, so that a late write of an old row is found out.
 	Sequence int64
-	// Written is the store's steady clock at the write, 0 if not known.
-	Written time.Duration
+	// WrittenAt is the store's steady clock at the write, 0 if not known.
+	WrittenAt time.Duration
 	// Age is how long ago it was written when it was read; it is not stored.
 	Age time.Duration
 	// ClockOffset is the host's time of day less the store's steady clock.
 	ClockOffset time.Duration
 	Loads       []Load
-	Counts      []Count
-	Works       []Work
+	Counts      []RequestCount
+	Demands     []Demand
 }
 
 // wireRow is a row in the store; lists hold their fields in order.
@@ -126,16 +126,16 @@
 // Encode returns a row as it is stored.
 func (r Row) Encode() ([]byte, error) {
 	w := wireRow{
-		Node: r.Node, DataCenter: r.DataCenter, Callers: r.Callers, Peers: r.Peers, SinceMS: r.Since.Milliseconds(), Sequence: r.Sequence,
-		Millicores: r.Millicores, Leaving: r.Leaving, OffsetMS: r.ClockOffset.Milliseconds(), WrittenMS: r.Written.Milliseconds(),
+		Node: r.Node, DataCenter: r.DataCenter, Callers: r.CallerAddress, Peers: r.PeerAddress, SinceMS: r.StartedAt.Milliseconds(), Sequence: r.Sequence,
+		Millicores: r.Millicores, Leaving: r.Leaving, OffsetMS: r.ClockOffset.Milliseconds(), WrittenMS: r.WrittenAt.Milliseconds(),
 	}
 	for _, l := range r.Loads {
 		w.Loads = append(w.Loads, wireLoad{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	for _, c := range r.Counts {
-		w.Counts = append(w.Counts, wireCount{Window: c.Window, Team: c.Team, Begun: c.Begun})
+		w.Counts = append(w.Counts, wireCount{Window: c.Window, Team: c.Team, Begun: c.Started})
 	}
-	for _, k := range r.Works {
+	for _, k := range r.Demands {
 		w.Works = append(w.Works, wireWork{Service: k.Service, Rate: float32(k.Rate)})
 	}
 	return cbor.Marshal(w)
@@ -150,20 +150,20 @@
 	r := Row{
 		Host: Host{
 			Incarnation: incarnation, Node: w.Node, DataCenter: w.DataCenter,
-			Callers: w.Callers, Peers: w.Peers, Millicores: w.Millicores, Leaving: w.Leaving,
-			Since: time.Duration(w.SinceMS) * time.Millisecond,
+			CallerAddress: w.Callers, PeerAddress: w.Peers, Millicores: w.Millicores, Leaving: w.Leaving,
+			StartedAt: time.Duration(w.SinceMS) * time.Millisecond,
 		},
 		Sequence: w.Sequence, ClockOffset: time.Duration(w.OffsetMS) * time.Millisecond,
-		Written: time.Duration(w.WrittenMS) * time.Millisecond,
+		WrittenAt: time.Duration(w.WrittenMS) * time.Millisecond,
 	}
 	for _, l := range w.Loads {
 		r.Loads = append(r.Loads, Load{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	for _, c := range w.Counts {
-		r.Counts = append(r.Counts, Count{c.Window, c.Team, c.Begun})
+		r.Counts = append(r.Counts, RequestCount{c.Window, c.Team, c.Begun})
 	}
 	for _, k := range w.Works {
-		r.Works = append(r.Works, Work{k.Service, float64(k.Rate)})
+		r.Demands = append(r.Demands, Demand{k.Service, float64(k.Rate)})
 	}
 	return r, nil
 }
--- a/pkg/storeview/idle_test.go
+++ b/pkg/storeview/idle_test.go
@@ -51,7 +51,7 @@
 		var list []roster.Row
 		for i := range count {
 			at := written - time.Duration(i)*100*time.Millisecond
-			list = append(list, roster.Row{Host: roster.Host{Node: fmt.Sprint("n", written, i), Since: since}, Sequence: 1, Written: at})
+			list = append(list, roster.Row{Host: roster.Host{Node: fmt.Sprint("n", written, i), StartedAt: since}, Sequence: 1, WrittenAt: at})
 		}
 		return list
 	}
--- a/pkg/storeview/relays.go
+++ b/pkg/storeview/relays.go
@@ -37,11 +37,11 @@
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(v.home.Node))
 	turn := int(hash.Sum32())
-	addresses := []string{own[turn%len(own)].Peers}
+	addresses := []string{own[turn%len(own)].PeerAddress}
 	// Followers of a relay that is lost are spread over the others.
 	others := v.otherRelays()
 	for i := range others {
-		addresses = append(addresses, others[(i+turn)%len(others)].Peers)
+		addresses = append(addresses, others[(i+turn)%len(others)].PeerAddress)
 	}
 	return addresses
 }
@@ -58,7 +58,7 @@
 }
 
 // Serves reports whether this host is advertised to callers in a fleet with relays.
-func (v *View) Serves() bool { return v.IsRelayed() && v.roster.Advertises(v.home.Node) }
+func (v *View) Serves() bool { return v.IsRelayed() && v.roster.IsAdvertised(v.home.Node) }
 
 // IsRelayed reports whether the fleet is large enough for relays.
 func (v *View) IsRelayed() bool { return v.roster.Sharing() >= relayedFleet }
--- a/pkg/storeview/relays_test.go
+++ b/pkg/storeview/relays_test.go
@@ -31,7 +31,7 @@
 
 func host(i int) roster.Host {
 	name := fmt.Sprintf("h%02d", i)
-	h := roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), Peers: name + ":1", Millicores: 200}
+	h := roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), PeerAddress: name + ":1", Millicores: 200}
 	if i >= 8 && i < 12 {
 		h.Millicores = 800
 	}
@@ -42,7 +42,7 @@
 func viewOf(self, hosts int) *storeview.View {
 	now := time.Now()
 	members := roster.New(time.Minute, func(int) time.Duration { return time.Second })
-	members.StoreAnswered(now)
+	members.NoteStoreResponse(now)
 	for i := range hosts {
 		members.ApplyStatus(roster.Status{Host: host(i), Sequence: 1}, now)
 	}
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -74,7 +74,7 @@
 	clock     *storeclock.Clock
 	directory *endpoint.Directory
 	tables    *routetable.Holder
-	endpoints *discovery.Rows
+	endpoints *discovery.Syncer
 	roster    *roster.Roster
 	log       *log.Logger
 	home      route.Home
@@ -100,7 +100,7 @@
 	rollouts *rollout.Switch, logger *log.Logger,
 ) *View {
 	directory := endpoint.NewDirectory()
-	othersHeard := func(whole time.Duration) bool { return members.InTouch(self, whole, c.Now()) }
+	othersHeard := func(whole time.Duration) bool { return members.PeerReachedStore(self, whole, c.Now()) }
 	return &View{
 		decoder:   decoder,
 		clock:     c,
@@ -117,7 +117,7 @@
 
 // decodeSeen decodes endpoints' rows and notes their versions before requests can go
 // there.
-func decodeSeen(decoder Decoder, rollouts *rollout.Switch, c *storeclock.Clock) discovery.Decode {
+func decodeSeen(decoder Decoder, rollouts *rollout.Switch, c *storeclock.Clock) discovery.DecodeFunc {
 	return func(id string, value []byte) (endpoint.Info, error) {
 		info, err := decoder.DecodeEndpoint(id, value)
 		if err == nil {
@@ -156,7 +156,7 @@
 
 // awaitRoster waits until the hosts' rows are known, or for rosterSoon.
 func (v *View) awaitRoster(ctx context.Context) {
-	for waited := time.Duration(0); !v.roster.Known() && waited < rosterSoon; waited += rosterLook {
+	for waited := time.Duration(0); !v.roster.Loaded() && waited < rosterSoon; waited += rosterLook {
 		pause.For(ctx, rosterLook)
 	}
 }
@@ -208,10 +208,10 @@
 // its core writes rows again and again; its relays, which are of the core, find each other
 // by them where all of the core before is gone.
 func (v *View) rosterPause() time.Duration {
-	if v.roster.IsLeveled() && v.IsRelay() {
+	if v.roster.IsHierarchical() && v.IsRelay() {
 		return coreRowsPause
 	}
-	return roster.Pace(rosterPause, v.roster.Sharing())
+	return roster.ScaleInterval(rosterPause, v.roster.Sharing())
 }
 
 // Directory returns the endpoints as they are known.
@@ -221,7 +221,7 @@
 func (v *View) Tables() *routetable.Holder { return v.tables }
 
 // Endpoints returns the rows of endpoints.
-func (v *View) Endpoints() *discovery.Rows { return v.endpoints }
+func (v *View) Endpoints() *discovery.Syncer { return v.endpoints }
 
 // StoreEra returns the highest store era received, 0 if none.
 func (v *View) StoreEra() int64 { return v.storeEra.Load() }
@@ -250,7 +250,7 @@
 func (v *View) noteContact(err error) {
 	if err != nil {
 		v.inTouchSince.Store(0)
-		v.endpoints.Lost()
+		v.endpoints.MarkStoreUnavailable()
 		return
 	}
 	now := max(int64(v.clock.Running()), 1)
@@ -313,7 +313,7 @@
 
 func (v *View) takeRoster(batch feed.Batch) {
 	now := v.clock.Now()
-	v.roster.StoreAnswered(now)
+	v.roster.NoteStoreResponse(now)
 	if !v.rowsRead {
 		v.rowsRead = true
 		v.idle.Store(int64(idleBefore(batch)))
@@ -330,13 +330,13 @@
 			v.log.Error().Err(err).Msg("host's row not taken")
 			continue
 		}
-		if row.Written > 0 {
-			row.Age = max(batch.StoreTime-row.Written, 0)
+		if row.WrittenAt > 0 {
+			row.Age = max(batch.StoreTime-row.WrittenAt, 0)
 		}
 		v.roster.Merge(row, now)
 	}
 	if batch.Full {
-		v.roster.Keep(func(incarnation string) bool { return named[incarnation] })
+		v.roster.Retain(func(incarnation string) bool { return named[incarnation] })
 	}
 }
 
@@ -365,8 +365,8 @@
 	var written []time.Duration
 	for _, stored := range batch.Rows {
 		row, err := roster.Decode(stored.Key, stored.Value)
-		if err == nil && !stored.Deleted && row.Written > 0 && batch.StoreTime-row.Since > youngTime {
-			written = append(written, row.Written)
+		if err == nil && !stored.Deleted && row.WrittenAt > 0 && batch.StoreTime-row.StartedAt > youngTime {
+			written = append(written, row.WrittenAt)
 		}
 	}
 	if len(written) == 0 {
@@ -385,5 +385,5 @@
 // Ready reports whether all that is needed to serve is known.
 func (v *View) Ready() bool {
 	table, _ := v.tables.Current()
-	return table != nil && v.endpoints.Known() && v.roster.Known()
+	return table != nil && v.endpoints.Loaded() && v.roster.Loaded()
 }
--- a/pkg/usage/reporter.go
+++ b/pkg/usage/reporter.go
@@ -162,7 +162,7 @@
 // writeCounts writes this process's counts of a window and returns them. If the row already exists, it
 // returns the counts in the row.
 func (r *Reporter) writeCounts(ctx context.Context, window int64) (map[string]int, error) {
-	counts := r.roster.Begun(window)
+	counts := r.roster.StartedRequests(window)
 	switch o := r.commitCounts(ctx, window, counts).(type) {
 	case table.Done:
 		if storeversion.Era(o.Version) != r.era {
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -57,18 +57,18 @@
 }
 
 // Recent returns the counts of the last windows, and drops those before.
-func (c *Counter) Recent() []roster.Count {
+func (c *Counter) Recent() []roster.RequestCount {
 	oldest := c.Window(c.now()) - keptWindows
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var list []roster.Count
+	var list []roster.RequestCount
 	for window, teams := range c.counts {
 		if window < oldest {
 			delete(c.counts, window)
 			continue
 		}
 		for team, n := range teams {
-			list = append(list, roster.Count{Window: window, Team: team, Begun: n})
+			list = append(list, roster.RequestCount{Window: window, Team: team, Started: n})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool {
@@ -78,9 +78,9 @@
 }
 
 // Latest returns the counts of the window that runs and the one before.
-func (c *Counter) Latest() []roster.Count {
+func (c *Counter) Latest() []roster.RequestCount {
 	running := c.Running()
-	var list []roster.Count
+	var list []roster.RequestCount
 	for _, count := range c.Recent() {
 		if count.Window >= running-1 {
 			list = append(list, count)
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -92,7 +92,7 @@
 func (h *holder) hears(process string, begun int) {
 	h.roster.Merge(roster.Row{
 		Host: roster.Host{Incarnation: process, Node: process}, Sequence: int64(begun),
-		Counts: []roster.Count{{Window: 200, Team: "t", Begun: begun}},
+		Counts: []roster.RequestCount{{Window: 200, Team: "t", Started: begun}},
 	}, h.now)
 }
 
@@ -174,7 +174,7 @@
 	now = now.Add(window)
 	c.Began("t")
 	c.Began("u")
-	want := []roster.Count{{Window: 200, Team: "t", Begun: 1}, {Window: 201, Team: "t", Begun: 1}, {Window: 201, Team: "u", Begun: 1}}
+	want := []roster.RequestCount{{Window: 200, Team: "t", Started: 1}, {Window: 201, Team: "t", Started: 1}, {Window: 201, Team: "u", Started: 1}}
 	if got := c.Recent(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("counts: got %v, want %v", got, want)
 	}
