--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,5 +1,6 @@
-// Package quarantine knows requests by what they ask, over all their tries and hosts, and
-// which of them end the endpoints that run them. It does no I/O; times are passed in.
+// Package quarantine identifies requests by their content, over all attempts and hosts, and
+// blocks those that crash the endpoints that run them. It does no I/O but log lines; times
+// are passed in.
 package quarantine
 
 import (
@@ -9,31 +10,31 @@
 	"fmt"
 )
 
-// fingerprintBytes are kept of a hash: so many that nobody finds a request with the
-// fingerprint of another's, and so few that a datagram holds many.
+// fingerprintBytes is the length of the truncated hash: long enough that nobody can construct
+// a request with the fingerprint of another one, and short enough that a datagram holds many.
 const fingerprintBytes = 12
 
-// Fingerprint is the same for all tries of a request, at every host: those with the
-// same method, target, team and body. What a try says of itself otherwise, as its id
-// and the time it has left, differs from one to the next.
+// Fingerprint identifies a request by its method, target, team and body. It is the same for
+// all attempts at every host; other properties, such as the request id and the remaining
+// time, differ between attempts.
 type Fingerprint [fingerprintBytes]byte
 
-// FingerprintOf returns the fingerprint of a request; target is path and query as the
-// caller sent them, team is empty for none.
+// FingerprintOf returns the fingerprint of a request. target is the path and query as sent
+// by the caller; team is empty if there is none.
 func FingerprintOf(method, target, team string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(target), []byte(team), body} {
-		// Lengths keep the parts apart.
+		// The length prefix makes the concatenation unambiguous.
 		h.Write(binary.AppendUvarint(nil, uint64(len(part))))
 		h.Write(part)
 	}
 	return Fingerprint(h.Sum(nil)[:fingerprintBytes])
 }
 
-// String returns the fingerprint as log lines and rows have it.
+// String returns the hexadecimal form that log lines and rows use.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the form that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil {
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -6,16 +6,16 @@
 	"ironhollow/pkg/quarantine"
 )
 
-// All tries of a request have one fingerprint, and requests that differ in any part
-// have others, also where the parts put together read the same.
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+// All attempts of a request have the same fingerprint. Requests that differ in any part have
+// different ones, also if the concatenation of the parts is equal.
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	type parts struct{ method, target, team, body string }
 	of := func(p parts) quarantine.Fingerprint {
 		return quarantine.FingerprintOf(p.method, p.target, p.team, []byte(p.body))
 	}
 	first := parts{"POST", "/a/b", "red", "body"}
 	if got, want := of(first), of(first); got != want {
-		t.Errorf("two tries: got %v and %v, want the same", got, want)
+		t.Errorf("two attempts: got %v and %v, want equal fingerprints", got, want)
 	}
 	for _, other := range []parts{
 		{"PUT", "/a/b", "red", "body"},
@@ -26,12 +26,12 @@
 		{"POST", "/a/b", "redb", "ody"},
 	} {
 		if of(other) == of(first) {
-			t.Errorf("%+v: got the fingerprint of %+v, want another", other, first)
+			t.Errorf("%+v: got the fingerprint of %+v, want a different one", other, first)
 		}
 	}
 }
 
-// A request of a kilobyte is hashed once at its host.
+// BenchmarkFingerprint hashes a request of 1 KiB, which a host does once per request.
 func BenchmarkFingerprint(b *testing.B) {
 	body := make([]byte, 1<<10)
 	b.SetBytes(int64(len(body)))
--- a/pkg/quarantine/quarantine.go
+++ b/pkg/quarantine/quarantine.go
@@ -9,244 +9,252 @@
 
 // Parameters of the quarantine.
 const (
-	// heldAfter is how many endpoints must have ended under a request before it is held
-	// back: the users' bound, from which on they count each further try.
-	heldAfter = 3
-	// heldFor is how long it is held back from the last end on. Then one more end is
-	// enough; software that was mended meanwhile is found out within an hour.
-	heldFor = time.Hour
-	// forgetAfter is how long ends are remembered, of requests that come rarely too.
-	forgetAfter = 24 * time.Hour
-	// soundFor is how long after a whole answer an end tells nothing of the request:
-	// where a data centre goes, all endpoints end at once under a request that many
-	// send. One that is asked less than once in this time runs at one of them at most.
-	soundFor = 10 * time.Second
-	// sameEnd is how far apart ends of one endpoint are told at most that are the same
-	// end: two tries may have run there. An endpoint is back after seconds.
-	sameEnd = 2 * time.Second
-	// mostCases bounds the requests remembered, some 300 bytes each: all that run at 60
-	// endpoints which end at once.
-	mostCases = 4096
-	// roomPart is the part of them that is forgotten at once where there are too many.
-	roomPart = 16
-	// mostSound bounds the latest whole answers remembered: those of soundFor at 400 a
-	// second, several times what one host answers.
-	mostSound = 4096
+	// crashThreshold is the number of endpoint crashes after which a request is
+	// quarantined. It is the limit of the users, who count each attempt beyond it.
+	crashThreshold = 3
+	// quarantineDuration is measured from the latest crash. After it, a single further
+	// crash quarantines the request again; a fix of the endpoint's software takes effect
+	// within an hour.
+	quarantineDuration = time.Hour
+	// crashRetention is how long crashes are remembered, also for requests that are sent
+	// rarely.
+	crashRetention = 24 * time.Hour
+	// successGrace is the time after a complete answer in which crashes do not count
+	// against the request: when a data centre fails, all its endpoints crash at once while
+	// running any request that many callers send. A request that is sent less than once in
+	// this time runs at one of those endpoints at most.
+	successGrace = 10 * time.Second
+	// sameCrashWindow is the maximum time between reports of one crash of an endpoint: two
+	// attempts may have run there. An endpoint takes seconds to restart.
+	sameCrashWindow = 2 * time.Second
+	// maxCases bounds the requests remembered, some 300 bytes each: all requests that run
+	// at 60 endpoints that crash at once.
+	maxCases = 4096
+	// evictionDivisor gives the part of the cases, 1/evictionDivisor, that is evicted at
+	// once when there are too many.
+	evictionDivisor = 16
+	// maxSuccesses bounds the latest complete answers remembered: those of successGrace at
+	// 400 a second, several times what one host answers.
+	maxSuccesses = 4096
 )
 
-// Crash is an endpoint that ended while it ran a request.
+// Crash is the unplanned end of an endpoint while it ran a request.
 type Crash struct {
 	Endpoint string
 	At       time.Time
 }
 
-// Case is what is known of one request. It is a value; Ends are not changed once it is
-// handed out.
+// Case is what is known of one request. It is a value; Crashes is not modified once the
+// case is returned.
 type Case struct {
 	Fingerprint Fingerprint
-	// Crashes are in the order of their times, heldAfter at most: the latest.
+	// Crashes are the latest crashes, crashThreshold at most, in the order of their times.
 	Crashes []Crash
-	// LastSuccess is when the request was last answered whole, zero if not known. Ends up to
-	// soundFor later are left out.
+	// LastSuccess is when the request was last answered completely, zero if not known.
+	// Crashes up to successGrace later are left out.
 	LastSuccess time.Time
 }
 
-// entry is a case as it is kept.
+// entry is a case with its state of replication and storage.
 type entry struct {
 	Case
-	// own says that this process saw one of the ends, kept that the case is in the store
-	// as it is, inStore that some row of it is.
-	own, kept, inStore bool
-	// changed is when it last changed, told how often it was told since.
+	// local is set if this process saw one of the crashes, saved if the store holds the
+	// case as it is now, stored if the store holds any row of it.
+	local, saved, stored bool
+	// changed is when the case last changed, sent how often it was sent since.
 	changed time.Time
-	told    int
+	sent    int
 }
 
-// Quarantine holds requests back under which several endpoints have ended. What hosts
-// tell each other is merged by rule, so that order and repeats make no difference. It is
-// safe for concurrent use.
+// Quarantine blocks requests during which several endpoints have crashed. Cases received
+// from other hosts are merged such that neither order nor repetition matters. It is safe
+// for concurrent use.
 //
-// One lock is enough: a request asks twice, and a host has some hundred a second.
+// One lock is enough: a request takes it twice, and a host has some hundred requests a
+// second.
 type Quarantine struct {
 	mu    sync.Mutex
 	cases map[Fingerprint]*entry
-	// sound is the latest whole answers in two parts, of which the older is dropped
-	// when the newer is full or has lasted for soundFor.
-	sound      [2]map[Fingerprint]time.Time
-	soundSince time.Time
-	// nextHeld is where the turn of those held stands that are told again.
-	nextHeld int
-	// round counts what was asked to be told.
+	// successes are the latest complete answers in two generations. The older one is
+	// dropped when the newer one is full or older than successGrace.
+	successes      [2]map[Fingerprint]time.Time
+	successesSince time.Time
+	// nextQuarantined is the position in the rotation of quarantined cases to send again.
+	nextQuarantined int
+	// round counts the calls of Reports.
 	round int
 }
 
-// NewQuarantine returns a quarantine that holds nothing back.
+// NewQuarantine returns an empty quarantine.
 func NewQuarantine() *Quarantine {
-	return &Quarantine{cases: map[Fingerprint]*entry{}, sound: [2]map[Fingerprint]time.Time{{}, {}}}
+	return &Quarantine{cases: map[Fingerprint]*entry{}, successes: [2]map[Fingerprint]time.Time{{}, {}}}
 }
 
-// Quarantined returns how much longer a request is held back, false if it is not.
-func (q *Quarantine) Quarantined(f Fingerprint, now time.Time) (left time.Duration, held bool) {
+// Quarantined returns how much longer a request is quarantined, false if it is not.
+func (q *Quarantine) Quarantined(f Fingerprint, now time.Time) (left time.Duration, quarantined bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e, ok := q.cases[f]
 	if !ok {
 		return 0, false
 	}
-	return e.held(now)
+	return e.quarantined(now)
 }
 
-// LastAttempt reports whether one more end would hold a request back: a run of it that broke
-// off goes on nowhere else before it is known why.
+// LastAttempt reports whether one more crash would quarantine a request. An interrupted
+// run of such a request is not retried elsewhere before its cause is known.
 func (q *Quarantine) LastAttempt(f Fingerprint) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	e, ok := q.cases[f]
-	return ok && len(e.Crashes) >= heldAfter-1
+	return ok && len(e.Crashes) >= crashThreshold-1
 }
 
-// held is Quarantine.Held of a case.
-func (c Case) held(now time.Time) (left time.Duration, held bool) {
-	if len(c.Crashes) < heldAfter {
+// quarantined returns how much longer the case is quarantined, false if it is not.
+func (c Case) quarantined(now time.Time) (left time.Duration, quarantined bool) {
+	if len(c.Crashes) < crashThreshold {
 		return 0, false
 	}
-	left = heldFor - now.Sub(c.Crashes[len(c.Crashes)-1].At)
+	left = quarantineDuration - now.Sub(c.Crashes[len(c.Crashes)-1].At)
 	return left, left > 0
 }
 
-// Expired reports whether a case's ends are so old that they are forgotten.
+// Expired reports whether all crashes of a case are older than crashRetention.
 func Expired(c Case, now time.Time) bool {
-	return len(c.Crashes) == 0 || now.Sub(c.Crashes[len(c.Crashes)-1].At) > forgetAfter
+	return len(c.Crashes) == 0 || now.Sub(c.Crashes[len(c.Crashes)-1].At) > crashRetention
 }
 
-// RecordCrash notes that an endpoint ended while it ran a request, seen by this process. It
-// returns the case, and whether it is held back by this.
-func (q *Quarantine) RecordCrash(f Fingerprint, end Crash, now time.Time) (c Case, held bool) {
+// RecordCrash records that this process saw an endpoint crash while it ran a request. It
+// returns the case, and whether this crash quarantined it.
+func (q *Quarantine) RecordCrash(f Fingerprint, crash Crash, now time.Time) (c Case, quarantined bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	e, before := q.get(f, now)
-	if e.add(end) {
-		e.own = true
-		e.change(now)
+	e, before := q.getOrCreate(f, now)
+	if e.add(crash) {
+		e.local = true
+		e.markChanged(now)
 	}
-	_, held = e.held(now)
-	return e.Case, held && !before
+	_, quarantined = e.quarantined(now)
+	return e.Case, quarantined && !before
 }
 
-// RecordSuccess notes that a request was answered whole: it does not end endpoints.
+// RecordSuccess records that a request was answered completely, so that it does not crash
+// endpoints.
 func (q *Quarantine) RecordSuccess(f Fingerprint, now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.noteSound(f, now)
-	if e, ok := q.cases[f]; ok && e.clear(now) {
-		e.change(now)
+	q.rememberSuccess(f, now)
+	if e, ok := q.cases[f]; ok && e.applySuccess(now) {
+		e.markChanged(now)
 	}
 }
 
-// Merge takes in what another host tells, or the store. It returns the cases that are held
-// back by it.
-func (q *Quarantine) Merge(told []Case, now time.Time) []Case {
+// Merge applies cases from another host or from the store. It returns those that are
+// quarantined by it.
+func (q *Quarantine) Merge(received []Case, now time.Time) []Case {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var held []Case
-	for _, c := range told {
-		e, before := q.get(c.Fingerprint, now)
-		changed := e.clear(c.LastSuccess)
-		for _, end := range c.Crashes {
-			// Who tells an end that tells nothing has not heard of the whole answer.
-			changed = e.add(end) || e.clears(end) || changed
+	var quarantined []Case
+	for _, c := range received {
+		e, before := q.getOrCreate(c.Fingerprint, now)
+		changed := e.applySuccess(c.LastSuccess)
+		for _, crash := range c.Crashes {
+			// A host that sends a crash which does not count has not received the success.
+			changed = e.add(crash) || e.discounts(crash) || changed
 		}
 		if changed {
-			e.change(now)
+			e.markChanged(now)
 		}
-		if _, after := e.held(now); after && !before {
-			held = append(held, e.Case)
+		if _, after := e.quarantined(now); after && !before {
+			quarantined = append(quarantined, e.Case)
 		}
 	}
-	return held
+	return quarantined
 }
 
-// get returns the case of a request, a new one if there is none, and whether it is held
-// back. The lock is held.
-func (q *Quarantine) get(f Fingerprint, now time.Time) (e *entry, held bool) {
+// getOrCreate returns the case of a request and whether it is quarantined. The caller
+// holds the lock.
+func (q *Quarantine) getOrCreate(f Fingerprint, now time.Time) (e *entry, quarantined bool) {
 	e, ok := q.cases[f]
 	if !ok {
-		q.makeRoom(now)
-		e = &entry{Case: Case{Fingerprint: f, LastSuccess: q.lastSound(f)}}
+		q.evict(now)
+		e = &entry{Case: Case{Fingerprint: f, LastSuccess: q.lastSuccess(f)}}
 		q.cases[f] = e
 	}
-	_, held = e.held(now)
-	return e, held
+	_, quarantined = e.quarantined(now)
+	return e, quarantined
 }
 
-// add adds an end unless it is known or tells nothing, and reports whether that is news.
-func (e *entry) add(end Crash) bool {
-	if e.clears(end) {
+// add adds a crash unless it is known or discounted, and reports whether the case changed.
+func (e *entry) add(crash Crash) bool {
+	if e.discounts(crash) {
 		return false
 	}
 	for _, known := range e.Crashes {
-		if known.Endpoint == end.Endpoint && known.At.Sub(end.At).Abs() <= sameEnd {
+		if known.Endpoint == crash.Endpoint && known.At.Sub(crash.At).Abs() <= sameCrashWindow {
 			return false
 		}
 	}
-	ends := append(slices.Clone(e.Crashes), end)
-	slices.SortFunc(ends, func(a, b Crash) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Endpoint, b.Endpoint)) })
-	latest := ends[len(ends)-1].At
-	ends = slices.DeleteFunc(ends, func(end Crash) bool { return latest.Sub(end.At) > forgetAfter })
-	if len(ends) > heldAfter {
-		ends = ends[len(ends)-heldAfter:]
+	crashes := append(slices.Clone(e.Crashes), crash)
+	slices.SortFunc(crashes, func(a, b Crash) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Endpoint, b.Endpoint)) })
+	latest := crashes[len(crashes)-1].At
+	crashes = slices.DeleteFunc(crashes, func(crash Crash) bool { return latest.Sub(crash.At) > crashRetention })
+	if len(crashes) > crashThreshold {
+		crashes = crashes[len(crashes)-crashThreshold:]
 	}
-	changed := !slices.Equal(ends, e.Crashes)
-	e.Crashes = ends
+	changed := !slices.Equal(crashes, e.Crashes)
+	e.Crashes = crashes
 	return changed
 }
 
-// clears reports whether an end tells nothing, by when the request was answered whole.
-func (e *entry) clears(end Crash) bool {
-	return !e.LastSuccess.IsZero() && end.At.Before(e.LastSuccess.Add(soundFor))
+// discounts reports whether a crash does not count, because the request was answered
+// completely after it or less than successGrace before it.
+func (e *entry) discounts(crash Crash) bool {
+	return !e.LastSuccess.IsZero() && crash.At.Before(e.LastSuccess.Add(successGrace))
 }
 
-// clear takes in when the request was answered whole and drops the ends that tell
-// nothing by it; it reports whether that is news worth telling.
-func (e *entry) clear(sound time.Time) bool {
-	if !sound.After(e.LastSuccess) {
+// applySuccess sets the time of the last success and drops the crashes that it discounts.
+// It reports whether crashes were dropped, which other hosts have to know.
+func (e *entry) applySuccess(success time.Time) bool {
+	if !success.After(e.LastSuccess) {
 		return false
 	}
-	e.LastSuccess = sound
-	ends := slices.DeleteFunc(slices.Clone(e.Crashes), e.clears)
-	dropped := len(ends) < len(e.Crashes)
-	e.Crashes = ends
+	e.LastSuccess = success
+	crashes := slices.DeleteFunc(slices.Clone(e.Crashes), e.discounts)
+	dropped := len(crashes) < len(e.Crashes)
+	e.Crashes = crashes
 	return dropped
 }
 
-func (e *entry) change(now time.Time) {
+func (e *entry) markChanged(now time.Time) {
 	e.changed = now
-	e.told = 0
-	e.kept = false
+	e.sent = 0
+	e.saved = false
 }
 
-// noteSound remembers a whole answer. The lock is held.
-func (q *Quarantine) noteSound(f Fingerprint, now time.Time) {
-	if now.Sub(q.soundSince) > soundFor || len(q.sound[0]) >= mostSound {
-		q.sound[0], q.sound[1] = map[Fingerprint]time.Time{}, q.sound[0]
-		q.soundSince = now
+// rememberSuccess stores the time of a complete answer. The caller holds the lock.
+func (q *Quarantine) rememberSuccess(f Fingerprint, now time.Time) {
+	if now.Sub(q.successesSince) > successGrace || len(q.successes[0]) >= maxSuccesses {
+		q.successes[0], q.successes[1] = map[Fingerprint]time.Time{}, q.successes[0]
+		q.successesSince = now
 	}
-	q.sound[0][f] = now
+	q.successes[0][f] = now
 }
 
-// lastSound returns when a request was last answered whole here, zero if that is not
-// remembered. The lock is held.
-func (q *Quarantine) lastSound(f Fingerprint) time.Time {
-	if at, ok := q.sound[0][f]; ok {
+// lastSuccess returns when this process last answered a request completely, zero if it is
+// not remembered. The caller holds the lock.
+func (q *Quarantine) lastSuccess(f Fingerprint) time.Time {
+	if at, ok := q.successes[0][f]; ok {
 		return at
 	}
-	return q.sound[1][f]
+	return q.successes[1][f]
 }
 
-// makeRoom forgets old cases, and where there are too many some of those with the fewest
-// ends that changed longest ago. The lock is held.
-func (q *Quarantine) makeRoom(now time.Time) {
-	if len(q.cases) < mostCases {
+// evict does nothing below maxCases. Otherwise it deletes expired cases and a part of the
+// rest: those with the fewest crashes, and among these the ones that changed longest ago.
+// The caller holds the lock.
+func (q *Quarantine) evict(now time.Time) {
+	if len(q.cases) < maxCases {
 		return
 	}
 	list := make([]*entry, 0, len(q.cases))
@@ -257,7 +265,7 @@
 		return cmp.Or(cmp.Compare(len(a.Crashes), len(b.Crashes)), a.changed.Compare(b.changed))
 	})
 	for i, e := range list {
-		if i < len(list)/roomPart || now.Sub(e.changed) > forgetAfter {
+		if i < len(list)/evictionDivisor || now.Sub(e.changed) > crashRetention {
 			delete(q.cases, e.Fingerprint)
 		}
 	}
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -6,68 +6,68 @@
 	"time"
 )
 
-// Parameters of what hosts tell each other.
+// Parameters of the reports that hosts send each other.
 const (
-	// tellFor is how long a change is told: two rounds at least to each host of any
-	// fleet, which are told every 2.4 s at the rarest.
-	tellFor = 5 * time.Second
-	// mostTold bounds the changes in one datagram, some 70 bytes each, mostSingleTold
-	// those of requests under which one endpoint has ended, 13 bytes each: with four a
-	// datagram, hosts of a fleet of 30 did not know after 3 s of a request that ended
-	// three endpoints while 100 others broke off beside it at each of three hosts.
-	mostTold       = 4
-	mostSingleTold = 24
-	// mostHeldTold bounds the requests held back that are told beside, in turn, for hosts
-	// that have started since.
-	mostHeldTold = 2
-	// heldRounds is the rounds from one datagram of them to the next where nothing else
-	// is told: a host that starts asks callers in after a second or so.
-	heldRounds = 5
+	// changeSendDuration is how long a change is sent: long enough for two rounds to each
+	// host of a fleet of any size, as rounds are at most 2.4 s apart.
+	changeSendDuration = 5 * time.Second
+	// maxChanges bounds the changed cases in one datagram, some 70 bytes each, and
+	// maxSingleCrashChanges those of requests with a single crash, 13 bytes each. With four
+	// of the latter, hosts of a fleet of 30 did not know after 3 s of a request that crashed
+	// three endpoints while 100 other requests were interrupted at each of three hosts.
+	maxChanges            = 4
+	maxSingleCrashChanges = 24
+	// maxUnchanged bounds the unchanged quarantined cases that are added in rotation, for
+	// hosts that have started since.
+	maxUnchanged = 2
+	// unchangedRounds is the interval, in rounds, of datagrams with unchanged cases only: a
+	// host accepts callers about a second after its start.
+	unchangedRounds = 5
 )
 
 // Reports returns the cases for one datagram: those that changed, those sent least often first,
-// and some of those held back.
+// and some of the quarantined ones.
 func (q *Quarantine) Reports(now time.Time) []Case {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.cases) == 0 {
 		return nil
 	}
-	var singles, others, held []*entry
+	var singles, others, unchanged []*entry
 	for _, e := range q.cases {
-		_, isHeld := e.held(now)
+		_, isQuarantined := e.quarantined(now)
 		switch {
-		case now.Sub(e.changed) < tellFor && len(e.Crashes) == 1 && e.LastSuccess.IsZero():
+		case now.Sub(e.changed) < changeSendDuration && len(e.Crashes) == 1 && e.LastSuccess.IsZero():
 			singles = append(singles, e)
-		case now.Sub(e.changed) < tellFor:
+		case now.Sub(e.changed) < changeSendDuration:
 			others = append(others, e)
-		case isHeld:
-			held = append(held, e)
+		case isQuarantined:
+			unchanged = append(unchanged, e)
 		}
 	}
-	told := append(leastTold(others, mostTold), leastTold(singles, mostSingleTold)...)
+	reports := append(leastSent(others, maxChanges), leastSent(singles, maxSingleCrashChanges)...)
 	q.round++
-	if len(told) == 0 && q.round%heldRounds != 0 {
+	if len(reports) == 0 && q.round%unchangedRounds != 0 {
 		return nil
 	}
-	slices.SortFunc(held, compareFingerprints)
-	for range min(len(held), mostHeldTold) {
-		q.nextHeld = (q.nextHeld + 1) % len(held)
-		told = append(told, held[q.nextHeld].Case)
+	slices.SortFunc(unchanged, compareFingerprints)
+	for range min(len(unchanged), maxUnchanged) {
+		q.nextQuarantined = (q.nextQuarantined + 1) % len(unchanged)
+		reports = append(reports, unchanged[q.nextQuarantined].Case)
 	}
-	return told
+	return reports
 }
 
-// leastTold returns those that were told least often, at most so many, and counts them
-// as told.
-func leastTold(list []*entry, most int) []Case {
-	slices.SortFunc(list, func(a, b *entry) int { return cmp.Or(cmp.Compare(a.told, b.told), compareFingerprints(a, b)) })
-	var told []Case
-	for _, e := range list[:min(len(list), most)] {
-		e.told++
-		told = append(told, e.Case)
+// leastSent returns at most limit cases, those sent least often first, and counts them as
+// sent.
+func leastSent(list []*entry, limit int) []Case {
+	slices.SortFunc(list, func(a, b *entry) int { return cmp.Or(cmp.Compare(a.sent, b.sent), compareFingerprints(a, b)) })
+	var cases []Case
+	for _, e := range list[:min(len(list), limit)] {
+		e.sent++
+		cases = append(cases, e.Case)
 	}
-	return told
+	return cases
 }
 
 func compareFingerprints(a, b *entry) int {
--- a/pkg/quarantine/saved.go
+++ b/pkg/quarantine/saved.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Unsaved returns the requests held back of which this process has seen an end and that
-// are not in the store as they are.
+// Unsaved returns the quarantined requests with a crash that this process saw, unless the
+// store holds them as they are now.
 func (q *Quarantine) Unsaved(now time.Time) []Case {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var list []Case
 	for _, e := range q.cases {
-		if _, held := e.held(now); held && e.own && !e.kept {
+		if _, quarantined := e.quarantined(now); quarantined && e.local && !e.saved {
 			list = append(list, e.Case)
 		}
 	}
 	return list
 }
 
-// MarkSaved notes that a case is in the store as it was handed out, or read there.
+// MarkSaved records that the store holds a case, as returned by Unsaved or read from it.
 func (q *Quarantine) MarkSaved(c Case) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -27,41 +27,41 @@
 	if !ok {
 		return
 	}
-	e.inStore = true
-	e.kept = slices.Equal(e.Crashes, c.Crashes)
+	e.stored = true
+	e.saved = slices.Equal(e.Crashes, c.Crashes)
 }
 
-// StaleRows returns the requests that are in the store, as this process knows, and have
-// been answered whole since.
+// StaleRows returns the requests that the store holds, as far as this process knows, and
+// that have been answered completely since.
 func (q *Quarantine) StaleRows() []Fingerprint {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var list []Fingerprint
 	for f, e := range q.cases {
-		if e.inStore && len(e.Crashes) < heldAfter {
+		if e.stored && len(e.Crashes) < crashThreshold {
 			list = append(list, f)
 		}
 	}
 	return list
 }
 
-// MarkDeleted notes that a request is no more in the store.
+// MarkDeleted records that the store no longer holds a request.
 func (q *Quarantine) MarkDeleted(f Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if e, ok := q.cases[f]; ok {
-		e.inStore = false
+		e.stored = false
 	}
 }
 
 // StoreRestored marks this process's own cases to be written again, and the rows of those
-// answered whole to be removed again: a restore of the store undoes changes made since the
-// backup.
+// answered completely to be deleted again: a restore of the store undoes changes made since
+// the backup.
 func (q *Quarantine) StoreRestored() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, e := range q.cases {
-		e.kept = false
-		e.inStore = e.inStore || e.own && !e.LastSuccess.IsZero()
+		e.saved = false
+		e.stored = e.stored || e.local && !e.LastSuccess.IsZero()
 	}
 }
--- a/pkg/quarantine/suspects.go
+++ b/pkg/quarantine/suspects.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// suspectFor is how long after a run broke off the end of its endpoint may be found out
-// that broke it off: its row goes after three reports of up to 1.2 s, and is read within
-// 1.4 s; some time is added for a slow store.
-const suspectFor = 8 * time.Second
+// suspectRetention is the maximum time from the interruption of a run until the crash of
+// its endpoint is detected: the endpoint's row is removed after three reports of up to
+// 1.2 s, and the removal is read within 1.4 s; the rest is for a slow store.
+const suspectRetention = 8 * time.Second
 
-// Suspect is a request whose run broke off.
+// Suspect is a request whose run was interrupted.
 type Suspect struct {
 	Fingerprint Fingerprint
 	At          time.Time
 }
 
-// Suspects are runs that broke off at endpoints of which it is not known whether they
-// have ended. It is safe for concurrent use.
+// Suspects are interrupted runs at endpoints that may have crashed. It is safe for
+// concurrent use.
 type Suspects struct {
 	mu sync.Mutex
-	// at is by endpoint, in the order of times.
-	at map[string][]Suspect
-	// looking are endpoints that are about to be looked at: a look shows what has
-	// broken off until it begins.
-	looking map[string]bool
+	// byEndpoint holds the interrupted runs of each endpoint in the order of their times.
+	byEndpoint map[string][]Suspect
+	// pendingProbes are endpoints whose probe has not started: a probe covers the
+	// interruptions until its start.
+	pendingProbes map[string]bool
 }
 
-// NewSuspects returns no suspects.
+// NewSuspects returns an empty set of suspects.
 func NewSuspects() *Suspects {
-	return &Suspects{at: map[string][]Suspect{}, looking: map[string]bool{}}
+	return &Suspects{byEndpoint: map[string][]Suspect{}, pendingProbes: map[string]bool{}}
 }
 
-// RecordInterruption notes that a run broke off at an endpoint. It reports whether the endpoint is to
-// be looked at, which the caller does after LookBegins.
-func (s *Suspects) RecordInterruption(endpoint string, f Fingerprint, now time.Time) (look bool) {
+// RecordInterruption records an interrupted run at an endpoint. It reports whether the
+// caller has to probe the endpoint, after ProbeStarted.
+func (s *Suspects) RecordInterruption(endpoint string, f Fingerprint, now time.Time) (probe bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at[endpoint] = append(recent(s.at[endpoint], now), Suspect{Fingerprint: f, At: now})
-	look = !s.looking[endpoint]
-	s.looking[endpoint] = true
-	return look
+	s.byEndpoint[endpoint] = append(recent(s.byEndpoint[endpoint], now), Suspect{Fingerprint: f, At: now})
+	probe = !s.pendingProbes[endpoint]
+	s.pendingProbes[endpoint] = true
+	return probe
 }
 
-// ProbeStarted notes that a look at an endpoint begins: what breaks off from now on asks
-// for another.
+// ProbeStarted records the start of a probe of an endpoint: a later interruption requires
+// another one.
 func (s *Suspects) ProbeStarted(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.looking, endpoint)
+	delete(s.pendingProbes, endpoint)
 }
 
-// TakeInterrupted returns the requests whose runs an endpoint's end broke off: those that broke
-// off last, together. What broke off before was not its end.
+// TakeInterrupted removes the suspects of a crashed endpoint and returns the requests whose
+// runs the crash interrupted: those last interrupted, within sameCrashWindow. Earlier
+// interruptions had another cause.
 func (s *Suspects) TakeInterrupted(endpoint string, now time.Time) []Suspect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := recent(s.at[endpoint], now)
-	delete(s.at, endpoint)
+	list := recent(s.byEndpoint[endpoint], now)
+	delete(s.byEndpoint, endpoint)
 	if len(list) == 0 {
 		return nil
 	}
 	last := list[len(list)-1].At
-	return slices.DeleteFunc(list, func(s Suspect) bool { return last.Sub(s.At) > sameEnd })
+	return slices.DeleteFunc(list, func(s Suspect) bool { return last.Sub(s.At) > sameCrashWindow })
 }
 
-// Endpoints returns where runs broke off of late.
+// Endpoints returns the endpoints with recently interrupted runs.
 func (s *Suspects) Endpoints(now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []string
-	for endpoint, suspects := range s.at {
+	for endpoint, suspects := range s.byEndpoint {
 		if len(recent(suspects, now)) == 0 {
-			delete(s.at, endpoint)
+			delete(s.byEndpoint, endpoint)
 			continue
 		}
 		list = append(list, endpoint)
@@ -81,9 +82,9 @@
 	return list
 }
 
-// recent leaves out what is too old to be told from other breaks.
+// recent returns the suspects that are not older than suspectRetention.
 func recent(list []Suspect, now time.Time) []Suspect {
-	first := slices.IndexFunc(list, func(s Suspect) bool { return now.Sub(s.At) <= suspectFor })
+	first := slices.IndexFunc(list, func(s Suspect) bool { return now.Sub(s.At) <= suspectRetention })
 	if first < 0 {
 		return nil
 	}
--- a/pkg/quarantine/watch.go
+++ b/pkg/quarantine/watch.go
@@ -7,68 +7,68 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Watch finds out which requests end endpoints: it takes in how runs ended and which
-// endpoints have, and writes a line for each end and each request that is held back. It
-// is safe for concurrent use.
+// Watch detects which requests crash endpoints, from interrupted runs and endpoint crashes.
+// It logs each crash and each request that is quarantined. It is safe for concurrent use.
 type Watch struct {
 	*Quarantine
 	suspects *Suspects
-	ended    prometheus.Counter
+	crashes  prometheus.Counter
 	log      *log.Logger
 }
 
-// NewWatch returns a watch that has seen nothing.
+// NewWatch returns a watch with an empty quarantine.
 func NewWatch(registry prometheus.Registerer, logger *log.Logger) *Watch {
 	w := &Watch{
 		Quarantine: NewQuarantine(), suspects: NewSuspects(), log: logger,
-		ended: prometheus.NewCounter(prometheus.CounterOpts{
+		crashes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "ironhollow_endpoints_ended_total", Help: "Endpoints that ended while they ran requests of this host.",
 		}),
 	}
-	registry.MustRegister(w.ended)
+	registry.MustRegister(w.crashes)
 	return w
 }
 
-// RecordInterruption notes that a run broke off at an endpoint, and not as planned. It reports whether
-// the endpoint is to be looked at, after LookBegins.
-func (w *Watch) RecordInterruption(endpoint string, f Fingerprint, now time.Time) (look bool) {
+// RecordInterruption records an unplanned interruption of a run at an endpoint. It reports
+// whether the caller has to probe the endpoint, after ProbeStarted.
+func (w *Watch) RecordInterruption(endpoint string, f Fingerprint, now time.Time) (probe bool) {
 	return w.suspects.RecordInterruption(endpoint, f, now)
 }
 
-// ProbeStarted notes that a look at an endpoint begins.
+// ProbeStarted records the start of a probe of an endpoint.
 func (w *Watch) ProbeStarted(endpoint string) { w.suspects.ProbeStarted(endpoint) }
 
-// SuspectedEndpoints returns the endpoints at which runs broke off of late.
+// SuspectedEndpoints returns the endpoints with recently interrupted runs.
 func (w *Watch) SuspectedEndpoints(now time.Time) []string { return w.suspects.Endpoints(now) }
 
-// EndpointCrashed notes that an endpoint has ended, which shows in some way: the requests
-// whose runs broke off there are counted as under way at its end.
+// EndpointCrashed records the crash of an endpoint against the requests whose runs it
+// interrupted; shownBy is the evidence of the crash, for the log.
 func (w *Watch) EndpointCrashed(endpoint, shownBy string, now time.Time) {
 	suspects := w.suspects.TakeInterrupted(endpoint, now)
 	if len(suspects) == 0 {
 		return
 	}
-	w.ended.Inc()
+	w.crashes.Inc()
 	w.log.Info().Str("endpoint", endpoint).Int("requests", len(suspects)).Str("shown-by", shownBy).Msg("endpoint ended under requests")
 	for _, s := range suspects {
-		if c, held := w.RecordCrash(s.Fingerprint, Crash{Endpoint: endpoint, At: s.At}, now); held {
-			w.noteHeld(c, "own")
+		if c, quarantined := w.RecordCrash(s.Fingerprint, Crash{Endpoint: endpoint, At: s.At}, now); quarantined {
+			w.logQuarantined(c, "own")
 		}
 	}
 }
 
-// ApplyReports applies cases of another host or of the store; from names it.
-func (w *Watch) ApplyReports(told []Case, from string, now time.Time) {
-	for _, c := range w.Merge(told, now) {
-		w.noteHeld(c, from)
+// ApplyReports applies cases from another host or from the store; source names it in the
+// log.
+func (w *Watch) ApplyReports(cases []Case, source string, now time.Time) {
+	for _, c := range w.Merge(cases, now) {
+		w.logQuarantined(c, source)
 	}
 }
 
-func (w *Watch) noteHeld(c Case, from string) {
+func (w *Watch) logQuarantined(c Case, source string) {
 	endpoints := make([]string, 0, len(c.Crashes))
-	for _, end := range c.Crashes {
-		endpoints = append(endpoints, end.Endpoint)
+	for _, crash := range c.Crashes {
+		endpoints = append(endpoints, crash.Endpoint)
 	}
-	w.log.Warn().Stringer("fingerprint", c.Fingerprint).Strs("endpoints", endpoints).Str("from", from).
+	w.log.Warn().Stringer("fingerprint", c.Fingerprint).Strs("endpoints", endpoints).Str("from", source).
 		Msg("request held back: endpoints ended under it")
 }
