--- a/pkg/quarantinesync/row.go
+++ b/pkg/quarantinesync/row.go
@@ -10,63 +10,64 @@
 	"ironhollow/pkg/quarantine"
 )
 
-// row is a case in the store; times are by the store's steady clock.
+// row is the stored form of a case. Its times are of the store's steady clock.
 type row struct {
-	Ends []end `cbor:"1,keyasint"`
+	Crashes []crash `cbor:"1,keyasint"`
 }
 
-type end struct {
+type crash struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
 	AtMS     int64
 }
 
-// mostMS bounds the store's clock, in milliseconds: a hundred years.
-const mostMS = 100 * 365 * 24 * 3600 * 1000
+// maxMS bounds times of the store's clock, in milliseconds: 100 years.
+const maxMS = 100 * 365 * 24 * 3600 * 1000
 
 func key(f quarantine.Fingerprint) string { return Table + "/" + f.String() }
 
-// encode encodes a case; now and storeNow are the same moment by both clocks.
+// encode encodes a case. now and storeNow are the same time on this process's and on the
+// store's clock.
 func encode(c quarantine.Case, now time.Time, storeNow time.Duration) ([]byte, error) {
 	var r row
 	for _, e := range c.Crashes {
-		r.Ends = append(r.Ends, end{Endpoint: e.Endpoint, AtMS: (storeNow - now.Sub(e.At)).Milliseconds()})
+		r.Crashes = append(r.Crashes, crash{Endpoint: e.Endpoint, AtMS: (storeNow - now.Sub(e.At)).Milliseconds()})
 	}
 	return cbor.Marshal(r)
 }
 
-// stored is a decoded row.
-type stored struct {
+// decodedRow is a row with the fingerprint from its key.
+type decodedRow struct {
 	fingerprint quarantine.Fingerprint
-	ends        []end
+	crashes     []crash
 }
 
-func decode(key string, value []byte) (stored, error) {
+func decode(key string, value []byte) (decodedRow, error) {
 	text, ok := strings.CutPrefix(key, Table+"/")
 	if !ok {
-		return stored{}, fmt.Errorf("poisonsync: row %q of another table", key)
+		return decodedRow{}, fmt.Errorf("quarantinesync: row %q is of another table", key)
 	}
 	f, err := quarantine.ParseFingerprint(text)
 	if err != nil {
-		return stored{}, err
+		return decodedRow{}, err
 	}
 	var r row
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		return stored{}, fmt.Errorf("poisonsync: row %q: %w", key, err)
+		return decodedRow{}, fmt.Errorf("quarantinesync: row %q: %w", key, err)
 	}
-	for _, e := range r.Ends {
-		if e.AtMS < 0 || e.AtMS > mostMS {
-			return stored{}, fmt.Errorf("poisonsync: row %q: an end at %d ms", key, e.AtMS)
+	for _, e := range r.Crashes {
+		if e.AtMS < 0 || e.AtMS > maxMS {
+			return decodedRow{}, fmt.Errorf("quarantinesync: row %q: time of a crash out of range: %d ms", key, e.AtMS)
 		}
 	}
-	return stored{fingerprint: f, ends: r.Ends}, nil
+	return decodedRow{fingerprint: f, crashes: r.Crashes}, nil
 }
 
-// at returns the case by this process's clock. An end that is told for later than now
-// counts as of now.
-func (s stored) at(now time.Time, storeNow time.Duration) quarantine.Case {
-	c := quarantine.Case{Fingerprint: s.fingerprint}
-	for _, e := range s.ends {
+// toCase returns the case with times of this process's clock. A crash whose time is in the
+// future gets the current time.
+func (r decodedRow) toCase(now time.Time, storeNow time.Duration) quarantine.Case {
+	c := quarantine.Case{Fingerprint: r.fingerprint}
+	for _, e := range r.crashes {
 		age := max(storeNow-time.Duration(e.AtMS)*time.Millisecond, 0)
 		c.Crashes = append(c.Crashes, quarantine.Crash{Endpoint: e.Endpoint, At: now.Add(-age)})
 	}
--- a/pkg/quarantinesync/syncer.go
+++ b/pkg/quarantinesync/syncer.go
@@ -1,5 +1,5 @@
-// Package quarantinesync keeps requests that are held back in the store, a row each, so that
-// hosts still hold them back after all have begun anew at once.
+// Package quarantinesync saves quarantined requests to the store, one row each, so that they
+// remain quarantined when all hosts restart at once.
 package quarantinesync
 
 import (
@@ -14,25 +14,25 @@
 	"ironhollow/pkg/table"
 )
 
-// Table is the store's table of requests held back.
+// Table is the store's table of quarantined requests.
 const Table = "quarantine"
 
-// Times of a keeper.
+// Intervals and timeouts of a syncer.
 const (
-	// keepPause is the time between two looks for what is to be written: hosts that die
-	// together within it take the latest case with them.
-	keepPause = 200 * time.Millisecond
-	// writeTime bounds a write, retryPause is the time to the next where one failed.
-	writeTime  = 2 * time.Second
-	retryPause = time.Second
-	// readTime bounds one read of the rows at a start.
-	readTime = 2 * time.Second
+	// syncInterval is the time between two checks for cases to write. Hosts that die together
+	// within it lose their latest cases.
+	syncInterval = 200 * time.Millisecond
+	// writeTimeout bounds a write, retryInterval is the time until the next one after a failure.
+	writeTimeout  = 2 * time.Second
+	retryInterval = time.Second
+	// readTimeout bounds one read of all rows at the start.
+	readTimeout = 2 * time.Second
 )
 
-// page is how many rows one call reads: the store's most.
-const page = 500
+// pageSize is the number of rows that one call reads, the store's maximum.
+const pageSize = 500
 
-// Syncer writes the cases of this process and reads all at a start.
+// Syncer writes the cases of this process to the store and reads those of all hosts at the start.
 type Syncer struct {
 	watch  *quarantine.Watch
 	writer *table.Writer
@@ -44,132 +44,133 @@
 	era int64
 }
 
-// NewSyncer returns a keeper. storeEra returns the store's era as last read by this host.
+// NewSyncer returns a syncer. storeEra returns the store's era as last read by this host.
 func NewSyncer(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, storeEra func() int64, logger *log.Logger) *Syncer {
 	return &Syncer{watch: watch, writer: writer, clock: clock, storeEra: storeEra, log: logger}
 }
 
-// Load reads all rows, again and again until the store has answered or ctx ends. Other
-// hosts tell what is held back, so that this counts where all have just begun.
-func (k *Syncer) Load(ctx context.Context) {
+// Load reads all rows, and retries until the store has answered or ctx ends. It matters only
+// after a restart of all hosts: otherwise the other hosts report the quarantined requests.
+func (s *Syncer) Load(ctx context.Context) {
 	for ctx.Err() == nil {
-		if k.load(ctx) {
+		if s.load(ctx) {
 			return
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryInterval)
 	}
 }
 
-func (k *Syncer) load(ctx context.Context) (done bool) {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+func (s *Syncer) load(ctx context.Context) (done bool) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	for after := ""; ; {
-		rows, err := k.writer.Store().List(ctx, Table+"/", after, page)
+		rows, err := s.writer.Store().List(ctx, Table+"/", after, pageSize)
 		if err != nil {
-			k.log.Warn().Err(err).Msg("requests held back not read from the store")
+			s.log.Warn().Err(err).Msg("failed to read quarantined requests from the store")
 			return false
 		}
-		k.take(ctx, rows)
-		if len(rows) < page {
+		s.apply(ctx, rows)
+		if len(rows) < pageSize {
 			return true
 		}
 		after = rows[len(rows)-1].Key
 	}
 }
 
-// take takes rows in and removes those of which the time is over.
-func (k *Syncer) take(ctx context.Context, rows []table.Row) {
-	now := k.clock.Now()
-	storeNow, known := k.clock.Store()
+// apply applies rows and deletes the expired ones.
+func (s *Syncer) apply(ctx context.Context, rows []table.Row) {
+	now := s.clock.Now()
+	storeNow, known := s.clock.Store()
 	for _, row := range rows {
 		if !known {
 			return
 		}
-		stored, err := decode(row.Key, row.Value)
+		decoded, err := decode(row.Key, row.Value)
 		if err != nil {
-			k.log.Error().Err(err).Str("row", row.Key).Msg("request held back not taken")
+			s.log.Error().Err(err).Str("row", row.Key).Msg("failed to decode the row of a quarantined request")
 			continue
 		}
-		c := stored.at(now, storeNow)
+		c := decoded.toCase(now, storeNow)
 		if quarantine.Expired(c, now) {
-			k.remove(ctx, row)
+			s.deleteExpired(ctx, row)
 			continue
 		}
-		k.watch.ApplyReports([]quarantine.Case{c}, "store", now)
-		k.watch.MarkSaved(c)
+		s.watch.ApplyReports([]quarantine.Case{c}, "store", now)
+		s.watch.MarkSaved(c)
 	}
 }
 
-func (k *Syncer) remove(ctx context.Context, row table.Row) {
+func (s *Syncer) deleteExpired(ctx context.Context, row table.Row) {
 	write := table.Write{Key: row.Key, Delete: true, If: table.AtVersion{Version: row.Version}}
-	// Another host that starts may be first; what stays is removed at the next start.
-	if refused, isRefused := k.writer.Commit(ctx, write).(table.Refused); isRefused {
-		k.log.Debug().Err(refused.Err).Str("row", row.Key).Msg("row of a request held back not removed")
+	// Another starting host may have deleted it first; a row that remains is deleted at the
+	// next start of a host.
+	if refused, isRefused := s.writer.Commit(ctx, write).(table.Refused); isRefused {
+		s.log.Debug().Err(refused.Err).Str("row", row.Key).Msg("failed to delete the row of an expired request")
 	}
 }
 
-// Run writes what is held back and seen by this process, and removes rows of what was
-// answered whole since, until ctx ends.
-func (k *Syncer) Run(ctx context.Context) {
-	for pause.For(ctx, keepPause) {
-		if !k.step(ctx) {
-			pause.For(ctx, retryPause)
+// Run writes the quarantined requests with a crash that this process saw, and deletes the rows
+// of requests answered completely since, until ctx ends.
+func (s *Syncer) Run(ctx context.Context) {
+	for pause.For(ctx, syncInterval) {
+		if !s.step(ctx) {
+			pause.For(ctx, retryInterval)
 		}
 	}
 }
 
-// step ends early where the store does not take a write.
-func (k *Syncer) step(ctx context.Context) (done bool) {
-	if era := k.storeEra(); era > k.era {
-		k.era = era
-		k.watch.StoreRestored()
+// step writes and deletes the outstanding rows. It returns false at the first failure.
+func (s *Syncer) step(ctx context.Context) (done bool) {
+	if era := s.storeEra(); era > s.era {
+		s.era = era
+		s.watch.StoreRestored()
 	}
-	for _, c := range k.watch.Unsaved(k.clock.Now()) {
-		if !k.write(ctx, c) {
+	for _, c := range s.watch.Unsaved(s.clock.Now()) {
+		if !s.write(ctx, c) {
 			return false
 		}
 	}
-	for _, f := range k.watch.StaleRows() {
-		if !k.clear(ctx, f) {
+	for _, f := range s.watch.StaleRows() {
+		if !s.deleteStale(ctx, f) {
 			return false
 		}
 	}
 	return true
 }
 
-// clear removes the row of a request that does not end endpoints. What another host has
-// written of it meanwhile goes too: it hears of the answer as well.
-func (k *Syncer) clear(ctx context.Context, f quarantine.Fingerprint) (done bool) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+// deleteStale deletes the row of a request that was answered completely, also if another host
+// has written it meanwhile: that host receives the report of the answer as well.
+func (s *Syncer) deleteStale(ctx context.Context, f quarantine.Fingerprint) (done bool) {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	outcome := k.writer.Commit(ctx, table.Write{Key: key(f), Delete: true, If: table.Always{}})
+	outcome := s.writer.Commit(ctx, table.Write{Key: key(f), Delete: true, If: table.Always{}})
 	if _, isDone := outcome.(table.Done); !isDone {
-		k.log.Warn().Stringer("fingerprint", f).Msg("row of a request that was held back not removed")
+		s.log.Warn().Stringer("fingerprint", f).Msg("failed to delete the row of a request answered completely")
 		return false
 	}
-	k.watch.MarkDeleted(f)
+	s.watch.MarkDeleted(f)
 	return true
 }
 
-// write writes a case over what another host has written of it: all know three ends of
-// it, and any three hold it back.
-func (k *Syncer) write(ctx context.Context, c quarantine.Case) (done bool) {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+// write writes a case and overwrites the row of another host: each row has three crashes, and
+// any three quarantine the request.
+func (s *Syncer) write(ctx context.Context, c quarantine.Case) (done bool) {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	storeNow, known := k.clock.Store()
+	storeNow, known := s.clock.Store()
 	if !known {
 		return false
 	}
-	value, err := encode(c, k.clock.Now(), storeNow)
+	value, err := encode(c, s.clock.Now(), storeNow)
 	if err != nil {
-		k.log.Error().Err(err).Msg("request held back not encoded")
+		s.log.Error().Err(err).Msg("request held back not encoded")
 		return false
 	}
-	outcome := k.writer.Commit(ctx, table.Write{Key: key(c.Fingerprint), Value: value, If: table.Always{}})
+	outcome := s.writer.Commit(ctx, table.Write{Key: key(c.Fingerprint), Value: value, If: table.Always{}})
 	if _, isDone := outcome.(table.Done); !isDone {
-		k.log.Warn().Stringer("fingerprint", c.Fingerprint).Msg("request held back not written to the store")
+		s.log.Warn().Stringer("fingerprint", c.Fingerprint).Msg("failed to write a quarantined request to the store")
 		return false
 	}
-	k.watch.MarkSaved(c)
+	s.watch.MarkSaved(c)
 	return true
 }
