--- a/pkg/limit/concurrency.go
+++ b/pkg/limit/concurrency.go
@@ -7,33 +7,33 @@
 	"time"
 )
 
-// ConcurrencyLimiter shares out a bounded number of places. Free places are given at once;
-// otherwise requests wait, by priority, and among equals by the weights of
-// their teams, so that a large team can't starve a small one. A request whose
-// deadline can't be met is turned away before it waits.
+// ConcurrencyLimiter bounds the number of requests that run at a time. A free permit is
+// granted at once; otherwise requests queue by priority, and within a priority by the
+// weights of their teams, so that a large team cannot starve a small one. A request whose
+// deadline cannot be met is rejected before it queues.
 type ConcurrencyLimiter struct {
 	mu       sync.Mutex
 	capacity int
-	used     int
-	// mean is how long a place is held, in seconds.
-	mean   float64
-	queues map[queueKey]*queue
-	length int
-	// yielders are the places that can be asked for, oldest first.
-	yielders []*yielder
-	// clock is the pass of the queue served last: a queue that starts anew
-	// starts from here, so that idle time earns no credit.
-	clock float64
+	inUse    int
+	// meanHold is the mean time that a permit is held, in seconds.
+	meanHold float64
+	queues   map[queueKey]*queue
+	queued   int
+	// preemptibles are the permits whose holders may be asked to yield, oldest first.
+	preemptibles []*preemptiblePermit
+	// virtualTime is the pass of the queue served last. A new queue starts at it, so that
+	// idle time earns no credit.
+	virtualTime float64
 }
 
 type queueKey struct {
 	priority int
 	team     string
-	// mayWait marks work that gets only a part of the places.
+	// mayWait marks work that may use only a part of the permits.
 	mayWait bool
 }
 
-// queue is one team's waiting requests of one priority, oldest first.
+// queue holds one team's waiting requests of one priority, oldest first.
 type queue struct {
 	weight  float64
 	pass    float64
@@ -46,314 +46,317 @@
 	abandoned bool
 }
 
-// PermitRequest is one request for a place.
+// PermitRequest is a request for a permit.
 type PermitRequest struct {
 	Team     string
 	Weight   int
 	Priority int
-	// Deadline is when a place is of no more use.
+	// Deadline is the time from which a permit is of no use.
 	Deadline time.Time
-	// MayWait marks work that leaves some places free for callers who wait.
+	// MayWait marks work without a waiting caller, which leaves some permits free for
+	// requests with one.
 	MayWait bool
-	// Yield asks such work to give its place up and queue anew; it reports
-	// whether the work will. Nil for work that can't. It is called with no lock
-	// held.
+	// Yield asks such work to release its permit and to queue again; it reports whether the
+	// work will. It is nil for work that cannot, and is called without locks held.
 	Yield func() bool
 }
 
-// Parameters of the places.
+// Parameters of the permits.
 const (
-	// PermitsPerSlot is how many places there are for each slot of the endpoints: callers
-	// who wait may queue at an endpoint, which serves them by priority.
+	// PermitsPerSlot is the number of permits for each slot of the endpoints. It is above 1
+	// because requests with a waiting caller may queue at an endpoint, which serves them by
+	// priority.
 	PermitsPerSlot = 2.0
-	// waitingShare is the part of the places that work that can wait may fill.
-	waitingShare = 0.35
+	// mayWaitShare is the part of the permits that work that may wait can use.
+	mayWaitShare = 0.35
 )
 
-// key names the queue an ask waits in.
-func (a PermitRequest) key() queueKey { return queueKey{a.Priority, a.Team, a.MayWait} }
+// key returns the key of the queue for a request.
+func (r PermitRequest) key() queueKey { return queueKey{r.Priority, r.Team, r.MayWait} }
 
-// Permit is a place held; it must be released once.
+// Permit allows one request to run. It must be released exactly once.
 type Permit struct {
-	gate  *ConcurrencyLimiter
-	since time.Time
-	// yielding is the place's entry among those that can be asked for, nil for
-	// a place that can't.
-	yielding *yielder
+	limiter    *ConcurrencyLimiter
+	acquiredAt time.Time
+	// preemptible is the permit's entry in the limiter's preemptibles, nil if its holder
+	// cannot yield.
+	preemptible *preemptiblePermit
 }
 
-// yielder is a place that its holder may be asked to give up.
-type yielder struct {
+// preemptiblePermit is a permit whose holder may be asked to yield.
+type preemptiblePermit struct {
 	yield func() bool
-	// asked says that the holder was asked and has not given the place up yet.
-	asked bool
+	// requested is set while the holder has been asked and has not released the permit.
+	requested bool
 }
 
-// firstMean is assumed until places have been released, in seconds.
-const firstMean = 2.0
+// initialMeanHold is the mean hold time before the first release, in seconds.
+const initialMeanHold = 2.0
 
-// meanWeight is the weight of a new measurement.
-const meanWeight = 0.05
+// meanHoldWeight is the weight of a new sample in the mean hold time.
+const meanHoldWeight = 0.05
 
-// NewConcurrencyLimiter returns a gate with capacity places.
+// NewConcurrencyLimiter returns a limiter with capacity permits, at least 1.
 func NewConcurrencyLimiter(capacity int) *ConcurrencyLimiter {
-	return &ConcurrencyLimiter{capacity: max(capacity, 1), mean: firstMean, queues: map[queueKey]*queue{}}
+	return &ConcurrencyLimiter{capacity: max(capacity, 1), meanHold: initialMeanHold, queues: map[queueKey]*queue{}}
 }
 
-// SetCapacity changes the number of places; those held stay held.
-func (g *ConcurrencyLimiter) SetCapacity(capacity int) {
-	g.mu.Lock()
-	g.capacity = max(capacity, 1)
-	g.dispatch()
-	g.mu.Unlock()
-	g.askForPlaces()
+// SetCapacity changes the number of permits. Permits in use are not revoked.
+func (l *ConcurrencyLimiter) SetCapacity(capacity int) {
+	l.mu.Lock()
+	l.capacity = max(capacity, 1)
+	l.dispatch()
+	l.mu.Unlock()
+	l.requestYields()
 }
 
-// DeadlineError says that the deadline can't be met. RetryAfter is when there should
-// be room.
+// DeadlineError is returned where a deadline cannot be met. RetryAfter is the time after
+// which a permit is expected to be free.
 type DeadlineError struct{ RetryAfter time.Duration }
 
-// Error describes the refusal.
-func (e DeadlineError) Error() string { return "limit: the deadline can't be met" }
+// Error implements error.
+func (e DeadlineError) Error() string { return "limit: the deadline cannot be met" }
 
-// Acquire waits for a place. It returns TooLate at once where the wait that is
-// to be expected passes the deadline, and the context's error if that ends.
-func (g *ConcurrencyLimiter) Acquire(ctx context.Context, ask PermitRequest, now time.Time) (Permit, error) {
+// Acquire waits for a permit. It returns a DeadlineError at once if the expected wait
+// exceeds the deadline, and the context's error if the context ends.
+func (l *ConcurrencyLimiter) Acquire(ctx context.Context, request PermitRequest, now time.Time) (Permit, error) {
 	if err := ctx.Err(); err != nil {
 		return Permit{}, err
 	}
-	g.mu.Lock()
-	if g.length == 0 && g.hasRoom(ask.MayWait) {
-		g.used++
-		ticket := g.ticket(ask, now)
-		g.mu.Unlock()
-		return ticket, nil
+	l.mu.Lock()
+	if l.queued == 0 && l.hasFree(request.MayWait) {
+		l.inUse++
+		permit := l.issue(request, now)
+		l.mu.Unlock()
+		return permit, nil
 	}
-	expected := g.expectedWait(ask)
-	if !ask.Deadline.IsZero() && now.Add(expected).After(ask.Deadline) {
-		g.mu.Unlock()
+	expected := l.expectedWait(request)
+	if !request.Deadline.IsZero() && now.Add(expected).After(request.Deadline) {
+		l.mu.Unlock()
 		return Permit{}, DeadlineError{expected}
 	}
 	w := &waiter{ready: make(chan struct{})}
-	g.enqueue(ask, w)
-	g.dispatch()
-	g.mu.Unlock()
-	if !ask.MayWait {
-		g.askForPlaces()
+	l.enqueue(request, w)
+	l.dispatch()
+	l.mu.Unlock()
+	if !request.MayWait {
+		l.requestYields()
 	}
 	select {
 	case <-w.ready:
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.ticket(ask, time.Now()), nil
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return l.issue(request, time.Now()), nil
 	case <-ctx.Done():
-		return Permit{}, g.abandon(ctx, w)
+		return Permit{}, l.abandon(ctx, w)
 	}
 }
 
-// ticket notes a place as one that can be asked for, if it can. The lock is held.
-func (g *ConcurrencyLimiter) ticket(ask PermitRequest, now time.Time) Permit {
-	t := Permit{gate: g, since: now}
-	if ask.Yield != nil {
-		t.yielding = &yielder{yield: ask.Yield}
-		g.yielders = append(g.yielders, t.yielding)
+// issue returns a permit and registers it as preemptible if its holder can yield. The
+// caller holds the lock.
+func (l *ConcurrencyLimiter) issue(request PermitRequest, now time.Time) Permit {
+	p := Permit{limiter: l, acquiredAt: now}
+	if request.Yield != nil {
+		p.preemptible = &preemptiblePermit{yield: request.Yield}
+		l.preemptibles = append(l.preemptibles, p.preemptible)
 	}
-	return t
+	return p
 }
 
-// askForPlaces asks work that can wait for as many places as callers who wait
-// lack. The latest comer is asked first: it has the least to compute again.
-func (g *ConcurrencyLimiter) askForPlaces() {
-	declined := map[*yielder]bool{}
+// requestYields asks work that may wait to yield as many permits as requests with a waiting
+// caller lack. The latest permit is asked for first: its holder has the least to recompute.
+func (l *ConcurrencyLimiter) requestYields() {
+	declined := map[*preemptiblePermit]bool{}
 	for {
-		y := g.nextYielder(declined)
-		if y == nil {
+		p := l.nextPreemptible(declined)
+		if p == nil {
 			return
 		}
-		if !y.yield() {
-			// It is between two attempts or at its end: the next one is asked,
-			// and this one again when the next caller lacks a place.
-			declined[y] = true
-			g.notAsked(y)
+		if !p.yield() {
+			// The holder is between two attempts or about to finish. Ask the next one, and
+			// this one again when another request lacks a permit.
+			declined[p] = true
+			l.clearYieldRequest(p)
 		}
 	}
 }
 
-func (g *ConcurrencyLimiter) notAsked(y *yielder) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	y.asked = false
+func (l *ConcurrencyLimiter) clearYieldRequest(p *preemptiblePermit) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	p.requested = false
 }
 
-// nextYielder returns a place to ask for and marks it as asked, nil if enough
-// are asked or none is left.
-func (g *ConcurrencyLimiter) nextYielder(declined map[*yielder]bool) *yielder {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	lacking := 0
-	for key, q := range g.queues {
+// nextPreemptible returns a permit to ask for and marks it as requested. It returns nil if
+// enough are requested or none is left.
+func (l *ConcurrencyLimiter) nextPreemptible(declined map[*preemptiblePermit]bool) *preemptiblePermit {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	shortage := 0
+	for key, q := range l.queues {
 		if !key.mayWait {
-			lacking += len(q.waiters)
+			shortage += len(q.waiters)
 		}
 	}
-	lacking -= max(g.capacity-g.used, 0)
-	for _, y := range g.yielders {
-		if y.asked {
-			lacking--
+	shortage -= max(l.capacity-l.inUse, 0)
+	for _, p := range l.preemptibles {
+		if p.requested {
+			shortage--
 		}
 	}
-	if lacking <= 0 {
+	if shortage <= 0 {
 		return nil
 	}
-	for i := len(g.yielders) - 1; i >= 0; i-- {
-		if !g.yielders[i].asked && !declined[g.yielders[i]] {
-			g.yielders[i].asked = true
-			return g.yielders[i]
+	for i := len(l.preemptibles) - 1; i >= 0; i-- {
+		if !l.preemptibles[i].requested && !declined[l.preemptibles[i]] {
+			l.preemptibles[i].requested = true
+			return l.preemptibles[i]
 		}
 	}
 	return nil
 }
 
-// hasRoom reports whether a place is free. At least one place is open to work
-// that can wait, however small the gate. The lock is held.
-func (g *ConcurrencyLimiter) hasRoom(mayWait bool) bool {
+// hasFree reports whether a permit is free. At least one permit is open to work that may
+// wait, however small the capacity. The caller holds the lock.
+func (l *ConcurrencyLimiter) hasFree(mayWait bool) bool {
 	if mayWait {
-		return g.used < max(1, int(waitingShare*float64(g.capacity)))
+		return l.inUse < max(1, int(mayWaitShare*float64(l.capacity)))
 	}
-	return g.used < g.capacity
+	return l.inUse < l.capacity
 }
 
-// abandon gives up a wait; a place that was given meanwhile is passed on.
-func (g *ConcurrencyLimiter) abandon(ctx context.Context, w *waiter) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// abandon ends a wait; a permit that was granted meanwhile goes to the next waiter.
+func (l *ConcurrencyLimiter) abandon(ctx context.Context, w *waiter) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if w.admitted {
-		g.used--
-		g.dispatch()
+		l.inUse--
+		l.dispatch()
 		return ctx.Err()
 	}
 	w.abandoned = true
-	g.length--
+	l.queued--
 	return ctx.Err()
 }
 
-// Release gives the place back.
-func (t Permit) Release(now time.Time) {
-	t.gate.mu.Lock()
-	defer t.gate.mu.Unlock()
-	t.gate.used--
-	t.gate.forget(t.yielding)
-	t.gate.mean += meanWeight * (now.Sub(t.since).Seconds() - t.gate.mean)
-	t.gate.dispatch()
+// Release returns the permit to its limiter.
+func (p Permit) Release(now time.Time) {
+	p.limiter.mu.Lock()
+	defer p.limiter.mu.Unlock()
+	p.limiter.inUse--
+	p.limiter.removePreemptible(p.preemptible)
+	p.limiter.meanHold += meanHoldWeight * (now.Sub(p.acquiredAt).Seconds() - p.limiter.meanHold)
+	p.limiter.dispatch()
 }
 
-func (g *ConcurrencyLimiter) forget(gone *yielder) {
-	for i, y := range g.yielders {
-		if y == gone {
-			g.yielders = append(g.yielders[:i], g.yielders[i+1:]...)
+func (l *ConcurrencyLimiter) removePreemptible(released *preemptiblePermit) {
+	for i, p := range l.preemptibles {
+		if p == released {
+			l.preemptibles = append(l.preemptibles[:i], l.preemptibles[i+1:]...)
 			return
 		}
 	}
 }
 
-// Waiting returns how many requests wait.
-func (g *ConcurrencyLimiter) Waiting() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.length
+// Waiting returns the number of queued requests.
+func (l *ConcurrencyLimiter) Waiting() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.queued
 }
 
-// Load returns used places as a part of all; more than 1 counts those waiting.
-func (g *ConcurrencyLimiter) Load() float64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return float64(g.used+g.length) / float64(g.capacity)
+// Load returns the permits in use and the queued requests as a part of the capacity. It is
+// above 1 if requests queue at full use.
+func (l *ConcurrencyLimiter) Load() float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return float64(l.inUse+l.queued) / float64(l.capacity)
 }
 
-// expectedWait reckons the wait behind those that go first: all of a higher
-// priority, the own team's, and of other teams as many as their weights give
-// them while the own ones are served. The lock is held.
-func (g *ConcurrencyLimiter) expectedWait(ask PermitRequest) time.Duration {
+// expectedWait estimates the wait behind the requests that are served first: all of a higher
+// priority, those of the same team, and of each other team as many as its weight allows while
+// the team's own ones are served. The caller holds the lock.
+func (l *ConcurrencyLimiter) expectedWait(request PermitRequest) time.Duration {
 	ahead := 0.0
 	own := 1.0
-	if q, ok := g.queues[ask.key()]; ok {
+	if q, ok := l.queues[request.key()]; ok {
 		own += float64(len(q.waiters))
 	}
-	for key, q := range g.queues {
+	for key, q := range l.queues {
 		switch {
-		case key.priority > ask.Priority:
+		case key.priority > request.Priority:
 			ahead += float64(len(q.waiters))
-		case key.priority == ask.Priority && key.team != ask.Team:
-			ahead += math.Min(float64(len(q.waiters)), own*q.weight/float64(max(ask.Weight, 1)))
+		case key.priority == request.Priority && key.team != request.Team:
+			ahead += math.Min(float64(len(q.waiters)), own*q.weight/float64(max(request.Weight, 1)))
 		}
 	}
-	perSecond := float64(g.capacity) / math.Max(g.mean, 1e-3)
+	perSecond := float64(l.capacity) / math.Max(l.meanHold, 1e-3)
 	return time.Duration((ahead + own) / perSecond * float64(time.Second))
 }
 
-func (g *ConcurrencyLimiter) enqueue(ask PermitRequest, w *waiter) {
-	key := ask.key()
-	q, ok := g.queues[key]
+func (l *ConcurrencyLimiter) enqueue(request PermitRequest, w *waiter) {
+	key := request.key()
+	q, ok := l.queues[key]
 	if !ok {
-		q = &queue{pass: g.clock}
-		g.queues[key] = q
+		q = &queue{pass: l.virtualTime}
+		l.queues[key] = q
 	}
-	q.weight = float64(max(ask.Weight, 1))
+	q.weight = float64(max(request.Weight, 1))
 	q.waiters = append(q.waiters, w)
-	g.length++
+	l.queued++
 }
 
-// dispatch gives free places to those who wait. The lock is held.
-func (g *ConcurrencyLimiter) dispatch() {
-	for g.used < g.capacity {
-		w := g.next()
+// dispatch grants free permits to waiters. The caller holds the lock.
+func (l *ConcurrencyLimiter) dispatch() {
+	for l.inUse < l.capacity {
+		w := l.next()
 		if w == nil {
 			return
 		}
 		w.admitted = true
-		g.used++
-		g.length--
+		l.inUse++
+		l.queued--
 		close(w.ready)
 	}
 }
 
-// next takes the waiter whose turn it is: the highest priority, then the queue
-// with the least pass (stride scheduling).
-func (g *ConcurrencyLimiter) next() *waiter {
+// next removes and returns the next waiter: of the highest priority, and of the queue with the
+// lowest pass (stride scheduling). It returns nil if there is none.
+func (l *ConcurrencyLimiter) next() *waiter {
 	for {
-		key, q := g.first()
+		key, q := l.nextQueue()
 		if q == nil {
 			return nil
 		}
 		w := q.waiters[0]
 		q.waiters = q.waiters[1:]
 		if len(q.waiters) == 0 {
-			delete(g.queues, key)
+			delete(l.queues, key)
 		}
 		if w.abandoned {
 			continue
 		}
-		g.clock = math.Max(g.clock, q.pass)
+		l.virtualTime = math.Max(l.virtualTime, q.pass)
 		q.pass += 1 / q.weight
 		return w
 	}
 }
 
-func (g *ConcurrencyLimiter) first() (queueKey, *queue) {
+func (l *ConcurrencyLimiter) nextQueue() (queueKey, *queue) {
 	var bestKey queueKey
 	var best *queue
-	for key, q := range g.queues {
-		if !g.hasRoom(key.mayWait) {
+	for key, q := range l.queues {
+		if !l.hasFree(key.mayWait) {
 			continue
 		}
-		if best == nil || goesBefore(key, q, bestKey, best) {
+		if best == nil || precedes(key, q, bestKey, best) {
 			bestKey, best = key, q
 		}
 	}
 	return bestKey, best
 }
 
-func goesBefore(key queueKey, q *queue, otherKey queueKey, other *queue) bool {
+func precedes(key queueKey, q *queue, otherKey queueKey, other *queue) bool {
 	if key.priority != otherKey.priority {
 		return key.priority > otherKey.priority
 	}
--- a/pkg/limit/concurrency_limiters.go
+++ b/pkg/limit/concurrency_limiters.go
@@ -6,53 +6,53 @@
 	"ironhollow/pkg/route"
 )
 
-// ConcurrencyLimiters keeps a gate for each target.
+// ConcurrencyLimiters holds a concurrency limiter for each target.
 type ConcurrencyLimiters struct {
-	mu    sync.RWMutex
-	gates map[route.Target]*ConcurrencyLimiter
+	mu       sync.RWMutex
+	limiters map[route.Target]*ConcurrencyLimiter
 }
 
-// startCapacity is a gate's until the target's endpoints are known.
-const startCapacity = 16
+// initialCapacity is the capacity of a limiter until the target's endpoints are known.
+const initialCapacity = 16
 
-// NewConcurrencyLimiters returns gates for no target yet.
+// NewConcurrencyLimiters returns an empty set of limiters.
 func NewConcurrencyLimiters() *ConcurrencyLimiters {
-	return &ConcurrencyLimiters{gates: map[route.Target]*ConcurrencyLimiter{}}
+	return &ConcurrencyLimiters{limiters: map[route.Target]*ConcurrencyLimiter{}}
 }
 
-// For returns the gate of a target.
-func (g *ConcurrencyLimiters) For(t route.Target) *ConcurrencyLimiter {
-	g.mu.RLock()
-	gate, ok := g.gates[t]
-	g.mu.RUnlock()
+// For returns the limiter of a target, and creates it if there is none.
+func (l *ConcurrencyLimiters) For(t route.Target) *ConcurrencyLimiter {
+	l.mu.RLock()
+	limiter, ok := l.limiters[t]
+	l.mu.RUnlock()
 	if ok {
-		return gate
+		return limiter
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if gate, ok = g.gates[t]; !ok {
-		gate = NewConcurrencyLimiter(startCapacity)
-		g.gates[t] = gate
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if limiter, ok = l.limiters[t]; !ok {
+		limiter = NewConcurrencyLimiter(initialCapacity)
+		l.limiters[t] = limiter
 	}
-	return gate
+	return limiter
 }
 
-// Resize sets every gate's capacity.
-func (g *ConcurrencyLimiters) Resize(capacity func(route.Target) int) {
-	g.mu.RLock()
-	defer g.mu.RUnlock()
-	for target, gate := range g.gates {
-		gate.SetCapacity(capacity(target))
+// Resize sets the capacity of every limiter.
+func (l *ConcurrencyLimiters) Resize(capacity func(route.Target) int) {
+	l.mu.RLock()
+	defer l.mu.RUnlock()
+	for target, limiter := range l.limiters {
+		limiter.SetCapacity(capacity(target))
 	}
 }
 
-// Load returns the load of the fullest gate.
-func (g *ConcurrencyLimiters) Load() float64 {
-	g.mu.RLock()
-	defer g.mu.RUnlock()
+// Load returns the highest load of all limiters.
+func (l *ConcurrencyLimiters) Load() float64 {
+	l.mu.RLock()
+	defer l.mu.RUnlock()
 	load := 0.0
-	for _, gate := range g.gates {
-		load = max(load, gate.Load())
+	for _, limiter := range l.limiters {
+		load = max(load, limiter.Load())
 	}
 	return load
 }
--- a/pkg/limit/cost.go
+++ b/pkg/limit/cost.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// CostLimiter holds teams to limits whose requests are large and few for one entry,
-// such as tokens of prompts. Each entry keeps the whole fleet's bucket of a team
-// and takes from it what the others tell that they have admitted. A request passes
-// only where the bucket holds enough for those that the others may admit
-// unheard at the same moment. It is safe for concurrent use.
+// CostLimiter enforces limits of teams for requests that are costly and few at each entry,
+// where cost is for example the tokens of a prompt. Each entry keeps a copy of a team's
+// bucket for the whole fleet, and subtracts what the other entries report as admitted. A
+// request is admitted only if the bucket also has room for the requests that other entries
+// may admit at the same time, before their reports arrive. It is safe for concurrent use.
 type CostLimiter struct {
 	tolerance Tolerance
-	// born is when the entry began: it knows of nothing admitted before, so that
-	// its buckets are empty then.
-	born time.Time
+	// startedAt is when the entry started. Its buckets are empty then, because it does not
+	// know what was admitted before.
+	startedAt time.Time
 
 	mu sync.Mutex
-	// part is of the limits, for the hosts that this one hears and itself.
-	part  float64
-	teams map[string]*sharedBucket
-	// idle is how long nothing was admitted before the entry began, at least; 0 if that
-	// is not known.
-	idle time.Duration
-	// olderHeard says that an entry was heard that was there before this one.
-	olderHeard bool
+	// share is the part of the limits for the reachable hosts, this one included.
+	share   float64
+	buckets map[string]*costBucket
+	// idleTime is how long, at least, no host admitted requests before this entry started;
+	// 0 if not known.
+	idleTime time.Duration
+	// olderSeen is set once a synced entry, which is older, has reported.
+	olderSeen bool
 }
 
-// Tolerance is how far all entries together may pass a team's rate in a window:
-// by Overrun as a share of what rate and burst give in it, and by Slack on top.
+// Tolerance is how far all entries together may exceed a team's limit in a window: by
+// Overrun, as a part of what rate and burst allow in it, and additionally by Slack.
 type Tolerance struct {
 	Window  time.Duration
 	Overrun float64
@@ -38,329 +38,329 @@
 	Slack float64
 }
 
-// Parameters of shared limits.
+// Parameters of cost limits.
 const (
-	// overrunUsed and slackUsed are the parts of the tolerance that are given to
-	// callers; the rest covers what entries admit before they hear of each other.
-	overrunUsed = 0.6
-	slackUsed   = 0.25
-	// unheardTime is how old what others tell is at most, as a rule: a round of
-	// datagrams, the way, and a late timer. Above smallFleet hosts the rounds are
-	// rarer, see package gossip.
-	unheardTime = 300 * time.Millisecond
+	// grantedOverrun and grantedSlack are the parts of the tolerance that are added to the
+	// limits; the rest covers what entries admit before the reports of the others arrive.
+	grantedOverrun = 0.6
+	grantedSlack   = 0.25
+	// reportDelay is the usual maximum age of what other entries have reported: a round of
+	// datagrams, the network, and a late timer. Above smallFleet hosts the rounds are
+	// less frequent, see package gossip.
+	reportDelay = 300 * time.Millisecond
 	smallFleet  = 32
-	// heardKept is how long what another entry told is reckoned with, in a fleet
-	// up to smallFleet.
-	heardKept = 2 * time.Second
-	// leastWait is the least time callers are told to come back after.
-	leastWait = 50 * time.Millisecond
-	// silentWeight is what a host counts for in the fleet's limits while it is
-	// silent: it may be cut off and serve on by itself.
+	// reportTTL is how long the report of another entry is used, in a fleet of up to
+	// smallFleet hosts.
+	reportTTL = 2 * time.Second
+	// minWait is the minimum time after which callers are asked to retry.
+	minWait = 50 * time.Millisecond
+	// silentWeight is the weight of an unreachable host in the fleet's limits: it may be
+	// partitioned and still serve.
 	silentWeight = 0.95
-	// settleTime is the age from which an entry knows what a bucket holds.
-	settleTime = 2 * time.Second
-	// olderWait is how long a new entry waits for word of one that is settled; if
-	// none comes, all began anew.
-	olderWait = 400 * time.Millisecond
-	// restartCredit is the part of the tolerance's slack that buckets hold when all
-	// entries began anew and what was admitted before is not known: two such starts
-	// in a window stay within what overrunUsed and slackUsed leave.
+	// syncTime is the age from which an entry knows the level of a bucket.
+	syncTime = 2 * time.Second
+	// olderEntryWait is how long a new entry waits for the report of a synced one. If there
+	// is none, all entries have restarted.
+	olderEntryWait = 400 * time.Millisecond
+	// restartCredit is the part of the tolerance's slack that buckets start with when all
+	// entries have restarted and what was admitted before is not known. Two such restarts in
+	// a window stay within the tolerance that grantedOverrun and grantedSlack leave.
 	restartCredit = 0.3
-	// idleUsed is the part used of what flowed in while no host served: all hosts have
-	// it before they hear of each other.
-	idleUsed = 0.75
+	// idleCreditShare is the part of the tokens of the idle time that buckets start with. It
+	// is below 1 because every host may spend them before the reports of the others arrive.
+	idleCreditShare = 0.75
 )
 
-// TeamUsage is what one entry tells of a team.
+// TeamUsage is what one entry reports of a team.
 type TeamUsage struct {
 	Team string
 	// Admitted is the cost admitted since the entry's start.
 	Admitted float64
-	// RequestedRate is the cost asked for a second, admitted or not.
+	// RequestedRate is the cost requested per second, admitted or not.
 	RequestedRate float64
-	// Available is what the fleet's bucket holds as this entry knows it. It counts only
-	// if Settled: the entry is old enough to know.
+	// Available is the level of the fleet's bucket as known to the entry. It is valid only if
+	// Synced is set: the entry is old enough to know it.
 	Available float64
 	Synced    bool
 }
 
-// sharedBucket is the fleet's bucket of one team, as known here.
-type sharedBucket struct {
-	tokens float64
-	at     time.Time
-	own    TeamUsage
-	// askedAt is when own.Asked was last brought up to date.
-	askedAt time.Time
-	// unheard is what was admitted here in the last moments, fading over
-	// unheardTime.
-	unheard float64
-	// meanCost is of a request, averaged over the latest.
+// costBucket is this entry's copy of the fleet's bucket of one team.
+type costBucket struct {
+	tokens     float64
+	refilledAt time.Time
+	local      TeamUsage
+	// decayedAt is when local.RequestedRate and unreported were last decayed.
+	decayedAt time.Time
+	// unreported is the cost admitted here recently, decaying over reportDelay.
+	unreported float64
+	// meanCost is the mean cost of the latest requests.
 	meanCost float64
-	// credited is the part of the limits for which the bucket has what flowed in while
-	// nothing was admitted.
-	credited float64
-	// started says that it was settled what the bucket held when the entry began.
-	started bool
-	others  map[string]heardSpent
+	// creditedShare is the share of the limits for which the bucket has the tokens of the
+	// idle time.
+	creditedShare float64
+	// initialized is set once the level at the entry's start is decided.
+	initialized bool
+	peers       map[string]peerUsage
 }
 
-type heardSpent struct {
+type peerUsage struct {
 	TeamUsage
-	at time.Time
+	receivedAt time.Time
 }
 
-// NewCostLimiter returns limits of an entry that starts now.
+// NewCostLimiter returns the limiter of an entry that starts now.
 func NewCostLimiter(tolerance Tolerance, now time.Time) *CostLimiter {
-	return &CostLimiter{tolerance: tolerance, born: now, part: 1, teams: map[string]*sharedBucket{}}
+	return &CostLimiter{tolerance: tolerance, startedAt: now, share: 1, buckets: map[string]*costBucket{}}
 }
 
-// SetFleet tells how many hosts are heard, this one included, and how many may
-// serve unheard: this side's part of all limits follows.
-func (s *CostLimiter) SetFleet(heard, silent int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.part = float64(max(heard, 1)) / (float64(max(heard, 1)) + silentWeight*float64(silent))
+// SetFleet sets the number of reachable hosts, this one included, and of silent hosts that
+// may still serve. They determine the share of the limits for this side of a partition.
+func (l *CostLimiter) SetFleet(reachable, silent int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.share = float64(max(reachable, 1)) / (float64(max(reachable, 1)) + silentWeight*float64(silent))
 }
 
-// Decision is an answer of Allow with what decided it.
+// Decision is the result of Allow with the values that led to it.
 type Decision struct {
 	Admitted bool
-	// Wait is when to come back, if it was not admitted.
+	// Wait is the time after which to retry, if not admitted.
 	Wait time.Duration
-	// Available is what the team's bucket held, Required what it had to hold.
+	// Available is the level of the team's bucket, Required the level needed to admit.
 	Available, Required float64
-	// Share is of the limits, for the hosts heard.
+	// Share is the part of the limits for the reachable hosts.
 	Share float64
-	// Contenders is how many hosts were reckoned with.
+	// Contenders is the estimated number of entries, this one included, that admit a request
+	// at the same time.
 	Contenders float64
 }
 
-// Request is what is asked of a limit.
+// Request is a request to be admitted.
 type Request struct {
 	Cost float64
-	// Priority ranks requests; 0 goes first.
+	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 }
 
-// Allow admits one request or says after how long to come back.
-func (s *CostLimiter) Allow(team TeamLimit, request Request, now time.Time) Decision {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// Allow admits one request, or returns the time after which to retry.
+func (l *CostLimiter) Allow(team TeamLimit, request Request, now time.Time) Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	cost := request.Cost
-	b := s.bucket(team.Name)
-	b.ask(cost, now)
-	rate := s.rate(team)
-	most := s.most(team)
-	s.credit(b, team, now)
-	b.refill(rate, most, now)
-	s.start(b, now)
-	// As much as all who may admit at the same moment would take; a full bucket
-	// always admits.
-	rivals := s.rivals(b, now)
-	needed := min(cost+b.rivalCost(cost)*(rivals-1)+b.reserve(request, most), most)
-	d := Decision{Admitted: b.tokens >= needed, Available: b.tokens, Required: needed, Share: s.part, Contenders: rivals}
+	b := l.bucket(team.Name)
+	b.countRequest(cost, now)
+	rate := l.rate(team)
+	capacity := l.capacity(team)
+	l.creditIdleTime(b, team, now)
+	b.refill(rate, capacity, now)
+	l.initialize(b, now)
+	// Require room for the requests that other entries may admit at the same time. A full
+	// bucket always admits.
+	contenders := l.contenders(b, now)
+	required := min(cost+b.contenderCost(cost)*(contenders-1)+b.reserve(request, capacity), capacity)
+	d := Decision{Admitted: b.tokens >= required, Available: b.tokens, Required: required, Share: l.share, Contenders: contenders}
 	if !d.Admitted {
-		d.Wait = max(time.Duration((needed-b.tokens)/rate*float64(time.Second)), leastWait)
+		d.Wait = max(time.Duration((required-b.tokens)/rate*float64(time.Second)), minWait)
 		return d
 	}
 	b.tokens -= cost
-	b.own.Admitted += cost
-	b.unheard += cost
+	b.local.Admitted += cost
+	b.unreported += cost
 	return d
 }
 
-// idleAsked is the requests a second below which an entry is none that others
-// reckon with: its last one is some askTimes ago.
-const idleAsked = 0.02
+// minContenderRate is the requests per second from which an entry counts as a contender. Below
+// it, the entry's last request is some requestRateWindows ago.
+const minContenderRate = 0.02
 
-// rivals is how many entries, this one included, are to be expected to admit a
-// request of the team before they hear of each other.
-func (s *CostLimiter) rivals(b *sharedBucket, now time.Time) float64 {
+// contenders estimates how many entries, this one included, admit a request of the team before
+// they receive each other's reports.
+func (l *CostLimiter) contenders(b *costBucket, now time.Time) float64 {
 	mean := b.meanCost
-	others := 0
-	asked := 0.0
-	kept := heardKept * time.Duration(max(len(b.others), smallFleet)) / smallFleet
-	for _, heard := range b.others {
-		if now.Sub(heard.at) < kept && heard.RequestedRate > idleAsked*mean {
-			asked += heard.RequestedRate
-			others++
+	active := 0
+	requested := 0.0
+	ttl := reportTTL * time.Duration(max(len(b.peers), smallFleet)) / smallFleet
+	for _, peer := range b.peers {
+		if now.Sub(peer.receivedAt) < ttl && peer.RequestedRate > minContenderRate*mean {
+			requested += peer.RequestedRate
+			active++
 		}
 	}
-	unheard := unheardTime * time.Duration(max(others, smallFleet)) / smallFleet
-	return 1 + min(asked*unheard.Seconds()/max(mean, 1), float64(others))
+	delay := reportDelay * time.Duration(max(active, smallFleet)) / smallFleet
+	return 1 + min(requested*delay.Seconds()/max(mean, 1), float64(active))
 }
 
-// beyond is the factor by which a limit may be passed all the time.
-func (s *CostLimiter) beyond() float64 { return 1 + overrunUsed*s.tolerance.Overrun }
+// overrunFactor is the factor by which a limit may be exceeded permanently.
+func (l *CostLimiter) overrunFactor() float64 { return 1 + grantedOverrun*l.tolerance.Overrun }
 
-// rate is what flows into a team's bucket on this side.
-func (s *CostLimiter) rate(team TeamLimit) float64 { return team.Rate * s.beyond() * s.part }
+// rate returns the refill rate of a team's bucket for the reachable hosts.
+func (l *CostLimiter) rate(team TeamLimit) float64 { return team.Rate * l.overrunFactor() * l.share }
 
-// most is a full bucket of a team on this side.
-func (s *CostLimiter) most(team TeamLimit) float64 {
-	return max((team.Burst*s.beyond()+slackUsed*s.tolerance.Slack)*s.part, 1)
+// capacity returns the level of a team's full bucket for the reachable hosts.
+func (l *CostLimiter) capacity(team TeamLimit) float64 {
+	return max((team.Burst*l.overrunFactor()+grantedSlack*l.tolerance.Slack)*l.share, 1)
 }
 
-func (s *CostLimiter) bucket(team string) *sharedBucket {
-	b, ok := s.teams[team]
+func (l *CostLimiter) bucket(team string) *costBucket {
+	b, ok := l.buckets[team]
 	if !ok {
-		b = &sharedBucket{at: s.born, own: TeamUsage{Team: team}, askedAt: s.born, others: map[string]heardSpent{}}
-		s.teams[team] = b
+		b = &costBucket{refilledAt: l.startedAt, local: TeamUsage{Team: team}, decayedAt: l.startedAt, peers: map[string]peerUsage{}}
+		l.buckets[team] = b
 	}
 	return b
 }
 
-func (b *sharedBucket) refill(rate, most float64, now time.Time) {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+func (b *costBucket) refill(rate, capacity float64, now time.Time) {
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
 		b.tokens += elapsed.Seconds() * rate
-		b.at = now
+		b.refilledAt = now
 	}
-	b.tokens = min(b.tokens, most)
+	b.tokens = min(b.tokens, capacity)
 }
 
-// negligible is the part of the usual cost up to which requests are as good as
-// free: they pass while others of their kind would fit.
-const negligible = 0.05
+// negligibleCost is the part of the mean cost below which requests of other entries are
+// assumed to be as cheap as the request itself, so that it passes while a few of them fit.
+const negligibleCost = 0.05
 
-// rivalCost is what another entry is thought to admit at the same moment as a
-// request of a cost: one of the usual cost, so that a large request does not need
-// more room than a small one beyond its own, and what it has admitted unheard if it
-// did as this entry did.
-func (b *sharedBucket) rivalCost(cost float64) float64 {
-	if cost < negligible*b.meanCost {
+// contenderCost estimates the cost that another entry admits at the same time as a request of
+// a cost: a request of the mean cost, so that a large request needs no more room than a small
+// one beyond its own cost, and the unreported cost, assumed to be the same as at this entry.
+func (b *costBucket) contenderCost(cost float64) float64 {
+	if cost < negligibleCost*b.meanCost {
 		return cost
 	}
-	return b.meanCost + b.unheard
+	return b.meanCost + b.unreported
 }
 
-// Parameters of what is kept for the more urgent.
+// Parameters of the reserve for more urgent requests.
 const (
-	// reserveStep is the part of a full bucket that is kept, for each step of
-	// priority, from a request of the usual cost: a team beyond its limit gets its
-	// most urgent requests through, and is refused what can wait.
+	// reserveStep is the part of a full bucket that is reserved, for each step of priority,
+	// from a request of the mean cost. A team beyond its limit gets its most urgent requests
+	// admitted, and those that can wait rejected.
 	reserveStep = 0.12
-	// mostReserve bounds it: the least urgent must get their part as well.
-	mostReserve = 0.36
+	// maxReserve bounds the reserve: the least urgent requests must get a part as well.
+	maxReserve = 0.36
 )
 
-// reserve is what must stay in the bucket for more urgent requests. Those that cost
-// little take little from them.
-func (b *sharedBucket) reserve(r Request, most float64) float64 {
-	kept := min(float64(max(r.Priority, 0))*reserveStep, mostReserve)
-	return kept * most * min(r.Cost/max(b.meanCost, 1), 1)
+// reserve returns what must remain in the bucket for more urgent requests. It is less for
+// requests below the mean cost.
+func (b *costBucket) reserve(r Request, capacity float64) float64 {
+	reserved := min(float64(max(r.Priority, 0))*reserveStep, maxReserve)
+	return reserved * capacity * min(r.Cost/max(b.meanCost, 1), 1)
 }
 
-// costWeight is the weight of one request in the mean cost.
-const costWeight = 0.1
+// meanCostWeight is the weight of one request in the mean cost.
+const meanCostWeight = 0.1
 
-// askTime is how far back what is asked for is averaged.
-const askTime = 2 * time.Second
+// requestRateWindow is the time constant of the average of the requested rate.
+const requestRateWindow = 2 * time.Second
 
-func (b *sharedBucket) ask(cost float64, now time.Time) {
-	b.fade(now)
-	b.own.RequestedRate += cost / askTime.Seconds()
+func (b *costBucket) countRequest(cost float64, now time.Time) {
+	b.decay(now)
+	b.local.RequestedRate += cost / requestRateWindow.Seconds()
 	if b.meanCost == 0 {
 		b.meanCost = cost
 	}
-	b.meanCost += costWeight * (cost - b.meanCost)
+	b.meanCost += meanCostWeight * (cost - b.meanCost)
 }
 
-func (b *sharedBucket) fade(now time.Time) {
-	if elapsed := now.Sub(b.askedAt); elapsed > 0 {
-		b.own.RequestedRate *= math.Exp(-float64(elapsed) / float64(askTime))
-		b.unheard *= math.Exp(-float64(elapsed) / float64(unheardTime))
-		b.askedAt = now
+func (b *costBucket) decay(now time.Time) {
+	if elapsed := now.Sub(b.decayedAt); elapsed > 0 {
+		b.local.RequestedRate *= math.Exp(-float64(elapsed) / float64(requestRateWindow))
+		b.unreported *= math.Exp(-float64(elapsed) / float64(reportDelay))
+		b.decayedAt = now
 	}
 }
 
-// FleetRestarted notes that all entries had ended before this one began, and that nothing
-// was admitted for a time before that. What flowed into the buckets meanwhile is there:
-// without it 142 requests were refused in the two seconds after a loss of all hosts,
-// whose teams were below their limits.
-func (s *CostLimiter) FleetRestarted(idle time.Duration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.idle = idle
+// FleetRestarted records that all entries had stopped before this one started, and that
+// nothing was admitted for idleTime before its start. The buckets start with the tokens of that
+// time: without them, 142 requests of teams below their limits were rejected in the two
+// seconds after a loss of all hosts.
+func (l *CostLimiter) FleetRestarted(idleTime time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.idleTime = idleTime
 }
 
-// credit adds what flowed in before the entry began, as far as the hosts heard may use.
-func (s *CostLimiter) credit(b *sharedBucket, team TeamLimit, now time.Time) {
-	if s.idle <= 0 || s.olderHeard || s.part <= b.credited || now.Sub(s.born) >= settleTime {
+// creditIdleTime adds the tokens of the idle time, for the share of the reachable hosts.
+func (l *CostLimiter) creditIdleTime(b *costBucket, team TeamLimit, now time.Time) {
+	if l.idleTime <= 0 || l.olderSeen || l.share <= b.creditedShare || now.Sub(l.startedAt) >= syncTime {
 		return
 	}
-	b.tokens += idleUsed * (s.part - b.credited) * s.idle.Seconds() * team.Rate
-	b.credited = s.part
+	b.tokens += idleCreditShare * (l.share - b.creditedShare) * l.idleTime.Seconds() * team.Rate
+	b.creditedShare = l.share
 }
 
-// start gives a bucket its credit if all entries began anew.
-func (s *CostLimiter) start(b *sharedBucket, now time.Time) {
-	if b.started || now.Sub(s.born) < olderWait {
+// initialize adds the restart credit to a bucket if all entries have restarted and the idle
+// time is not known.
+func (l *CostLimiter) initialize(b *costBucket, now time.Time) {
+	if b.initialized || now.Sub(l.startedAt) < olderEntryWait {
 		return
 	}
-	b.started = true
-	if !s.olderHeard && s.idle <= 0 {
-		b.tokens += restartCredit * s.tolerance.Slack * s.part
+	b.initialized = true
+	if !l.olderSeen && l.idleTime <= 0 {
+		b.tokens += restartCredit * l.tolerance.Slack * l.share
 	}
 }
 
-// adopt takes what an entry that is settled knows of a bucket, if this one is new.
-func (s *CostLimiter) adopt(b *sharedBucket, told TeamUsage, now time.Time) {
-	if !told.Synced || now.Sub(s.born) >= settleTime {
+// adopt sets the level of a new entry's bucket to that reported by a synced entry.
+func (l *CostLimiter) adopt(b *costBucket, reported TeamUsage, now time.Time) {
+	if !reported.Synced || now.Sub(l.startedAt) >= syncTime {
 		return
 	}
-	s.olderHeard = true
-	if !b.started {
-		b.started = true
-		b.tokens = told.Available
-		b.at = now
+	l.olderSeen = true
+	if !b.initialized {
+		b.initialized = true
+		b.tokens = reported.Available
+		b.refilledAt = now
 	}
 }
 
-// prune drops processes that have told nothing for long: they are gone.
-func (b *sharedBucket) prune(now time.Time) {
-	for process, heard := range b.others {
-		if now.Sub(heard.at) > processKept {
-			delete(b.others, process)
+// prune deletes peers that have not reported for peerTTL: they have stopped.
+func (b *costBucket) prune(now time.Time) {
+	for process, peer := range b.peers {
+		if now.Sub(peer.receivedAt) > peerTTL {
+			delete(b.peers, process)
 		}
 	}
 }
 
-// processKept is how long a process is remembered that tells nothing.
-const processKept = time.Minute
+// peerTTL is how long a process is remembered after its last report.
+const peerTTL = time.Minute
 
-// LocalUsage returns what this entry tells the others, by team.
-func (s *CostLimiter) LocalUsage(now time.Time) []TeamUsage {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	list := make([]TeamUsage, 0, len(s.teams))
-	for _, b := range s.teams {
-		b.fade(now)
+// LocalUsage returns what this entry reports to the others, sorted by team.
+func (l *CostLimiter) LocalUsage(now time.Time) []TeamUsage {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	list := make([]TeamUsage, 0, len(l.buckets))
+	for _, b := range l.buckets {
+		b.decay(now)
 		b.prune(now)
-		told := b.own
-		told.Available = max(b.tokens, 0)
-		told.Synced = now.Sub(s.born) >= settleTime
-		list = append(list, told)
+		usage := b.local
+		usage.Available = max(b.tokens, 0)
+		usage.Synced = now.Sub(l.startedAt) >= syncTime
+		list = append(list, usage)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Team < list[j].Team })
 	return list
 }
 
-// ApplyPeer applies what another process sends. What it had admitted before its first datagram
-// is not known to be recent, and is left out.
-func (s *CostLimiter) ApplyPeer(process string, spent []TeamUsage, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, told := range spent {
-		b := s.bucket(told.Team)
-		before, known := b.others[process]
-		if known && told.Admitted < before.Admitted {
-			// An older datagram that came later.
+// ApplyPeer applies a report of another process. The cost that the process had admitted before
+// its first datagram may be old, and is not subtracted.
+func (l *CostLimiter) ApplyPeer(process string, usage []TeamUsage, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, reported := range usage {
+		b := l.bucket(reported.Team)
+		before, known := b.peers[process]
+		if known && reported.Admitted < before.Admitted {
+			// The datagram was overtaken by a later one.
 			continue
 		}
-		s.adopt(b, told, now)
+		l.adopt(b, reported, now)
 		if known {
-			b.tokens -= told.Admitted - before.Admitted
+			b.tokens -= reported.Admitted - before.Admitted
 		}
-		b.others[process] = heardSpent{told, now}
+		b.peers[process] = peerUsage{reported, now}
 	}
 }
--- a/pkg/limit/limit_test.go
+++ b/pkg/limit/limit_test.go
@@ -15,10 +15,10 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// offered runs entries for a time with the given requests a second at each and
-// returns how many were admitted in the second half, a second. Every entry is
-// told the total demand with a lag of two seconds.
-func offered(perEntry []float64, rate float64, told bool) float64 {
+// admittedRate runs entries for 60 s with the given requests per second at each, and returns
+// the requests per second admitted in the second half. If exchange is set, every entry gets
+// the total demand with a lag of two seconds.
+func admittedRate(perEntry []float64, rate float64, exchange bool) float64 {
 	entries := make([]*limit.RateLimiter, len(perEntry))
 	credit := make([]float64, len(perEntry))
 	for i := range entries {
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		if told && at%time.Second == 0 {
+		if exchange && at%time.Second == 0 {
 			total := 0.0
 			for _, e := range entries {
 				for _, d := range e.Demands(now) {
@@ -56,8 +56,8 @@
 	return float64(admitted) / (seconds / 2)
 }
 
-// TestRateIsHeldOverAllEntries compares shares that follow demand with fixed
-// even ones, the naive version, for demand spread evenly and not.
+// TestRateIsHeldOverAllEntries compares shares that follow demand with fixed even ones, the
+// naive version, for even and uneven demand.
 func TestRateIsHeldOverAllEntries(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -72,19 +72,19 @@
 		{"nine entries, uneven", []float64{40, 20, 20, 10, 5, 5, 1, 1, 1}, 60, 60},
 	}
 	for _, c := range cases {
-		got := offered(c.perEntry, c.rate, true)
-		naive := offered(c.perEntry, c.rate, false)
-		t.Logf("%s: %.1f a second, naive %.1f, want %.1f", c.name, got, naive, c.want)
+		got := admittedRate(c.perEntry, c.rate, true)
+		naive := admittedRate(c.perEntry, c.rate, false)
+		t.Logf("%s: %.1f requests/s, naive version %.1f, want %.1f", c.name, got, naive, c.want)
 		if math.Abs(got-c.want) > 0.1*c.want {
-			t.Errorf("%s: got %.1f a second, want %.1f within 10%%", c.name, got, c.want)
+			t.Errorf("%s: got %.1f requests/s, want %.1f within 10%%", c.name, got, c.want)
 		}
 	}
-	if naive := offered([]float64{90, 0, 0}, 60, false); naive > 25 {
-		t.Errorf("naive version: got %.1f, want it to fail here, or this test shows nothing", naive)
+	if naive := admittedRate([]float64{90, 0, 0}, 60, false); naive > 25 {
+		t.Errorf("naive version: got %.1f requests/s, want at most 25, or this test does not distinguish the versions", naive)
 	}
 }
 
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRejectionHasRetryTime(t *testing.T) {
 	r := limit.NewRateLimiter()
 	team := limit.TeamLimit{Name: "t", Rate: 2, Burst: 1}
 	if ok, _ := r.Allow(team, 1, start); !ok {
@@ -92,42 +92,42 @@
 	}
 	ok, after := r.Allow(team, 1, start)
 	if ok || after != 500*time.Millisecond {
-		t.Fatalf("got %v after %v, want a refusal with 500ms", ok, after)
+		t.Fatalf("second request: got admitted %v, retry after %v, want a rejection with 500ms", ok, after)
 	}
 	if ok, _ := r.Allow(team, 1, start.Add(after)); !ok {
-		t.Error("after the time told: want it admitted")
+		t.Error("after the retry time: want it admitted")
 	}
 }
 
-// TestLargeTeamDoesNotStarveASmallOne floods a gate by one team and lets
-// another with the same weight ask now and then.
+// TestLargeTeamDoesNotStarveASmallOne floods a limiter with the requests of one team, while
+// another team of the same weight sends one from time to time.
 func TestLargeTeamDoesNotStarveASmallOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewConcurrencyLimiter(4)
+		limiter := limit.NewConcurrencyLimiter(4)
 		var mu sync.Mutex
 		waits := map[string][]time.Duration{}
 		var wait sync.WaitGroup
-		ask := func(team string) {
+		acquire := func(team string) {
 			wait.Go(func() {
-				begun := time.Now()
-				ticket, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: team, Weight: 1}, begun)
+				began := time.Now()
+				permit, err := limiter.Acquire(context.Background(), limit.PermitRequest{Team: team, Weight: 1}, began)
 				if err != nil {
 					t.Error(err)
 					return
 				}
 				mu.Lock()
-				waits[team] = append(waits[team], time.Since(begun))
+				waits[team] = append(waits[team], time.Since(began))
 				mu.Unlock()
 				time.Sleep(100 * time.Millisecond)
-				ticket.Release(time.Now())
+				permit.Release(time.Now())
 			})
 		}
 		for range 400 {
-			ask("large")
+			acquire("large")
 		}
 		for range 10 {
 			time.Sleep(200 * time.Millisecond)
-			ask("small")
+			acquire("small")
 		}
 		wait.Wait()
 		for _, w := range waits["small"] {
@@ -138,10 +138,10 @@
 	})
 }
 
-// TestWeightsShareThePlaces has two teams ask for more than there is.
-func TestWeightsShareThePlaces(t *testing.T) {
+// TestPermitsAreSharedByWeight has two teams request more permits than there are.
+func TestPermitsAreSharedByWeight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewConcurrencyLimiter(3)
+		limiter := limit.NewConcurrencyLimiter(3)
 		counts := map[string]int{}
 		var mu sync.Mutex
 		ctx, cancel := context.WithCancel(context.Background())
@@ -149,7 +149,7 @@
 			for range 50 {
 				go func() {
 					for {
-						ticket, err := gate.Acquire(ctx, limit.PermitRequest{Team: team, Weight: weight}, time.Now())
+						permit, err := limiter.Acquire(ctx, limit.PermitRequest{Team: team, Weight: weight}, time.Now())
 						if err != nil {
 							return
 						}
@@ -157,114 +157,115 @@
 						counts[team]++
 						mu.Unlock()
 						time.Sleep(10 * time.Millisecond)
-						ticket.Release(time.Now())
+						permit.Release(time.Now())
 					}
 				}()
 			}
 		}
 		time.Sleep(20 * time.Second)
 		cancel()
-		time.Sleep(time.Second) // Those that hold a place let go of it.
+		time.Sleep(time.Second) // The holders release their permits.
 		mu.Lock()
 		defer mu.Unlock()
 		ratio := float64(counts["b"]) / float64(counts["a"])
 		if ratio < 2.8 || ratio > 3.2 {
-			t.Errorf("got %d and %d, want the ratio of their weights, 3", counts["a"], counts["b"])
+			t.Errorf("permits: got %d for b and %d for a, want the ratio of their weights, 3", counts["a"], counts["b"])
 		}
 	})
 }
 
-func TestLostDeadlineIsRefusedAtOnce(t *testing.T) {
+func TestMissedDeadlineIsRejectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewConcurrencyLimiter(1)
+		limiter := limit.NewConcurrencyLimiter(1)
 		now := time.Now()
-		ticket, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "a"}, now)
+		permit, err := limiter.Acquire(context.Background(), limit.PermitRequest{Team: "a"}, now)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 20 {
 			go func() {
-				ticket, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: fmt.Sprint(i)}, now)
+				permit, err := limiter.Acquire(context.Background(), limit.PermitRequest{Team: fmt.Sprint(i)}, now)
 				if err == nil {
-					ticket.Release(time.Now())
+					permit.Release(time.Now())
 				}
 			}()
 		}
 		synctest.Wait()
-		begun := time.Now()
-		_, err = gate.Acquire(context.Background(), limit.PermitRequest{Team: "z", Deadline: now.Add(time.Second)}, now)
+		began := time.Now()
+		_, err = limiter.Acquire(context.Background(), limit.PermitRequest{Team: "z", Deadline: now.Add(time.Second)}, now)
 		var late limit.DeadlineError
 		if !errors.As(err, &late) || late.RetryAfter <= 0 {
-			t.Errorf("got %v, want TooLate with the time to come back", err)
+			t.Errorf("got %v, want a DeadlineError with a retry time", err)
 		}
-		if took := time.Since(begun); took != 0 {
-			t.Errorf("refused after %v, want at once", took)
+		if took := time.Since(began); took != 0 {
+			t.Errorf("rejected after %v, want at once", took)
 		}
-		ticket.Release(time.Now())
+		permit.Release(time.Now())
 	})
 }
 
-// TestWorkThatCanWaitLeavesRoom fills a gate with such work and lets a caller
-// come; when the gate is full, one of them is asked to yield.
-func TestWorkThatCanWaitLeavesRoom(t *testing.T) {
+// TestWorkThatMayWaitLeavesPermitsFree fills a limiter with work that may wait and then with
+// requests of callers. When no permit is left for a caller, one of the former is asked to
+// yield.
+func TestWorkThatMayWaitLeavesPermitsFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewConcurrencyLimiter(10)
+		limiter := limit.NewConcurrencyLimiter(10)
 		yielded := 0
-		var tickets []limit.Permit
+		var permits []limit.Permit
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		for {
-			ticket, err := gate.Acquire(ctx, limit.PermitRequest{Team: "a", MayWait: true, Yield: func() bool { yielded++; return true }}, time.Now())
+			permit, err := limiter.Acquire(ctx, limit.PermitRequest{Team: "a", MayWait: true, Yield: func() bool { yielded++; return true }}, time.Now())
 			if err != nil {
 				break
 			}
-			tickets = append(tickets, ticket)
+			permits = append(permits, permit)
 		}
-		if len(tickets) < 1 || len(tickets) > 5 {
-			t.Errorf("places of work that can wait: got %d of 10, want at most half", len(tickets))
+		if len(permits) < 1 || len(permits) > 5 {
+			t.Errorf("permits of work that may wait: got %d of 10, want 1 to 5", len(permits))
 		}
-		for range 10 - len(tickets) {
-			if _, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "b"}, time.Now()); err != nil {
+		for range 10 - len(permits) {
+			if _, err := limiter.Acquire(context.Background(), limit.PermitRequest{Team: "b"}, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		got := make(chan error)
 		go func() {
-			_, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "b"}, time.Now())
+			_, err := limiter.Acquire(context.Background(), limit.PermitRequest{Team: "b"}, time.Now())
 			got <- err
 		}()
 		synctest.Wait()
 		if yielded != 1 {
-			t.Errorf("asked to yield: got %d, want 1", yielded)
+			t.Errorf("requests to yield: got %d, want 1", yielded)
 		}
-		tickets[len(tickets)-1].Release(time.Now())
+		permits[len(permits)-1].Release(time.Now())
 		if err := <-got; err != nil {
-			t.Errorf("after the place was given up: got %v, want it", err)
+			t.Errorf("after the release of a permit: got %v, want a permit", err)
 		}
 	})
 }
 
-// TestPlaceOfOneThatDeclinesIsAskedOfAnother fills a gate with work that can
-// wait, of which the latest is between two attempts and can't yield.
-func TestPlaceOfOneThatDeclinesIsAskedOfAnother(t *testing.T) {
+// TestDeclinedYieldIsRequestedOfTheNext fills a limiter with work that may wait, the latest
+// of which is between two attempts and cannot yield.
+func TestDeclinedYieldIsRequestedOfTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := limit.NewConcurrencyLimiter(10)
+		limiter := limit.NewConcurrencyLimiter(10)
 		var asked []int
 		for i := range 3 {
 			yield := func() bool {
 				asked = append(asked, i)
 				return i != 2
 			}
-			if _, err := gate.Acquire(context.Background(), limit.PermitRequest{Team: "a", MayWait: true, Yield: yield}, time.Now()); err != nil {
+			if _, err := limiter.Acquire(context.Background(), limit.PermitRequest{Team: "a", MayWait: true, Yield: yield}, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
-		gate.SetCapacity(3)
+		limiter.SetCapacity(3)
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { _, _ = gate.Acquire(ctx, limit.PermitRequest{Team: "b"}, time.Now()) }()
+		go func() { _, _ = limiter.Acquire(ctx, limit.PermitRequest{Team: "b"}, time.Now()) }()
 		synctest.Wait()
 		if got := fmt.Sprint(asked); got != "[2 1]" {
-			t.Errorf("asked to yield: got %s, want the latest, which declines, and then the one before", got)
+			t.Errorf("requests to yield: got %s, want [2 1]: the latest, which declines, and then the one before", got)
 		}
 		cancel()
 		synctest.Wait()
--- a/pkg/limit/place.go
+++ b/pkg/limit/place.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// PermitHolder is one request's place at a gate, to be entered, left and entered anew.
-// It is not safe for concurrent use.
+// PermitHolder acquires and releases the permit of one request, repeatedly if needed. It is
+// not safe for concurrent use.
 type PermitHolder struct {
-	gate   *ConcurrencyLimiter
-	ask    PermitRequest
-	ticket Permit
-	held   bool
+	limiter *ConcurrencyLimiter
+	request PermitRequest
+	permit  Permit
+	held    bool
 }
 
-// NewPermitHolder returns a place that is not held yet.
-func NewPermitHolder(gate *ConcurrencyLimiter, ask PermitRequest) *PermitHolder {
-	return &PermitHolder{gate: gate, ask: ask}
+// NewPermitHolder returns a holder without a permit.
+func NewPermitHolder(limiter *ConcurrencyLimiter, request PermitRequest) *PermitHolder {
+	return &PermitHolder{limiter: limiter, request: request}
 }
 
-// Acquire waits for the place; see Gate.Acquire.
-func (p *PermitHolder) Acquire(ctx context.Context) error {
-	ticket, err := p.gate.Acquire(ctx, p.ask, time.Now())
-	p.ticket, p.held = ticket, err == nil
+// Acquire waits for the permit; see ConcurrencyLimiter.Acquire.
+func (h *PermitHolder) Acquire(ctx context.Context) error {
+	permit, err := h.limiter.Acquire(ctx, h.request, time.Now())
+	h.permit, h.held = permit, err == nil
 	return err
 }
 
-// Release gives the place up; one that is not held is left alone.
-func (p *PermitHolder) Release() {
-	if p.held {
-		p.ticket.Release(time.Now())
-		p.held = false
+// Release releases the permit, if it is held.
+func (h *PermitHolder) Release() {
+	if h.held {
+		h.permit.Release(time.Now())
+		h.held = false
 	}
 }
 
-// Reacquire gives the place up and queues for another one.
-func (p *PermitHolder) Reacquire(ctx context.Context) error {
-	p.Release()
-	return p.Acquire(ctx)
+// Reacquire releases the permit and queues for another one.
+func (h *PermitHolder) Reacquire(ctx context.Context) error {
+	h.Release()
+	return h.Acquire(ctx)
 }
--- a/pkg/limit/rate.go
+++ b/pkg/limit/rate.go
@@ -1,7 +1,6 @@
-// Package limit holds teams to their rates and shares out capacity when there
-// is not enough. The rates are held over all entry hosts without a central
-// counter: each entry enforces its share of a team's rate, and shares follow
-// the demand that entries tell one another.
+// Package limit enforces the rates of teams and shares out capacity when there is not
+// enough. Rates hold over all entry hosts without a central counter: each entry enforces its
+// share of a team's rate, and shares follow the demand that entries report to each other.
 package limit
 
 import (
@@ -12,18 +11,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Parameters of the rates.
+// Parameters of the rate limiter.
 const (
-	// rateShards is how many locks the teams are spread over.
+	// rateShards is the number of locks that the teams are spread over.
 	rateShards = 16
-	// demandTime is how far back demand is averaged.
-	demandTime = 5 * time.Second
-	// leastShare is the part of an even share that an entry always has, so that
-	// a caller who changes entries is served before the news has spread.
-	leastShare = 0.25
+	// demandWindow is the time constant of the average of the demand.
+	demandWindow = 5 * time.Second
+	// minShareOfEven is the part of an even share that an entry always has, so that a caller
+	// who moves to another entry is served before the entries have exchanged their demand.
+	minShareOfEven = 0.25
 )
 
-// RateLimiter enforces this entry's shares. It is safe for concurrent use.
+// RateLimiter enforces this entry's shares of the teams' rates. It is safe for concurrent
+// use.
 type RateLimiter struct {
 	shards [rateShards]rateShard
 }
@@ -33,19 +33,19 @@
 	teams map[string]*bucket
 }
 
-// bucket is one team's state here.
+// bucket is a team's token bucket at this entry.
 type bucket struct {
-	tokens float64
-	at     time.Time
-	// demand is requests a second asked for here, admitted or not.
+	tokens     float64
+	refilledAt time.Time
+	// demand is the requests per second received here, admitted or not.
 	demand   float64
 	demandAt time.Time
-	// total is the demand over all entries as last told, 0 if not known.
-	total   float64
-	totalAt time.Time
+	// totalDemand is the latest demand over all entries, 0 if not known.
+	totalDemand   float64
+	totalDemandAt time.Time
 }
 
-// NewRateLimiter returns rates without any team.
+// NewRateLimiter returns a rate limiter without any team.
 func NewRateLimiter() *RateLimiter {
 	r := &RateLimiter{}
 	for i := range r.shards {
@@ -54,33 +54,33 @@
 	return r
 }
 
-// TeamLimit is a team's configured limits.
+// TeamLimit is the configured limit of a team.
 type TeamLimit struct {
 	Name string
-	// Rate and Burst are over all entries.
+	// Rate and Burst hold over all entries.
 	Rate, Burst float64
 }
 
-// totalKept is how long a total told by peers is believed.
-const totalKept = 20 * time.Second
+// totalDemandTTL is how long a total demand is used after it was received.
+const totalDemandTTL = 20 * time.Second
 
-// Allow admits one request of a team or says after how long to come back.
-// entries is how many entry hosts serve at present, at least 1.
+// Allow admits one request of a team, or returns the time after which to retry. entries is
+// the number of entry hosts that serve at present, at least 1.
 func (r *RateLimiter) Allow(team TeamLimit, entries int, now time.Time) (bool, time.Duration) {
 	s := r.shard(team.Name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.teams[team.Name]
 	if !ok {
-		b = &bucket{tokens: team.Burst, at: now, demandAt: now}
+		b = &bucket{tokens: team.Burst, refilledAt: now, demandAt: now}
 		s.teams[team.Name] = b
 	}
-	b.ask(now)
+	b.countRequest(now)
 	share := b.share(team.Rate, entries, now)
 	burst := max(1, team.Burst*share)
 	rate := team.Rate * share
-	b.tokens = min(burst, b.tokens+now.Sub(b.at).Seconds()*rate)
-	b.at = now
+	b.tokens = min(burst, b.tokens+now.Sub(b.refilledAt).Seconds()*rate)
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false, time.Duration((1 - b.tokens) / rate * float64(time.Second))
 	}
@@ -92,52 +92,52 @@
 	return &r.shards[xxhash.Sum64String(team)%rateShards]
 }
 
-// ask adds one request to the averaged demand.
-func (b *bucket) ask(now time.Time) {
-	b.fade(now)
-	b.demand += 1 / demandTime.Seconds()
+// countRequest adds one request to the average demand.
+func (b *bucket) countRequest(now time.Time) {
+	b.decayDemand(now)
+	b.demand += 1 / demandWindow.Seconds()
 }
 
-func (b *bucket) fade(now time.Time) {
+func (b *bucket) decayDemand(now time.Time) {
 	elapsed := now.Sub(b.demandAt)
 	if elapsed <= 0 {
 		return
 	}
-	b.demand *= math.Exp(-float64(elapsed) / float64(demandTime))
+	b.demand *= math.Exp(-float64(elapsed) / float64(demandWindow))
 	b.demandAt = now
 }
 
-// share is this entry's part of the team's rate. While all entries together
-// ask for less than the rate, nobody is in another's way and idle share is
-// lent: the entry may use all the others leave. Above it, shares follow demand.
+// share returns this entry's part of the team's rate. While the total demand is below the
+// rate, the entry may use all that the others leave. Above it, shares are proportional to the
+// entries' demand.
 func (b *bucket) share(rate float64, entries int, now time.Time) float64 {
 	even := 1 / float64(max(entries, 1))
-	if b.total <= 0 || now.Sub(b.totalAt) > totalKept {
+	if b.totalDemand <= 0 || now.Sub(b.totalDemandAt) > totalDemandTTL {
 		return even
 	}
-	others := max(b.total-b.demand, 0)
+	others := max(b.totalDemand-b.demand, 0)
 	if others+b.demand <= rate {
-		return max((rate-others)/rate, even*leastShare)
+		return max((rate-others)/rate, even*minShareOfEven)
 	}
-	return max(b.demand/(others+b.demand), even*leastShare)
+	return max(b.demand/(others+b.demand), even*minShareOfEven)
 }
 
 // Demand is one team's demand at one entry.
 type Demand struct {
 	Team string
-	// PerSecond is requests asked for a second.
+	// PerSecond is the requests per second, admitted or not.
 	PerSecond float64
 }
 
-// Demands returns the teams asked for here, for the peers. Teams that ask for
-// next to nothing are left out.
+// Demands returns the demand of each team at this entry, to be sent to the peers. Teams with
+// less than 0.05 requests per second are left out.
 func (r *RateLimiter) Demands(now time.Time) []Demand {
 	var list []Demand
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.Lock()
 		for name, b := range s.teams {
-			b.fade(now)
+			b.decayDemand(now)
 			if b.demand >= 0.05 {
 				list = append(list, Demand{name, b.demand})
 			}
@@ -147,7 +147,8 @@
 	return list
 }
 
-// SetTotalDemand takes in a team's demand over all entries.
+// SetTotalDemand sets a team's demand over all entries, in requests per second. It has no
+// effect on a team without requests at this entry.
 func (r *RateLimiter) SetTotalDemand(team string, perSecond float64, now time.Time) {
 	s := r.shard(team)
 	s.mu.Lock()
@@ -156,6 +157,6 @@
 	if !ok {
 		return
 	}
-	b.total = perSecond
-	b.totalAt = now
+	b.totalDemand = perSecond
+	b.totalDemandAt = now
 }
