--- a/pkg/rollout/count.go
+++ b/pkg/rollout/count.go
@@ -8,20 +8,21 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Attempt is one request under way at an endpoint. Its fields are guarded by its service.
+// Attempt is an attempt of a request that is in progress at an endpoint. Its fields are guarded by
+// its service's lock.
 type Attempt struct {
 	service string
 	info    endpoint.Info
 	kind    Kind
-	// expected is how long the answer should take, a second where that is not reckoned.
-	expected time.Duration
-	began    time.Time
-	answered bool
+	// expected is how long the answer should take; one second if there is no estimate.
+	expected  time.Duration
+	startedAt time.Time
+	answered  bool
 }
 
-// StartAttempt notes that a request goes to an endpoint. expected is how long its answer, or a
-// stream's first event, should take; 0 where that is not reckoned. Every Send must be
-// ended with End. It is nil where no roll-outs are ordered.
+// StartAttempt records that a request is sent to an endpoint. expected is the estimated time until
+// its answer, or until the first event of a stream; 0 if there is no estimate. Every attempt must
+// be ended with FinishAttempt. It is nil if roll-outs are disabled.
 func (s *Splitter) StartAttempt(name string, info *endpoint.Info, kind Kind, expected time.Duration, now time.Time) *Attempt {
 	if !s.bounds.Enabled() {
 		return nil
@@ -29,124 +30,127 @@
 	if expected <= 0 {
 		expected = time.Second
 	}
-	send := &Attempt{service: name, info: *info, kind: kind, expected: expected, began: now}
-	v := s.of(name)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.running[info.Release]++
-	if d := v.order; d != nil && info.Release == d.order.Target {
-		d.tried++
-		d.pending[send] = struct{}{}
+	attempt := &Attempt{service: name, info: *info, kind: kind, expected: expected, startedAt: now}
+	svc := s.getOrCreate(name)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	svc.inFlight[info.Release]++
+	if state := svc.current; state != nil && info.Release == state.order.Target {
+		state.targetRequests++
+		state.pending[attempt] = struct{}{}
 	}
-	return send
+	return attempt
 }
 
-// FinishAttempt notes that a send runs no longer.
-func (s *Splitter) FinishAttempt(send *Attempt, now time.Time) {
-	if send == nil {
+// FinishAttempt records that an attempt is no longer in progress.
+func (s *Splitter) FinishAttempt(attempt *Attempt, now time.Time) {
+	if attempt == nil {
 		return
 	}
-	v := s.of(send.service)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	release := send.info.Release
-	if v.running[release] > 1 {
-		v.running[release]--
+	svc := s.getOrCreate(attempt.service)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	release := attempt.info.Release
+	if svc.inFlight[release] > 1 {
+		svc.inFlight[release]--
 	} else {
-		delete(v.running, release)
+		delete(svc.inFlight, release)
 	}
-	if d := v.order; d != nil {
-		delete(d.pending, send)
-		if release == d.order.Target {
+	if state := svc.current; state != nil {
+		delete(state.pending, attempt)
+		if release == state.order.Target {
 			return
 		}
 	}
-	if took := now.Sub(send.began); took >= v.longest || now.Sub(v.longAt) > longestKept {
-		v.longest, v.longAt = took, now
+	if took := now.Sub(attempt.startedAt); took >= svc.longestOther || now.Sub(svc.longestOtherAt) > longestOtherTTL {
+		svc.longestOther, svc.longestOtherAt = took, now
 	}
 }
 
-// RecordAnswer takes in that an endpoint has answered, or that a stream's first event has
-// come.
-func (s *Splitter) RecordAnswer(send *Attempt, failed bool, now time.Time) {
-	if send == nil {
+// RecordAnswer records that an endpoint has answered, or that the first event of a stream has
+// arrived.
+func (s *Splitter) RecordAnswer(attempt *Attempt, failed bool, now time.Time) {
+	if attempt == nil {
 		return
 	}
-	v := s.of(send.service)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	send.answered = true
-	if d := v.watching(); d != nil {
-		d.tally(send.kind, d.isTarget(send), send.info.ID, failed)
+	svc := s.getOrCreate(attempt.service)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	attempt.answered = true
+	if state := svc.inProgress(); state != nil {
+		state.tally(attempt.kind, state.isTarget(attempt), attempt.info.ID, failed)
 	}
 	if !failed {
-		v.took(send, send.kind.time(), now.Sub(send.began).Seconds()/send.expected.Seconds(), now)
+		svc.recordDuration(attempt, attempt.kind.durationKind(), now.Sub(attempt.startedAt).Seconds()/attempt.expected.Seconds(), now)
 	}
 }
 
-// RecordStream takes in how a stream went on after its first event: how many times as long
-// between its events as was expected, 0 where that was not measured.
-func (s *Splitter) RecordStream(send *Attempt, times float64, failed bool, now time.Time) {
-	if send == nil {
+// RecordStream records how a stream continued after its first event. slowdown is the interval
+// between its events divided by the expected one, 0 if it was not measured.
+func (s *Splitter) RecordStream(attempt *Attempt, slowdown float64, failed bool, now time.Time) {
+	if attempt == nil {
 		return
 	}
-	v := s.of(send.service)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	kind := send.kind.stream()
-	if d := v.watching(); d != nil {
-		d.tally(kind, d.isTarget(send), send.info.ID, failed)
+	svc := s.getOrCreate(attempt.service)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	kind := attempt.kind.streamKind()
+	if state := svc.inProgress(); state != nil {
+		state.tally(kind, state.isTarget(attempt), attempt.info.ID, failed)
 	}
-	if !failed && times > 0 {
-		v.took(send, kind.time(), times, now)
+	if !failed && slowdown > 0 {
+		svc.recordDuration(attempt, kind.durationKind(), slowdown, now)
 	}
 }
 
-// watching returns the order whose evidence is collected, nil for none. The lock is
-// held.
-func (v *service) watching() *split {
-	if v.order == nil || v.order.phase.Ended() {
+// inProgress returns the order for which evidence is collected, nil if there is none. The caller
+// holds the lock.
+func (svc *service) inProgress() *orderState {
+	if svc.current == nil || svc.current.phase.Ended() {
 		return nil
 	}
-	return v.order
+	return svc.current
 }
 
-func (d *split) isTarget(send *Attempt) bool { return send.info.Release == d.order.Target }
+func (state *orderState) isTarget(attempt *Attempt) bool {
+	return attempt.info.Release == state.order.Target
+}
 
-// took takes in how long an answer took. Endpoints that have just started and are slow
-// for it show nothing of their version's speed. The lock is held.
-func (v *service) took(send *Attempt, kind Kind, value float64, now time.Time) {
-	if send.info.Cold {
+// recordDuration records how long an answer took. Endpoints that are slow because they have just
+// started are ignored, since they say nothing about the speed of their version. The caller holds
+// the lock.
+func (svc *service) recordDuration(attempt *Attempt, kind Kind, value float64, now time.Time) {
+	if attempt.info.Cold {
 		return
 	}
-	d := v.watching()
-	r := v.referenceOf(kind)
-	r.turn(now)
-	bound, known := v.slow(kind, r)
-	if d == nil || !d.isTarget(send) {
+	state := svc.inProgress()
+	r := svc.baselineOf(kind)
+	r.rotate(now)
+	threshold, known := svc.slowThreshold(kind, r)
+	if state == nil || !state.isTarget(attempt) {
 		r.add(value, now)
 	}
-	if d != nil && known {
-		d.tally(kind, d.isTarget(send), send.info.ID, value > bound)
+	if state != nil && known {
+		state.tally(kind, state.isTarget(attempt), attempt.info.ID, value > threshold)
 	}
 }
 
-// time is the kind of how long the answers of a kind take, stream that of how its
-// streams go on after their first event.
-func (k Kind) time() Kind { return k ^ 1 }
+// durationKind returns the kind for the duration of the answers of a kind, streamKind the kind for
+// its streams after their first event.
+func (k Kind) durationKind() Kind { return k ^ 1 }
 
-func (k Kind) stream() Kind { return k ^ 2 }
+func (k Kind) streamKind() Kind { return k ^ 2 }
 
-// slow returns the bound of a kind: this host's own, or that of all hosts while it has
-// too few answers. The lock is held.
-func (v *service) slow(kind Kind, r *reference) (bound float64, ok bool) {
-	if r.answers() >= referenceAnswers {
-		return r.slow()
+// slowThreshold returns the value above which answers of a kind are slow: this host's own, or that
+// of all hosts while this one has too few answers. The caller holds the lock.
+func (svc *service) slowThreshold(kind Kind, r *baseline) (threshold float64, ok bool) {
+	if r.answers() >= minBaselineAnswers {
+		return r.slowThreshold()
 	}
-	if v.order == nil {
+	if svc.current == nil {
 		return 0, false
 	}
-	for _, b := range v.order.directive.SlowThresholds {
+	for _, b := range svc.current.directive.SlowThresholds {
 		if b.Kind == kind {
 			return b.Value, true
 		}
@@ -154,39 +158,39 @@
 	return 0, false
 }
 
-func (v *service) referenceOf(kind Kind) *reference {
-	r, ok := v.references[kind]
+func (svc *service) baselineOf(kind Kind) *baseline {
+	r, ok := svc.baselines[kind]
 	if !ok {
-		r = &reference{}
-		v.references[kind] = r
+		r = &baseline{}
+		svc.baselines[kind] = r
 	}
 	return r
 }
 
-// Report returns what this host has counted for an order; ok is false where it does
-// not know the order.
+// Report returns what this host has counted for an order; the second result is false if the host
+// does not know the order.
 func (s *Splitter) Report(name string, order int64, now time.Time) (Report, bool) {
-	v := s.find(name)
-	if v == nil {
+	svc := s.find(name)
+	if svc == nil {
 		return Report{}, false
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
-	if d == nil || d.order.ID != order {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
+	if state == nil || state.order.ID != order {
 		return Report{}, false
 	}
 	r := Report{
-		Service: name, Order: order, Phase: d.phase, Epoch: d.directive.Epoch, Number: d.directive.Number,
-		Requests: d.asked, TargetRequests: d.tried, LongestOther: v.longest,
+		Service: name, Order: order, Phase: state.phase, Epoch: state.directive.Epoch, Number: state.directive.Number,
+		Requests: state.requests, TargetRequests: state.targetRequests, LongestOther: svc.longestOther,
 	}
-	for release, n := range v.running {
-		if release != d.order.Target {
+	for release, n := range svc.inFlight {
+		if release != state.order.Target {
 			r.OthersRunning += n
 		}
 	}
-	overdue := v.overdue(now)
-	for key, count := range d.tallies {
+	overdue := svc.overdue(now)
+	for key, count := range state.tallies {
 		sum := *count
 		sum.add(overdue[key])
 		delete(overdue, key)
@@ -195,9 +199,9 @@
 	for key, count := range overdue {
 		r.Tallies = append(r.Tallies, Tally{Kind: key.kind, Endpoint: key.endpoint, Count: count})
 	}
-	for kind, ref := range v.references {
-		if bound, ok := ref.slow(); ok {
-			r.SlowThresholds = append(r.SlowThresholds, SlowThreshold{Kind: kind, Value: bound, Answers: ref.answers()})
+	for kind, base := range svc.baselines {
+		if threshold, ok := base.slowThreshold(); ok {
+			r.SlowThresholds = append(r.SlowThresholds, SlowThreshold{Kind: kind, Value: threshold, Answers: base.answers()})
 		}
 	}
 	slices.SortFunc(r.SlowThresholds, func(a, b SlowThreshold) int { return cmp.Compare(a.Kind, b.Kind) })
@@ -207,18 +211,19 @@
 	return r, true
 }
 
-// overdue counts the target's sends that take longer already than is slow: slow answers
-// come last, and those that came alone would speak for the target. The lock is held.
-func (v *service) overdue(now time.Time) map[tallyKey]Count {
+// overdue counts the attempts at the target that are not answered yet and already take longer than
+// the slow threshold. Slow answers arrive last, so the answers alone would favour the target. The
+// caller holds the lock.
+func (svc *service) overdue(now time.Time) map[tallyKey]Count {
 	counts := map[tallyKey]Count{}
-	for send := range v.order.pending {
-		if send.answered || send.info.Cold {
+	for attempt := range svc.current.pending {
+		if attempt.answered || attempt.info.Cold {
 			continue
 		}
-		kind := send.kind.time()
-		bound, known := v.slow(kind, v.referenceOf(kind))
-		if known && now.Sub(send.began).Seconds()/send.expected.Seconds() > bound {
-			key := tallyKey{kind, v.order.placeOf(send.info.ID)}
+		kind := attempt.kind.durationKind()
+		threshold, known := svc.slowThreshold(kind, svc.baselineOf(kind))
+		if known && now.Sub(attempt.startedAt).Seconds()/attempt.expected.Seconds() > threshold {
+			key := tallyKey{kind, svc.current.tallyEndpoint(attempt.info.ID)}
 			c := counts[key]
 			c.add(Count{Answers: 1, Bad: 1})
 			counts[key] = c
@@ -227,63 +232,64 @@
 	return counts
 }
 
-// ObserveRelease notes the version of an endpoint before its first request can be sent. One that
-// was not there before gets nothing until an order for it is heard or its time to be
-// heard is over.
+// ObserveRelease records the version of an endpoint before the first request can be sent to it. A
+// version that was not present at start-up gets no requests until an order for it is received or
+// withholdTime has passed.
 func (s *Splitter) ObserveRelease(name, release string, now time.Time) {
 	if !s.bounds.Enabled() {
 		return
 	}
 	s.mu.RLock()
-	settled := s.settled
+	initialKnown := s.initialEndpointsKnown
 	s.mu.RUnlock()
-	v := s.of(name)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if _, known := v.releases[release]; known {
+	svc := s.getOrCreate(name)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	if _, known := svc.firstSeen[release]; known {
 		return
 	}
-	if !settled || len(v.releases) == 0 {
-		v.releases[release] = time.Time{}
+	if !initialKnown || len(svc.firstSeen) == 0 {
+		svc.firstSeen[release] = time.Time{}
 		return
 	}
-	v.releases[release] = now
-	v.unvetted = append(slices.Clone(v.unvetted), release)
-	v.rules()
+	svc.firstSeen[release] = now
+	svc.withheld = append(slices.Clone(svc.withheld), release)
+	svc.updateRules()
 }
 
-// UpdateEndpoints brings the split up to date with the endpoints that are known. fresh says that
-// the operator's rows are heard at the moment.
+// UpdateEndpoints applies the current list of endpoints. fresh is whether the operator's rows are
+// being received; new versions stay withheld while they are not.
 func (s *Splitter) UpdateEndpoints(infos []endpoint.Info, fresh bool, now time.Time) {
 	if !s.bounds.Enabled() {
 		return
 	}
 	s.mu.Lock()
-	s.settled = true
+	s.initialEndpointsKnown = true
 	s.mu.Unlock()
-	s.each(func(v *service) { v.vet(fresh, now) })
+	s.forEach(func(svc *service) { svc.endWithholding(fresh, now) })
 	for _, order := range s.OpenOrders() {
-		s.of(order.Service).survey(order, infos)
+		s.getOrCreate(order.Service).updateEndpoints(order, infos)
 	}
 }
 
-// vet lets versions pass whose order would have been heard by now. The lock is held.
-func (v *service) vet(fresh bool, now time.Time) {
-	if len(v.unvetted) == 0 {
+// endWithholding admits new versions whose order would have been received by now. The caller holds
+// the lock.
+func (svc *service) endWithholding(fresh bool, now time.Time) {
+	if len(svc.withheld) == 0 {
 		return
 	}
-	v.unvetted = slices.DeleteFunc(slices.Clone(v.unvetted), func(release string) bool {
-		return fresh && now.Sub(v.releases[release]) > vetTime
+	svc.withheld = slices.DeleteFunc(slices.Clone(svc.withheld), func(release string) bool {
+		return fresh && now.Sub(svc.firstSeen[release]) > withholdTime
 	})
-	v.rules()
+	svc.updateRules()
 }
 
-// survey looks which endpoints of the target are tried.
-func (v *service) survey(order Order, infos []endpoint.Info) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
-	if d == nil || d.order.ID != order.ID {
+// updateEndpoints updates the target's endpoints and selects those that are tried.
+func (svc *service) updateEndpoints(order Order, infos []endpoint.Info) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
+	if state == nil || state.order.ID != order.ID {
 		return
 	}
 	others := 0
@@ -294,14 +300,14 @@
 		case info.Service != order.Service || !info.Takes():
 		case info.Release == order.Target:
 			targets = append(targets, info)
-		case !slices.Contains(v.excluded, info.Release):
+		case !slices.Contains(svc.excluded, info.Release):
 			others++
 		}
 	}
-	if !d.surveyed {
-		d.surveyed, d.alone = true, others == 0 && d.inUse
+	if !state.endpointsKnown {
+		state.endpointsKnown, state.nothingToSplit = true, others == 0 && state.targetInUse
 	}
-	d.targets, d.otherCount = targets, others
-	d.tryAt()
-	v.rules()
+	state.targetEndpoints, state.otherEndpoints = targets, others
+	state.selectTrialEndpoints()
+	svc.updateRules()
 }
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -12,16 +12,16 @@
 type Evidence struct {
 	others map[Kind]Count
 	target map[Kind]map[string]Count
-	// before is what had been counted at earlier moments, the latest last: a version may
-	// turn bad.
-	before []*Evidence
-	// parts are values worked out before, by kind.
-	parts map[Kind][]float64
+	// snapshots is what had been counted at earlier times, the latest last: a version may turn bad
+	// later.
+	snapshots []*Evidence
+	// badRates caches the results of baselineBadRates by kind.
+	badRates map[Kind][]float64
 }
 
-// NewEvidence adds up tallies.
+// NewEvidence returns the sum of tallies.
 func NewEvidence(tallies ...Tally) Evidence {
-	e := Evidence{others: map[Kind]Count{}, target: map[Kind]map[string]Count{}, parts: map[Kind][]float64{}}
+	e := Evidence{others: map[Kind]Count{}, target: map[Kind]map[string]Count{}, badRates: map[Kind][]float64{}}
 	for _, t := range tallies {
 		e.add(t)
 	}
@@ -35,26 +35,26 @@
 		e.others[t.Kind] = c
 		return
 	}
-	at, ok := e.target[t.Kind]
+	byEndpoint, ok := e.target[t.Kind]
 	if !ok {
-		at = map[string]Count{}
-		e.target[t.Kind] = at
+		byEndpoint = map[string]Count{}
+		e.target[t.Kind] = byEndpoint
 	}
-	c := at[t.Endpoint]
+	c := byEndpoint[t.Endpoint]
 	c.add(t.Count)
-	at[t.Endpoint] = c
+	byEndpoint[t.Endpoint] = c
 }
 
-// Target returns the target's answers, those of endpoints in without left out.
-func (e *Evidence) Target(without ...string) Count {
+// Target returns the count of the target's answers without those of the excluded endpoints.
+func (e *Evidence) Target(excluded ...string) Count {
 	var sum Count
 	for kind := range e.target {
-		sum.add(e.at(kind, without))
+		sum.add(e.targetCount(kind, excluded))
 	}
 	return sum
 }
 
-// Others returns the answers of the other versions.
+// Others returns the count of the other versions' answers.
 func (e *Evidence) Others() Count {
 	var sum Count
 	for _, c := range e.others {
@@ -63,17 +63,17 @@
 	return sum
 }
 
-func (e *Evidence) at(kind Kind, without []string) Count {
+func (e *Evidence) targetCount(kind Kind, excluded []string) Count {
 	var sum Count
 	for endpoint, c := range e.target[kind] {
-		if !slices.Contains(without, endpoint) {
+		if !slices.Contains(excluded, endpoint) {
 			sum.add(c)
 		}
 	}
 	return sum
 }
 
-// kinds returns the kinds of which the target has answers, in order.
+// kinds returns the kinds of which the target has answers, sorted.
 func (e *Evidence) kinds() []Kind {
 	var list []Kind
 	for kind := range e.target {
@@ -83,13 +83,13 @@
 	return list
 }
 
-// worst returns the endpoint of the target with the most bad answers, empty where only
-// one has answered.
-func (e *Evidence) worst(without []string) string {
+// worstEndpoint returns the endpoint of the target with the most bad answers, empty if fewer than
+// two endpoints that are not excluded have answered.
+func (e *Evidence) worstEndpoint(excluded []string) string {
 	bad := map[string]int{}
-	for _, at := range e.target {
-		for endpoint, c := range at {
-			if endpoint != manyEndpoints && !slices.Contains(without, endpoint) {
+	for _, byEndpoint := range e.target {
+		for endpoint, c := range byEndpoint {
+			if endpoint != allEndpoints && !slices.Contains(excluded, endpoint) {
 				bad[endpoint] += c.Bad
 			}
 		}
@@ -106,192 +106,198 @@
 	return worst
 }
 
-// Finding is what speaks most against the target.
+// Finding is the result of a test with the counts that weigh most against the target.
 type Finding struct {
-	// Kind is the kind of answer, 0 for all together.
+	// Kind is the kind of answer, 0 for all kinds together.
 	Kind           Kind
 	Target, Others Count
-	// BayesFactor is how many times likelier the counts are if the target is bad, Threshold from
-	// where on it is taken for bad.
+	// BayesFactor is how many times likelier the counts are if the target is bad. From Threshold
+	// on, the target is considered bad.
 	BayesFactor, Threshold float64
 }
 
-// Bad reports whether the target is taken for bad.
+// Bad reports whether the target is considered bad.
 func (f Finding) Bad() bool { return f.BayesFactor >= f.Threshold }
 
-// String is the finding for a line and for operators.
+// String formats the finding for log lines and for operators.
 func (f Finding) String() string {
-	what := "all routes"
+	label := "all routes"
 	if f.Kind != 0 {
-		what = fmt.Sprintf("kind %08x", uint32(f.Kind))
+		label = fmt.Sprintf("kind %08x", uint32(f.Kind))
 	}
 	return fmt.Sprintf("%s: %d of %d answers of the target bad, %d of %d of the others; odds %.3g of %.3g",
-		what, f.Target.Bad, f.Target.Answers, f.Others.Bad, f.Others.Answers, f.BayesFactor, f.Threshold)
+		label, f.Target.Bad, f.Target.Answers, f.Others.Bad, f.Others.Answers, f.BayesFactor, f.Threshold)
 }
 
-// BayesTest weighs what a wrong decision costs: at any time by the price of going on, and
-// at the last moment by that of completing a bad version.
+// BayesTest decides whether a version is bad from the Bayes factor and the cost of a wrong
+// decision: at any time the cost of continuing, and at the final decision that of completing a bad
+// version.
 type BayesTest struct {
-	// PriorBad is the part of the versions that are bad.
+	// PriorBad is the fraction of versions that are bad.
 	PriorBad float64
-	// ContinueCost is the price of trying a bad version on, ExposedCost the same while it has more
-	// than it may have in the end, CompletionCost of completing it, SmallCompletionCost of that where too few
-	// requests are left for it to get more than it may; all in prices of a revert of a
-	// good one.
+	// The costs are multiples of the cost of reverting a good version. ContinueCost is for
+	// continuing to try a bad version, ExposedCost for the same while its share is above the one
+	// allowed in the end, CompletionCost for completing it, and SmallCompletionCost for completing
+	// it when too few requests are left for it to exceed the allowed number.
 	ContinueCost, ExposedCost, CompletionCost, SmallCompletionCost float64
 }
 
-// DecisionPoint is when a version is judged, which decides on what a mistake costs.
+// DecisionPoint is when a version is tested, which determines the cost of a wrong decision.
 type DecisionPoint int
 
-// The moments.
+// The decision points.
 const (
-	// DuringTrial is any time while the target is tried, Raised while it has a higher share.
+	// DuringTrial is any time while the target is tried, DuringRamp any time while it has a higher
+	// share.
 	DuringTrial DecisionPoint = iota
 	DuringRamp
-	// FinalDecision is when it takes all requests unless it is taken for bad, LastOfFew the same
-	// where a bad version would not get more than it may.
+	// FinalDecision is when the target gets all requests unless it is considered bad,
+	// FinalDecisionLowTraffic the same if a bad version would not exceed the allowed number of
+	// requests.
 	FinalDecision
 	FinalDecisionLowTraffic
 )
 
-func (w BayesTest) price(m DecisionPoint) float64 {
-	switch m {
+func (t BayesTest) cost(point DecisionPoint) float64 {
+	switch point {
 	case DuringRamp:
-		return w.ExposedCost
+		return t.ExposedCost
 	case FinalDecision:
-		return w.CompletionCost
+		return t.CompletionCost
 	case FinalDecisionLowTraffic:
-		return w.SmallCompletionCost
+		return t.SmallCompletionCost
 	default:
-		return w.ContinueCost
+		return t.ContinueCost
 	}
 }
 
-// Evaluate returns what speaks most against the target with some of its endpoints left
-// out.
-func (w BayesTest) Evaluate(e *Evidence, without []string, m DecisionPoint) Finding {
-	f := e.odds(without)
-	f.Threshold = (1 - w.PriorBad) / (w.PriorBad * w.price(m))
+// Evaluate tests the target without the excluded endpoints.
+func (t BayesTest) Evaluate(e *Evidence, excluded []string, point DecisionPoint) Finding {
+	f := e.bayesFactor(excluded)
+	f.Threshold = (1 - t.PriorBad) / (t.PriorBad * t.cost(point))
 	return f
 }
 
-// odds is how many times likelier the counts are if the target is bad: on all routes or
-// on one that is not known before, from the start or from a moment that is not. Each
-// part expects to be 1 for a good version, and so does their mean.
-func (e *Evidence) odds(without []string) Finding {
-	f := e.oddsSince(nil, without)
-	whole, later, moments := f.BayesFactor, 0.0, 0.0
-	for _, before := range e.before {
-		since := e.oddsSince(before, without)
-		if since.Target.Answers < momentAnswers {
+// bayesFactor returns how many times likelier the counts are if the target is bad. It is the mean
+// over the ways in which a version can be bad: on all routes or on one that is not known in
+// advance, from the start or from an unknown later time. Each part has an expected value of 1 for a
+// good version, and so has the mean.
+func (e *Evidence) bayesFactor(excluded []string) Finding {
+	f := e.bayesFactorSince(nil, excluded)
+	sinceStart, laterSum, snapshotCount := f.BayesFactor, 0.0, 0.0
+	for _, snapshot := range e.snapshots {
+		since := e.bayesFactorSince(snapshot, excluded)
+		if since.Target.Answers < minAnswersSince {
 			continue
 		}
-		later += since.BayesFactor
-		moments++
+		laterSum += since.BayesFactor
+		snapshotCount++
 		if since.BayesFactor > f.BayesFactor {
 			f = since
 		}
 	}
-	f.BayesFactor = whole
-	if moments > 0 {
-		f.BayesFactor = (1-laterPart)*whole + laterPart*later/moments
+	f.BayesFactor = sinceStart
+	if snapshotCount > 0 {
+		f.BayesFactor = (1-laterOnsetPart)*sinceStart + laterOnsetPart*laterSum/snapshotCount
 	}
 	return f
 }
 
-// oddsSince is odds from a moment on.
-func (e *Evidence) oddsSince(before *Evidence, without []string) Finding {
+// bayesFactorSince is bayesFactor for the answers since a snapshot, for all answers if snapshot is
+// nil.
+func (e *Evidence) bayesFactorSince(snapshot *Evidence, excluded []string) Finding {
 	kinds := e.kinds()
 	f, worst := Finding{BayesFactor: 1}, Finding{}
 	if len(kinds) == 0 {
 		return f
 	}
-	all, sum := 0.0, 0.0
-	most := math.Inf(-1)
+	logSum, sum := 0.0, 0.0
+	highest := math.Inf(-1)
 	for _, kind := range kinds {
-		target, others := e.at(kind, without), e.others[kind]
-		if before != nil {
-			earlier := before.at(kind, without)
+		target, others := e.targetCount(kind, excluded), e.others[kind]
+		if snapshot != nil {
+			earlier := snapshot.targetCount(kind, excluded)
 			target = target.since(earlier)
 		}
 		f.Target.add(target)
 		f.Others.add(others)
-		odds := e.logOdds(kind, target)
-		all += odds
-		sum += math.Exp(min(odds, mostLogOdds)) / float64(len(kinds))
-		if odds > most {
-			most = odds
+		logFactor := e.logBayesFactor(kind, target)
+		logSum += logFactor
+		sum += math.Exp(min(logFactor, maxLogBayesFactor)) / float64(len(kinds))
+		if logFactor > highest {
+			highest = logFactor
 			worst = Finding{Kind: kind, Target: target, Others: others}
 		}
 	}
-	f.BayesFactor = (math.Exp(min(all, mostLogOdds)) + sum) / 2
-	if f.BayesFactor > 1 && most > all {
+	f.BayesFactor = (math.Exp(min(logSum, maxLogBayesFactor)) + sum) / 2
+	if f.BayesFactor > 1 && highest > logSum {
 		worst.BayesFactor = f.BayesFactor
 		return worst
 	}
 	return f
 }
 
-// Parameters of the odds.
+// Parameters of the Bayes factor.
 const (
-	// leastHarm is how much more of its answers a bad version fails or slows at least:
-	// less is not told from chance within a hundred answers.
-	leastHarm = 0.08
-	// priorBad and priorGood are the answers that the others are thought to have had
-	// before any was counted: few fail.
-	priorBad, priorGood = 0.5, 9.5
-	// quantiles is how many values the part of the others' bad answers is averaged over.
-	quantiles = 9
-	// leastPart keeps the part of bad answers away from never and always.
-	leastPart = 1e-4
-	// momentAnswers is how many answers of the target there must be since a moment: fewer
-	// speak neither way, and an owner that has just taken over remembers late moments only.
-	momentAnswers = 8
-	// laterPart is the part of the bad versions that turn bad later.
-	laterPart = 0.3
-	// mostLogOdds keeps odds finite; far above all bounds.
-	mostLogOdds = 50
+	// minExcessBadRate is the minimum by which the bad rate of a bad version exceeds that of the
+	// others. Smaller differences cannot be distinguished from chance within a hundred answers.
+	minExcessBadRate = 0.08
+	// baselinePriorBad and baselinePriorGood are the bad and good answers that the others are
+	// assumed to have had before any was counted: few fail.
+	baselinePriorBad, baselinePriorGood = 0.5, 9.5
+	// badRateQuantiles is how many values of the others' bad rate the likelihood is averaged over.
+	badRateQuantiles = 9
+	// minBadRate keeps bad rates away from 0 and 1.
+	minBadRate = 1e-4
+	// minAnswersSince is how many answers the target must have since a snapshot: fewer are evidence
+	// for neither side, and an owner that has just taken over has recent snapshots only.
+	minAnswersSince = 8
+	// laterOnsetPart is the fraction of bad versions that turn bad later.
+	laterOnsetPart = 0.3
+	// maxLogBayesFactor keeps Bayes factors finite; it is far above all thresholds.
+	maxLogBayesFactor = 50
 )
 
-// logOdds is the logarithm of how many times likelier a target's counts are if it is
-// bad, its part of bad answers being anywhere above the others' by leastHarm or more.
-func (e *Evidence) logOdds(kind Kind, target Count) float64 {
+// logBayesFactor returns the logarithm of how many times likelier the target's counts are if it is
+// bad. The bad rate of a bad target is uniformly distributed above that of the others plus
+// minExcessBadRate.
+func (e *Evidence) logBayesFactor(kind Kind, target Count) float64 {
 	if target.Answers == 0 {
 		return 0
 	}
 	n, b := float64(target.Answers), float64(target.Bad)
 	bad, good := 0.0, 0.0
-	shift := mathext.Lbeta(b+1, n-b+1)
-	for _, part := range e.partsOf(kind) {
-		good += math.Exp(b*math.Log(part) + (n-b)*math.Log1p(-part) - shift)
-		from := part + leastHarm
-		bad += (1 - mathext.RegIncBeta(b+1, n-b+1, from)) / (1 - from)
+	logBeta := mathext.Lbeta(b+1, n-b+1)
+	for _, rate := range e.baselineBadRates(kind) {
+		good += math.Exp(b*math.Log(rate) + (n-b)*math.Log1p(-rate) - logBeta)
+		lowest := rate + minExcessBadRate
+		bad += (1 - mathext.RegIncBeta(b+1, n-b+1, lowest)) / (1 - lowest)
 	}
-	return min(max(math.Log(bad)-math.Log(good), -mostLogOdds), mostLogOdds)
+	return min(max(math.Log(bad)-math.Log(good), -maxLogBayesFactor), maxLogBayesFactor)
 }
 
-// partsOf is what the part of the others' bad answers may be, each value as likely.
-func (e *Evidence) partsOf(kind Kind) []float64 {
-	if held, ok := e.parts[kind]; ok {
-		return held
+// baselineBadRates returns equally likely values of the others' bad rate.
+func (e *Evidence) baselineBadRates(kind Kind) []float64 {
+	if cached, ok := e.badRates[kind]; ok {
+		return cached
 	}
 	others := e.others[kind]
-	a, g := priorBad+float64(others.Bad), priorGood+float64(others.Answers-others.Bad)
-	list := make([]float64, quantiles)
-	for i := range list {
-		part := mathext.InvRegIncBeta(a, g, (float64(i)+0.5)/quantiles)
-		list[i] = min(max(part, leastPart), 1-leastHarm-leastPart)
+	a, g := baselinePriorBad+float64(others.Bad), baselinePriorGood+float64(others.Answers-others.Bad)
+	rates := make([]float64, badRateQuantiles)
+	for i := range rates {
+		rate := mathext.InvRegIncBeta(a, g, (float64(i)+0.5)/badRateQuantiles)
+		rates[i] = min(max(rate, minBadRate), 1-minExcessBadRate-minBadRate)
 	}
-	e.parts[kind] = list
-	return list
+	e.badRates[kind] = rates
+	return rates
 }
 
-// DefaultBayesTest returns the prices in use. Of 1,000 bad versions 60 were completed and 24 got
-// more than they may, and 30 of 1,000 good ones were reverted, 2 of 336 without faults of
-// hosts, store or endpoints (package rolloutlab, seeds 2000 to 3999). With a completion
-// at 12 instead of 5 it completed as many, exposed fewer by a fifth and reverted two thirds
-// more; a sequential test exposed a quarter more, fixed thresholds four times as many.
+// DefaultBayesTest returns the test with the costs in use. In simulations (package rolloutlab,
+// seeds 2000 to 3999), 60 of 1,000 bad versions were completed and 24 exceeded the allowed number
+// of requests. 30 of 1,000 good versions were reverted, but only 2 of 336 without faults of hosts,
+// store or endpoints. A CompletionCost of 12 instead of 5 completed as many bad versions, exposed a
+// fifth fewer and reverted two thirds more good ones. A sequential test exposed a quarter more,
+// fixed thresholds four times as many.
 func DefaultBayesTest() BayesTest {
 	return BayesTest{PriorBad: 0.3, ContinueCost: 0.015, ExposedCost: 0.1, CompletionCost: 5, SmallCompletionCost: 1}
 }
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -13,27 +13,27 @@
 	)
 }
 
-// What is taken for bad early and at the last moment. One in seven answers of a route
-// that fails by itself is no fault of the version.
-func TestJudge(t *testing.T) {
+// Tests which counts are considered bad during the trial and at the final decision. If a route
+// fails for one in seven answers at the other versions too, the version is not at fault.
+func TestEvaluate(t *testing.T) {
 	for _, c := range []struct {
-		what           string
-		others, target rollout.Count
-		early, last    bool
+		name                     string
+		others, target           rollout.Count
+		badDuringTrial, badAtEnd bool
 	}{
-		{"nothing known", rollout.Count{}, rollout.Count{}, false, true},
-		{"as good", rollout.Count{Answers: 1000, Bad: 5}, rollout.Count{Answers: 40}, false, false},
-		{"one of few fails", rollout.Count{Answers: 1000, Bad: 5}, rollout.Count{Answers: 8, Bad: 1}, false, true},
-		{"half fail", rollout.Count{Answers: 1000, Bad: 5}, rollout.Count{Answers: 8, Bad: 4}, true, true},
-		{"fails as the others do", rollout.Count{Answers: 1000, Bad: 140}, rollout.Count{Answers: 100, Bad: 14}, false, false},
-		{"fails more than the others", rollout.Count{Answers: 1000, Bad: 140}, rollout.Count{Answers: 100, Bad: 45}, true, true},
+		{"no answers", rollout.Count{}, rollout.Count{}, false, true},
+		{"no worse than the others", rollout.Count{Answers: 1000, Bad: 5}, rollout.Count{Answers: 40}, false, false},
+		{"one of few answers bad", rollout.Count{Answers: 1000, Bad: 5}, rollout.Count{Answers: 8, Bad: 1}, false, true},
+		{"half of the answers bad", rollout.Count{Answers: 1000, Bad: 5}, rollout.Count{Answers: 8, Bad: 4}, true, true},
+		{"same bad rate as the others", rollout.Count{Answers: 1000, Bad: 140}, rollout.Count{Answers: 100, Bad: 14}, false, false},
+		{"higher bad rate than the others", rollout.Count{Answers: 1000, Bad: 140}, rollout.Count{Answers: 100, Bad: 45}, true, true},
 	} {
 		e := evidence(c.others, c.target)
-		if found := rollout.DefaultBayesTest().Evaluate(&e, nil, rollout.DuringTrial); found.Bad() != c.early {
-			t.Errorf("%s, early: got %v (%v), want %v", c.what, found.Bad(), found, c.early)
+		if finding := rollout.DefaultBayesTest().Evaluate(&e, nil, rollout.DuringTrial); finding.Bad() != c.badDuringTrial {
+			t.Errorf("%s, during the trial: got %v (%v), want %v", c.name, finding.Bad(), finding, c.badDuringTrial)
 		}
-		if found := rollout.DefaultBayesTest().Evaluate(&e, nil, rollout.FinalDecision); found.Bad() != c.last {
-			t.Errorf("%s, at the last moment: got %v (%v), want %v", c.what, found.Bad(), found, c.last)
+		if finding := rollout.DefaultBayesTest().Evaluate(&e, nil, rollout.FinalDecision); finding.Bad() != c.badAtEnd {
+			t.Errorf("%s, final decision: got %v (%v), want %v", c.name, finding.Bad(), finding, c.badAtEnd)
 		}
 	}
 }
--- a/pkg/rollout/owner.go
+++ b/pkg/rollout/owner.go
@@ -8,161 +8,161 @@
 
 // Times of the owner of an order.
 const (
-	// spreadTime is how long it takes until all hosts act on a directive: two rounds.
-	spreadTime = 400 * time.Millisecond
-	// writeTime is kept for the store to take in the end, tries included.
-	writeTime = 500 * time.Millisecond
-	// lookParts, leastLook and mostLook bound how long before the last moment to write a
-	// completion is written: the owner may die just then, and the next has the lease 3 s
-	// later.
-	lookParts = 10
-	leastLook = 300 * time.Millisecond
-	mostLook  = 2500 * time.Millisecond
-	// heardLate is how long after the operator's write the order may have been heard.
-	heardLate = 200 * time.Millisecond
-	// settleTime is how long an owner that has taken over hears the hosts before it
-	// decides anything but a revert.
-	settleTime = time.Second
-	// mostRamp bounds the time from the first higher share to all requests; a sixth of
-	// the period where that is less.
-	mostRamp  = 2 * time.Second
-	rampParts = 6
-	// rampSteps is the steps of the share in that time.
+	// propagationTime is how long it takes until all hosts act on a directive: two rounds.
+	propagationTime = 400 * time.Millisecond
+	// writeReserve is the time reserved for the final write to the store, including retries.
+	writeReserve = 500 * time.Millisecond
+	// completionLeadParts, minCompletionLead and maxCompletionLead bound how long before the latest
+	// time for a write a completion is written: the owner may die at that point, and the next one
+	// has the lease 3 s later.
+	completionLeadParts = 10
+	minCompletionLead   = 300 * time.Millisecond
+	maxCompletionLead   = 2500 * time.Millisecond
+	// maxOrderDelay is how long after the operator's write the order may have been received.
+	maxOrderDelay = 200 * time.Millisecond
+	// takeoverDelay is how long an owner that has taken over receives reports before it decides
+	// anything but a revert.
+	takeoverDelay = time.Second
+	// maxRampTime bounds the time from the first higher share to all requests. For short periods
+	// the time is a sixth of the period, see rampParts.
+	maxRampTime = 2 * time.Second
+	rampParts   = 6
+	// rampSteps is the number of steps of the share in that time.
 	rampSteps = 2
-	// leastDrain and drainParts bound the time that is kept for the others' last answers.
-	leastDrain = 300 * time.Millisecond
-	drainParts = 4
-	// silentTime and silentParts bound the time that is kept for hosts that have just
-	// ended, frozen or been cut off: the end waits until they are known to be gone.
-	silentTime  = 2200 * time.Millisecond
-	silentParts = 12
-	// mostDrain is how long past its limit a completion waits for the others' last
-	// answers: what is cut off is lost to its caller, and a late completion costs the
+	// minDrainReserve and drainReserveParts bound the time reserved for the others' last answers.
+	minDrainReserve   = 300 * time.Millisecond
+	drainReserveParts = 4
+	// silentHostReserve and silentHostParts bound the time reserved for hosts that have just died,
+	// frozen or been cut off: the order cannot complete until they are known to be gone.
+	silentHostReserve = 2200 * time.Millisecond
+	silentHostParts   = 12
+	// maxDrainOverrun is how long past the deadline a completion waits for the others' last
+	// answers: an answer that is cut off is lost to its caller, while a late completion costs the
 	// operator seconds.
-	mostDrain = 15 * time.Second
+	maxDrainOverrun = 15 * time.Second
 )
 
-// Parts of the bounds that are used.
+// Fractions and limits used in decisions.
 const (
-	// triedPart is the part of the allowed share that is used while the target is
-	// tried; the rest is for what shows late, while the share is raised.
-	triedPart = 0.6
-	// slackPart is the part of the allowed slack that is used at once for early
-	// evidence. Hosts that start anew have none.
+	// trialPart is the fraction of the allowed share that is used while the target is tried. The
+	// rest is for faults that show late, while the share is raised.
+	trialPart = 0.6
+	// slackPart is the fraction of the allowed slack that is used at once for early evidence. Hosts
+	// that restart have none.
 	slackPart = 0.4
-	// keptPart is the part of what is left of the bounds that a step of the share uses.
-	keptPart = 0.6
-	// enoughEndpoints is the part of the others' number that the target must have to
-	// take all requests.
-	enoughEndpoints = 0.5
-	// clearOdds are the odds against the target's other endpoints below which one that
-	// speaks against it is at fault itself.
-	clearOdds = 0.2
-	// suspectsPart is the part of the target's endpoints that may be held to be at fault
-	// themselves: what more of them show is the version's fault.
-	suspectsPart = 0.05
-	// moments is how many times in a period the evidence is remembered.
-	moments = 8
-	// mostBad is the bad answers after which nothing is left out any more: users allow 50
-	// before they count the time until a bad version gets nothing.
-	mostBad = 30
+	// rampBudgetPart is the fraction of the remaining bounds that a step of the share uses.
+	rampBudgetPart = 0.6
+	// minTargetRatio is how many endpoints the target must have relative to the others to take all
+	// requests.
+	minTargetRatio = 0.5
+	// clearedBayesFactor is the Bayes factor of the target's other endpoints below which an
+	// endpoint with bad answers is considered faulty itself.
+	clearedBayesFactor = 0.2
+	// maxSuspectsPart is the fraction of the target's endpoints that may be considered faulty
+	// themselves. If more have bad answers, the version is at fault.
+	maxSuspectsPart = 0.05
+	// snapshotsPerPeriod is how many snapshots of the evidence are kept per period.
+	snapshotsPerPeriod = 8
+	// maxBadWithSuspects is the number of bad answers from which on no further endpoint is
+	// excluded: users allow 50 before they measure the time until a bad version gets no requests.
+	maxBadWithSuspects = 30
 )
 
-// Owner decides on one order for all hosts. It is used by one goroutine.
+// Owner decides on one order for all hosts. It is not safe for concurrent use.
 type Owner struct {
-	bounds Bounds
-	judge  BayesTest
-	state  State
-	epoch  int64
-	number int64
-	began  time.Duration
-	share  float64
-	// reverting says that the hosts are told to revert, and why is the reason.
-	reverting bool
-	why       string
-	suspects  []string
-	reports   map[string]told
-	// rate is the requests a second over all hosts.
-	rate      float64
-	askedAt   time.Duration
-	askedThen int
-	// drainNumber is the first word of the drain.
-	drainNumber int64
-	// sawOthers says that there were endpoints of another version since the order; without
+	bounds     Bounds
+	test       BayesTest
+	state      State
+	epoch      int64
+	number     int64
+	ownedSince time.Duration
+	share      float64
+	// reverting is whether the hosts are directed to revert, revertReason why.
+	reverting    bool
+	revertReason string
+	suspects     []string
+	reports      map[string]receivedReport
+	// requestRate is the number of requests per second over all hosts.
+	requestRate      float64
+	rateUpdatedAt    time.Duration
+	requestsAtUpdate int
+	// drainDirectiveNumber is the number of the first directive of the draining phase.
+	drainDirectiveNumber int64
+	// sawOthers is whether there were endpoints of another version since the order. Without them
 	// there is nothing to compare with, and nothing to take requests from.
 	sawOthers bool
 	nextRamp  time.Duration
-	// before is the evidence of earlier moments.
-	before     []*Evidence
-	nextMoment time.Duration
+	// snapshots is the evidence at earlier times.
+	snapshots    []*Evidence
+	nextSnapshot time.Duration
 }
 
-type told struct {
+type receivedReport struct {
 	Report
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// NewOwner returns the owner of an order from the phase its row has; now is the store's
-// clock, epoch the lease's.
-func NewOwner(state State, bounds Bounds, judge BayesTest, epoch int64, now time.Duration) *Owner {
-	return &Owner{bounds: bounds, judge: judge, state: state, epoch: epoch, number: 1, began: now, reports: map[string]told{}}
+// NewOwner returns the owner of an order in the phase of its row. epoch is that of the lease, now
+// is by the store's clock.
+func NewOwner(state State, bounds Bounds, test BayesTest, epoch int64, now time.Duration) *Owner {
+	return &Owner{bounds: bounds, test: test, state: state, epoch: epoch, number: 1, ownedSince: now, reports: map[string]receivedReport{}}
 }
 
-// State returns what the order's row has.
+// State returns the order's state as in its row.
 func (o *Owner) State() State { return o.state }
 
 // Renumber replaces the order with the same order under its new ID after a restore of the store.
 func (o *Owner) Renumber(order Order) { o.state.Order = order }
 
-// ApplyReport applies a host's report. Those of hosts that have ended since still count.
+// ApplyReport applies a host's report. Reports of hosts that have stopped since still count.
 func (o *Owner) ApplyReport(incarnation string, r Report, now time.Duration) {
 	if r.Order != o.state.Order.ID {
 		return
 	}
-	if held, ok := o.reports[incarnation]; ok && held.Requests > r.Requests {
+	if previous, ok := o.reports[incarnation]; ok && previous.Requests > r.Requests {
 		return
 	}
-	o.reports[incarnation] = told{r, now}
+	o.reports[incarnation] = receivedReport{r, now}
 	if r.Phase == Reverted && !o.state.Phase.Ended() && !o.reverting {
 		o.revert("reverted by the owner before")
 	}
 }
 
-// Fleet is what an owner knows beside the reports.
+// Fleet is what an owner knows in addition to the reports.
 type Fleet struct {
 	// Live are the incarnations of the hosts that serve.
 	Live []string
-	// Advertised is how many of them callers are told.
+	// Advertised is how many of them are advertised to callers.
 	Advertised int
-	// OtherEndpoints and TargetEndpoints are the endpoints that take work.
+	// OtherEndpoints and TargetEndpoints are the numbers of endpoints that take work.
 	OtherEndpoints, TargetEndpoints int
 }
 
-// Step is what an owner wants done.
+// Step is an owner's decision.
 type Step struct {
 	// Directive is sent to the hosts.
 	Directive Directive
-	// Write is the phase that the row is to have, 0 for none. The hosts hear of it once
-	// it is written; of a revert at once.
-	Write Phase
-	Reason   string
+	// Write is the phase to be written to the row, 0 for none. The hosts are directed to it once it
+	// is written, but to a revert at once.
+	Write  Phase
+	Reason string
 }
 
-// Next decides; now is the store's clock.
+// Next returns the next decision; now is by the store's clock.
 func (o *Owner) Next(f Fleet, now time.Duration) Step {
 	o.sawOthers = o.sawOthers || f.OtherEndpoints > 0
-	o.measure(now)
+	o.updateRate(now)
 	before := o.directive()
 	step := Step{}
 	if !o.reverting && !o.state.Phase.Ended() {
 		step.Write, step.Reason = o.decide(f, now)
 	}
 	if o.reverting && !o.state.Phase.Ended() {
-		step.Write, step.Reason = Reverted, o.why
+		step.Write, step.Reason = Reverted, o.revertReason
 	}
 	after := o.directive()
 	after.Slack = o.slack(f)
-	after.SlowThresholds = o.slowBounds()
+	after.SlowThresholds = o.slowThresholds()
 	if after.Phase != before.Phase || after.Share != before.Share || len(after.Suspects) != len(before.Suspects) {
 		o.number++
 		after.Number = o.number
@@ -171,196 +171,198 @@
 	return step
 }
 
-// SetPhase notes that the row has a phase.
-func (o *Owner) SetPhase(phase Phase, why string) {
+// SetPhase records that the row has a phase.
+func (o *Owner) SetPhase(phase Phase, reason string) {
 	if phase <= o.state.Phase {
 		return
 	}
-	o.state.Phase, o.state.Reason = phase, why
+	o.state.Phase, o.state.Reason = phase, reason
 	o.number++
 	if phase == Draining {
 		o.share = 1
-		o.drainNumber = o.number
+		o.drainDirectiveNumber = o.number
 	}
 }
 
 func (o *Owner) directive() Directive {
-	w := Directive{
+	d := Directive{
 		Service: o.state.Order.Service, Order: o.state.Order.ID, Target: o.state.Order.Target, Period: o.state.Order.Period, Phase: o.state.Phase, Share: o.share,
 		Epoch: o.epoch, Number: o.number, Suspects: o.suspects,
 	}
 	if o.reverting {
-		w.Phase, w.Share = Reverted, 0
+		d.Phase, d.Share = Reverted, 0
 	}
-	return w
+	return d
 }
 
 func (o *Owner) slack(f Fleet) int {
 	return int(slackPart * o.bounds.Slack / float64(max(f.Advertised, 1)))
 }
 
-func (o *Owner) revert(why string) {
-	o.reverting, o.why = true, why
+func (o *Owner) revert(reason string) {
+	o.reverting, o.revertReason = true, reason
 }
 
-// plan is when what must happen for a completion in time.
-type plan struct {
-	limit, shift, drain time.Duration
+// schedule is the times by which an order has to proceed to complete in time.
+type schedule struct {
+	deadline, rampStart, drainStart time.Duration
 }
 
-// plan works backwards from the limit: as late as possible, since some faults show
-// after a time only.
-func (o *Owner) plan() plan {
+// schedule computes the times backwards from the deadline. They are as late as possible, since some
+// faults show only after some time.
+func (o *Owner) schedule() schedule {
 	period := o.state.Order.Period
-	longest := leastDrain
+	longest := minDrainReserve
 	for _, r := range o.reports {
 		longest = max(longest, r.LongestOther)
 	}
-	longest = min(longest, period/drainParts)
-	limit := o.state.Started + period - heardLate
-	drain := limit - writeTime - spreadTime - longest - min(silentTime, period/silentParts)
-	return plan{limit: limit, drain: drain, shift: drain - min(mostRamp, period/rampParts)}
+	longest = min(longest, period/drainReserveParts)
+	deadline := o.state.Started + period - maxOrderDelay
+	drainStart := deadline - writeReserve - propagationTime - longest - min(silentHostReserve, period/silentHostParts)
+	return schedule{deadline: deadline, drainStart: drainStart, rampStart: drainStart - min(maxRampTime, period/rampParts)}
 }
 
-// decide returns the phase to be written and why.
+// decide returns the phase to be written, 0 for none, and the reason.
 func (o *Owner) decide(f Fleet, now time.Duration) (Phase, string) {
 	e := o.evidence()
-	m := DuringTrial
+	point := DuringTrial
 	if o.state.Phase > Trying {
-		m = DuringRamp
+		point = DuringRamp
 	}
-	if found := o.look(&e, f, m); found.Bad() && o.sawOthers {
-		o.revert(found.String())
+	if finding := o.evaluate(&e, f, point); finding.Bad() && o.sawOthers {
+		o.revert(finding.String())
 		return 0, ""
 	}
-	o.remember(e, now)
-	if now-o.began < settleTime {
-		o.share = o.tryShare(f)
+	o.addSnapshot(e, now)
+	if now-o.ownedSince < takeoverDelay {
+		o.share = o.trialShare(f)
 		return 0, ""
 	}
-	p := o.plan()
+	times := o.schedule()
 	switch o.state.Phase {
 	case Trying:
-		return o.try(f, &e, p, now)
+		return o.decideTrial(f, &e, times, now)
 	case Shifting:
-		return o.shift(f, &e, p, now)
+		return o.decideShifting(f, &e, times, now)
 	case Draining:
-		return o.drain(f, p, now)
+		return o.decideDraining(f, times, now)
 	}
 	return 0, ""
 }
 
-// look judges the target. One endpoint that alone speaks against it is left out once
+// evaluate tests the target. A single endpoint that accounts for the bad answers is excluded once
 // the others have cleared the target, unless many answers were bad already.
-func (o *Owner) look(e *Evidence, f Fleet, m DecisionPoint) Finding {
-	found := o.judge.Evaluate(e, o.suspects, m)
-	if !found.Bad() || m > DuringRamp || e.Target().Bad >= mostBad {
-		return found
+func (o *Owner) evaluate(e *Evidence, f Fleet, point DecisionPoint) Finding {
+	finding := o.test.Evaluate(e, o.suspects, point)
+	if !finding.Bad() || point > DuringRamp || e.Target().Bad >= maxBadWithSuspects {
+		return finding
 	}
-	worst := e.worst(o.suspects)
-	if worst == "" || float64(len(o.suspects)+1) > max(1, suspectsPart*float64(f.TargetEndpoints)) {
-		return found
+	worst := e.worstEndpoint(o.suspects)
+	if worst == "" || float64(len(o.suspects)+1) > max(1, maxSuspectsPart*float64(f.TargetEndpoints)) {
+		return finding
 	}
-	without := append(slices.Clone(o.suspects), worst)
-	rest := o.judge.Evaluate(e, without, m)
-	if rest.BayesFactor < clearOdds {
-		o.suspects = without
+	suspects := append(slices.Clone(o.suspects), worst)
+	rest := o.test.Evaluate(e, suspects, point)
+	if rest.BayesFactor < clearedBayesFactor {
+		o.suspects = suspects
 	}
 	return rest
 }
 
-// tryShare is the share while the target is tried.
-func (o *Owner) tryShare(f Fleet) float64 {
+// trialShare returns the share while the target is tried.
+func (o *Owner) trialShare(f Fleet) float64 {
 	if f.TargetEndpoints == 0 {
 		return 0
 	}
-	return triedPart * o.bounds.Share
+	return trialPart * o.bounds.Share
 }
 
-func (o *Owner) try(f Fleet, e *Evidence, p plan, now time.Duration) (Phase, string) {
-	o.share = o.tryShare(f)
-	if now < p.shift {
+func (o *Owner) decideTrial(f Fleet, e *Evidence, times schedule, now time.Duration) (Phase, string) {
+	o.share = o.trialShare(f)
+	if now < times.rampStart {
 		return 0, ""
 	}
 	if !o.sawOthers && f.TargetEndpoints > 0 {
 		return Completed, "no endpoints of another version"
 	}
-	if f.TargetEndpoints == 0 || float64(f.TargetEndpoints) < enoughEndpoints*float64(f.OtherEndpoints) {
-		return o.tooFew(f, p, now)
+	if f.TargetEndpoints == 0 || float64(f.TargetEndpoints) < minTargetRatio*float64(f.OtherEndpoints) {
+		return o.waitForEndpoints(f, times, now)
 	}
-	if now >= p.drain {
-		return o.settle(f, e, p, now)
+	if now >= times.drainStart {
+		return o.decideFinal(f, e, times, now)
 	}
 	o.state.Phase = Shifting
 	o.nextRamp = now
-	o.raise(p, now)
+	o.raiseShare(times, now)
 	return 0, ""
 }
 
-// settle decides at the last moment whether the target takes all requests.
-func (o *Owner) settle(f Fleet, e *Evidence, p plan, now time.Duration) (Phase, string) {
-	m := FinalDecision
-	left := (p.limit - now).Seconds()
-	if float64(o.tried())+o.rate*left <= o.allowed(p, now) {
-		m = FinalDecisionLowTraffic
-	}
-	found := o.look(e, f, m)
-	if !found.Bad() {
-		return Draining, found.String()
-	}
-	if o.state.Phase == Trying && now < p.limit-writeTime {
-		// With few answers, e.g. after a late takeover, the last judgement can reject a sound target.
+// decideFinal decides at the latest possible time whether the target gets all requests.
+func (o *Owner) decideFinal(f Fleet, e *Evidence, times schedule, now time.Duration) (Phase, string) {
+	point := FinalDecision
+	left := (times.deadline - now).Seconds()
+	if float64(o.targetRequests())+o.requestRate*left <= o.allowedTargetRequests(times, now) {
+		point = FinalDecisionLowTraffic
+	}
+	finding := o.evaluate(e, f, point)
+	if !finding.Bad() {
+		return Draining, finding.String()
+	}
+	if o.state.Phase == Trying && now < times.deadline-writeReserve {
+		// With few answers, e.g. after a late takeover, the final test can reject a sound target.
 		// Keep the trial share and collect answers until the latest time a revert can be written.
 		return 0, ""
 	}
-	o.revert(found.String())
+	o.revert(finding.String())
 	return 0, ""
 }
 
-// allowed is how many requests a bad version may get until the limit.
-func (o *Owner) allowed(p plan, now time.Duration) float64 {
-	ahead := o.rate * (p.limit - now).Seconds()
-	return o.bounds.Share*(float64(o.asked())+ahead) + o.bounds.Slack
+// allowedTargetRequests returns how many requests a bad version may get until the deadline.
+func (o *Owner) allowedTargetRequests(times schedule, now time.Duration) float64 {
+	expectedRequests := o.requestRate * (times.deadline - now).Seconds()
+	return o.bounds.Share*(float64(o.requests())+expectedRequests) + o.bounds.Slack
 }
 
-// tooFew waits for endpoints of the target until it is too late.
-func (o *Owner) tooFew(f Fleet, p plan, now time.Duration) (Phase, string) {
-	if now >= p.limit-writeTime {
+// waitForEndpoints waits for endpoints of the target until the latest time a revert can be written,
+// and reverts then.
+func (o *Owner) waitForEndpoints(f Fleet, times schedule, now time.Duration) (Phase, string) {
+	if now >= times.deadline-writeReserve {
 		o.revert(fmt.Sprintf("%d endpoints of the target by the end, %d of the others", f.TargetEndpoints, f.OtherEndpoints))
 	}
 	return 0, ""
 }
 
-func (o *Owner) shift(f Fleet, e *Evidence, p plan, now time.Duration) (Phase, string) {
-	if float64(f.TargetEndpoints) < enoughEndpoints*float64(f.OtherEndpoints) {
-		return o.tooFew(f, p, now)
+func (o *Owner) decideShifting(f Fleet, e *Evidence, times schedule, now time.Duration) (Phase, string) {
+	if float64(f.TargetEndpoints) < minTargetRatio*float64(f.OtherEndpoints) {
+		return o.waitForEndpoints(f, times, now)
 	}
-	if now < p.drain {
-		o.raise(p, now)
+	if now < times.drainStart {
+		o.raiseShare(times, now)
 		return 0, ""
 	}
-	return o.settle(f, e, p, now)
+	return o.decideFinal(f, e, times, now)
 }
 
-// raise raises the share so far that what shows only then is still within the bounds.
-func (o *Owner) raise(p plan, now time.Duration) {
+// raiseShare raises the share, but only so far that a version whose faults show only then stays
+// within the bounds.
+func (o *Owner) raiseShare(times schedule, now time.Duration) {
 	if now < o.nextRamp {
 		return
 	}
-	step := (p.drain - p.shift) / rampSteps
+	step := (times.drainStart - times.rampStart) / rampSteps
 	o.nextRamp = now + step
-	left := o.allowed(p, now) - float64(o.tried())
-	during := max(o.rate*(step+spreadTime).Seconds(), 1)
-	o.share = min(max(o.share, keptPart*left/during), 1)
+	left := o.allowedTargetRequests(times, now) - float64(o.targetRequests())
+	during := max(o.requestRate*(step+propagationTime).Seconds(), 1)
+	o.share = min(max(o.share, rampBudgetPart*left/during), 1)
 }
 
-// drain completes once no host runs anything at the others any more, and not long before
-// the limit: until then the target can be taken back.
-func (o *Owner) drain(f Fleet, p plan, now time.Duration) (Phase, string) {
+// decideDraining completes the order once no host runs anything at the others any more, but not
+// long before the deadline: until then the target can be reverted.
+func (o *Owner) decideDraining(f Fleet, times schedule, now time.Duration) (Phase, string) {
 	for _, incarnation := range f.Live {
 		r, ok := o.reports[incarnation]
-		done := ok && r.Phase >= Draining && r.OthersRunning == 0 && r.Epoch == o.epoch && r.Number >= o.drainNumber
-		if !done && now < p.limit+mostDrain {
+		done := ok && r.Phase >= Draining && r.OthersRunning == 0 && r.Epoch == o.epoch && r.Number >= o.drainDirectiveNumber
+		if !done && now < times.deadline+maxDrainOverrun {
 			return 0, ""
 		}
 	}
@@ -368,7 +370,7 @@
 		o.revert("no endpoint of the target is left")
 		return 0, ""
 	}
-	if now < p.limit-writeTime-min(max(o.state.Order.Period/lookParts, leastLook), mostLook) {
+	if now < times.deadline-writeReserve-min(max(o.state.Order.Period/completionLeadParts, minCompletionLead), maxCompletionLead) {
 		return 0, ""
 	}
 	return Completed, "nothing runs at the others"
--- a/pkg/rollout/owner_test.go
+++ b/pkg/rollout/owner_test.go
@@ -8,7 +8,7 @@
 	"ironhollow/pkg/rollout"
 )
 
-// reportOf is what a host has counted of three routes with four kinds each.
+// reportOf returns a host's report with the counts of three routes with four kinds each.
 func reportOf(host, answers int) rollout.Report {
 	r := rollout.Report{Service: service, Order: order.ID, Phase: rollout.Trying, Epoch: 1, Requests: 20 * answers, TargetRequests: answers}
 	for kind := range 12 {
@@ -22,8 +22,8 @@
 	return r
 }
 
-// With no endpoint of another version there is nothing to compare with: an order for the
-// version in use is completed, whatever part of its answers fail.
+// With no endpoint of another version there is nothing to compare with: an order for the version in
+// use is completed, however many of its answers fail.
 func TestOrderForTheVersionInUse(t *testing.T) {
 	o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: time.Minute}, bounds, rollout.DefaultBayesTest(), 1, time.Minute)
 	fleet := rollout.Fleet{Advertised: 1, TargetEndpoints: 4, Live: []string{"h"}}
@@ -35,7 +35,7 @@
 			return
 		}
 		if step.Write != 0 || step.Directive.Phase == rollout.Reverted {
-			t.Fatalf("%v after the order: got %v (%s), want it completed", now-time.Minute, step.Write, step.Reason)
+			t.Fatalf("%v after the order: got phase %v (%s), want completed", now-time.Minute, step.Write, step.Reason)
 		}
 	}
 	t.Error("not completed within the period")
@@ -72,8 +72,8 @@
 	}
 }
 
-// A decision on the reports of eight hosts: 0.52 ms, ten times a second while an order is
-// under way.
+// A decision on the reports of eight hosts takes 0.52 ms. It is made ten times a second while an
+// order is in progress.
 func BenchmarkDecision(b *testing.B) {
 	o := rollout.NewOwner(rollout.State{Order: order, Phase: rollout.Trying, Started: time.Minute}, bounds, rollout.DefaultBayesTest(), 1, time.Minute)
 	fleet := rollout.Fleet{Advertised: 8, OtherEndpoints: 60, TargetEndpoints: 60}
--- a/pkg/rollout/reference.go
+++ b/pkg/rollout/reference.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Parameters of what counts as slow.
+// Parameters of the slow threshold.
 const (
-	// slowTimes is how many times the time that three in four answers of the other
-	// versions keep to makes an answer slow: bad versions take several times as long. Of
-	// answers whose times have a spread of 0.5 (log-normal) it takes 1 in 100 for slow,
-	// and 69 in 100 of those four times as long.
-	slowTimes = 2.2
-	// slowAt is the part of the answers that the bound is worked out from. One in six
-	// endpoints that is slow itself moves the time of nine in ten, not this.
-	slowAt = 0.75
-	// referenceAnswers is how many answers make a bound, and how many a histogram has
-	// before another takes its place.
-	referenceAnswers = 12
-	// referenceTime is how long answers count at least; those of the time before it count
-	// too, so that a bound is there at the start of each.
-	referenceTime = 5 * time.Second
-	// binsPerDouble is how many bins of times lie between one and twice of it: a bound
-	// is at most 9 in 100 too high.
-	binsPerDouble = 8
-	// binCount reaches from binStart to 16,000 times of it and more.
-	binCount = 14 * binsPerDouble
-	// binStart is the least value told apart, in seconds or times what was expected.
-	binStart = 0.001
+	// slowFactor is the factor between the slowQuantile of the other versions' durations, which
+	// three in four answers keep to, and the slow threshold: bad versions take several times as
+	// long. If durations have a log-normal spread of 0.5, 1 in 100 answers exceeds the threshold,
+	// and 69 in 100 of those that take four times as long.
+	slowFactor = 2.2
+	// slowQuantile is the quantile of the durations that the threshold is computed from. If one in
+	// six endpoints is slow itself, that moves the 0.9 quantile but not this one.
+	slowQuantile = 0.75
+	// minBaselineAnswers is how many answers a threshold needs, and how many a histogram needs
+	// before a new one replaces it.
+	minBaselineAnswers = 12
+	// baselinePeriod is the minimum time that a histogram collects answers. The previous histogram
+	// counts too, so that there is a threshold at the start of each.
+	baselinePeriod = 5 * time.Second
+	// binsPerDoubling is the number of bins per doubling of the value: a threshold is at most 9%
+	// too high.
+	binsPerDoubling = 8
+	// binCount covers values up to more than 16,000 times minBinValue.
+	binCount = 14 * binsPerDoubling
+	// minBinValue is the lower end of the first bin, in seconds or multiples of the expected
+	// duration. Smaller values are counted there too.
+	minBinValue = 0.001
 )
 
-// reference is how long answers of one kind take at the other versions of late.
-type reference struct {
-	latest, before histogram
-	since          time.Time
+// baseline is how long answers of one kind have recently taken at the other versions.
+type baseline struct {
+	latest, previous histogram
+	since            time.Time
 }
 
 type histogram struct {
@@ -41,34 +42,34 @@
 	count int
 }
 
-func (r *reference) add(value float64, now time.Time) {
-	r.turn(now)
-	at := int(math.Log2(value/binStart) * binsPerDouble)
-	r.latest.bins[min(max(at, 0), binCount-1)]++
+func (r *baseline) add(value float64, now time.Time) {
+	r.rotate(now)
+	bin := int(math.Log2(value/minBinValue) * binsPerDoubling)
+	r.latest.bins[min(max(bin, 0), binCount-1)]++
 	r.latest.count++
 }
 
-// turn begins a new histogram every referenceTime, later where there are few answers.
-func (r *reference) turn(now time.Time) {
-	if now.Sub(r.since) < referenceTime || r.latest.count < referenceAnswers {
+// rotate starts a new histogram every baselinePeriod, later if there are few answers.
+func (r *baseline) rotate(now time.Time) {
+	if now.Sub(r.since) < baselinePeriod || r.latest.count < minBaselineAnswers {
 		return
 	}
-	r.before, r.latest = r.latest, histogram{}
+	r.previous, r.latest = r.latest, histogram{}
 	r.since = now
 }
 
-// answers is how many answers the bound is worked out from.
-func (r *reference) answers() int { return r.latest.count + r.before.count }
+// answers returns how many answers the threshold is computed from.
+func (r *baseline) answers() int { return r.latest.count + r.previous.count }
 
-// slow returns the bound above which an answer is slow; ok is false while no answer is
-// known.
-func (r *reference) slow() (bound float64, ok bool) {
-	all := r.answers()
+// slowThreshold returns the value above which an answer is slow. The value is meaningless while
+// there are no answers.
+func (r *baseline) slowThreshold() (threshold float64, ok bool) {
+	total := r.answers()
 	below := 0
 	for i := range binCount {
-		below += int(r.latest.bins[i] + r.before.bins[i])
-		if float64(below) >= slowAt*float64(all) {
-			return slowTimes * binStart * math.Exp2(float64(i+1)/binsPerDouble), true
+		below += int(r.latest.bins[i] + r.previous.bins[i])
+		if float64(below) >= slowQuantile*float64(total) {
+			return slowFactor * minBinValue * math.Exp2(float64(i+1)/binsPerDoubling), true
 		}
 	}
 	return 0, false
--- a/pkg/rollout/reports.go
+++ b/pkg/rollout/reports.go
@@ -15,22 +15,24 @@
 			e.add(t)
 		}
 	}
-	e.before = o.before
+	e.snapshots = o.snapshots
 	return e
 }
 
-// remember keeps the evidence of a moment now and then: what came since is judged too.
-func (o *Owner) remember(e Evidence, now time.Duration) {
-	if e.Target().Answers == 0 || now < o.nextMoment {
+// addSnapshot adds a snapshot of the evidence at regular intervals: the answers since then are
+// tested too.
+func (o *Owner) addSnapshot(e Evidence, now time.Duration) {
+	if e.Target().Answers == 0 || now < o.nextSnapshot {
 		return
 	}
-	o.nextMoment = now + o.state.Order.Period/moments
-	e.before = nil
-	o.before = append(o.before, &e)
+	o.nextSnapshot = now + o.state.Order.Period/snapshotsPerPeriod
+	e.snapshots = nil
+	o.snapshots = append(o.snapshots, &e)
 }
 
-// slowBounds are the hosts' bounds together: their geometric mean, by answers.
-func (o *Owner) slowBounds() []SlowThreshold {
+// slowThresholds returns the thresholds over all hosts: the geometric mean of theirs, weighted by
+// answers.
+func (o *Owner) slowThresholds() []SlowThreshold {
 	type sum struct{ logs, answers float64 }
 	sums := map[Kind]sum{}
 	for _, r := range o.reports {
@@ -41,7 +43,7 @@
 	}
 	var bounds []SlowThreshold
 	for kind, s := range sums {
-		if s.answers >= referenceAnswers {
+		if s.answers >= minBaselineAnswers {
 			bounds = append(bounds, SlowThreshold{Kind: kind, Value: math.Exp(s.logs / s.answers), Answers: int(s.answers)})
 		}
 	}
@@ -49,7 +51,7 @@
 	return bounds
 }
 
-func (o *Owner) asked() int {
+func (o *Owner) requests() int {
 	sum := 0
 	for _, r := range o.reports {
 		sum += r.Requests
@@ -57,7 +59,7 @@
 	return sum
 }
 
-func (o *Owner) tried() int {
+func (o *Owner) targetRequests() int {
 	sum := 0
 	for _, r := range o.reports {
 		sum += r.TargetRequests
@@ -65,30 +67,30 @@
 	return sum
 }
 
-// rateTime is the time over which the rate of requests is averaged.
-const rateTime = 2 * time.Second
+// rateAveragingTime is the time over which the rate of requests is averaged.
+const rateAveragingTime = 2 * time.Second
 
-func (o *Owner) measure(now time.Duration) {
-	elapsed := now - o.askedAt
-	asked := o.asked()
-	if o.askedAt == 0 {
-		o.askedAt, o.askedThen = now, asked
+func (o *Owner) updateRate(now time.Duration) {
+	elapsed := now - o.rateUpdatedAt
+	requests := o.requests()
+	if o.rateUpdatedAt == 0 {
+		o.rateUpdatedAt, o.requestsAtUpdate = now, requests
 		return
 	}
 	if elapsed <= 0 {
 		return
 	}
-	latest := float64(asked-o.askedThen) / elapsed.Seconds()
-	weight := 1 - math.Exp(-float64(elapsed)/float64(rateTime))
-	o.rate += weight * (latest - o.rate)
-	o.askedAt, o.askedThen = now, asked
+	latest := float64(requests-o.requestsAtUpdate) / elapsed.Seconds()
+	weight := 1 - math.Exp(-float64(elapsed)/float64(rateAveragingTime))
+	o.requestRate += weight * (latest - o.requestRate)
+	o.rateUpdatedAt, o.requestsAtUpdate = now, requests
 }
 
-// Summary is an order's state for a line and for operators.
+// Summary formats an order's state for log lines and for operators.
 func (o *Owner) Summary(now time.Duration) string {
 	e := o.evidence()
 	target, others := e.Target(), e.Others()
-	p := o.plan()
+	p := o.schedule()
 	return fmt.Sprintf("%v, share %.2f, %d of %d requests tried, target %d bad of %d, others %d of %d, %.1f s left",
-		o.directive().Phase, o.directive().Share, o.tried(), o.asked(), target.Bad, target.Answers, others.Bad, others.Answers, (p.limit - now).Seconds())
+		o.directive().Phase, o.directive().Share, o.targetRequests(), o.requests(), target.Bad, target.Answers, others.Bad, others.Answers, (p.deadline - now).Seconds())
 }
--- a/pkg/rollout/restore.go
+++ b/pkg/rollout/restore.go
@@ -4,26 +4,26 @@
 // store. A process that has not seen the ID change, because it started with the new one, compares only
 // service, target, period and era.
 func (s *Splitter) WasRenumberedFrom(order, earlier Order) bool {
-	v := s.find(order.Service)
-	if v == nil || !order.RenumberedFrom(earlier) {
+	svc := s.find(order.Service)
+	if svc == nil || !order.RenumberedFrom(earlier) {
 		return false
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
-	return d != nil && d.order.ID == order.ID && (d.formerID == earlier.ID || d.formerID == 0 && d.joined)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
+	return state != nil && state.order.ID == order.ID && (state.formerID == earlier.ID || state.formerID == 0 && state.learnedLate)
 }
 
 // Phase returns the phase of an order, 0 if the service's order has another ID or there is none.
 func (s *Splitter) Phase(order Order) Phase {
-	v := s.find(order.Service)
-	if v == nil {
+	svc := s.find(order.Service)
+	if svc == nil {
 		return 0
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.order == nil || v.order.order.ID != order.ID {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	if svc.current == nil || svc.current.order.ID != order.ID {
 		return 0
 	}
-	return v.order.phase
+	return svc.current.phase
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -1,7 +1,7 @@
-// Package rollout moves a service's requests to a new version of its endpoints as the
-// answers of that version earn it, and takes them back where they do not. Every host
-// splits its own requests (Switch); the one that holds the lease of the duties decides
-// on what all hosts have counted (Owner). Nothing here does I/O or reads a clock.
+// Package rollout shifts a service's requests to a new version of its endpoints as long as the
+// answers of that version are good, and back if they are not. Every host splits its own requests
+// (Splitter); the host that holds the lease of the duties decides on the counts of all hosts
+// (Owner). The package does no I/O and reads no clock.
 package rollout
 
 import (
@@ -11,10 +11,10 @@
 	"ironhollow/pkg/storeversion"
 )
 
-// Order is an operator's wish that a service's requests go to endpoints of a version.
+// Order is an operator's order to send a service's requests to the endpoints of a version.
 type Order struct {
 	Service string
-	// Target is the version of the software that is to take the requests.
+	// Target is the version of the software that is to get the requests.
 	Target string
 	// Period is the time within which the order is completed or reverted.
 	Period time.Duration
@@ -22,7 +22,7 @@
 	ID int64
 }
 
-// Check returns what is wrong with an order, nil if nothing is.
+// Check returns an error if the order is invalid.
 func (o Order) Check() error {
 	switch {
 	case o.Service == "":
@@ -42,24 +42,24 @@
 		storeversion.Era(o.ID) > storeversion.Era(earlier.ID)
 }
 
-// Phase is how far an order is. It never goes back.
+// Phase is the progress of an order. It never goes back.
 type Phase int
 
-// The phases, in their only order; an order ends Completed or Reverted.
+// The phases in order; an order ends as Completed or Reverted.
 const (
-	// Trying sends the target a part that is within what a bad version may get.
+	// Trying sends the target a share that is within what a bad version may get.
 	Trying Phase = iota + 1
-	// Shifting raises that part in steps.
+	// Shifting raises that share in steps.
 	Shifting
-	// Draining sends the target everything, while the others end what runs there.
+	// Draining sends the target all requests while the others finish theirs.
 	Draining
-	// Completed lets the platform end the other endpoints.
+	// Completed lets the platform stop the other endpoints.
 	Completed
-	// Reverted sends the target nothing.
+	// Reverted sends the target no requests.
 	Reverted
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string {
 	switch p {
 	case Trying:
@@ -76,54 +76,53 @@
 	return "unknown"
 }
 
-// Ended reports whether nothing follows the phase.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Completed || p == Reverted }
 
 // State is an order's row in the store.
 type State struct {
 	Order Order
 	Phase Phase
-	// Started is when the order was first heard of, by the store's clock.
+	// Started is when the order was first received, by the store's clock.
 	Started time.Duration
-	// Reason is the evidence or the lack that decided the phase, for operators.
+	// Reason is what led to the phase, such as the evidence or a lack of endpoints, for operators.
 	Reason string
 }
 
-// Bounds are what the operator allows a version that turns out bad.
+// Bounds limit the requests to a version that turns out bad. The operator sets them.
 type Bounds struct {
-	// Share is the part of a service's requests in an order's period that may reach a
-	// bad version, Slack the requests on top.
+	// Share is the fraction of a service's requests in an order's period that may reach a bad
+	// version, Slack the number of requests in addition.
 	Share, Slack float64
 }
 
-// Enabled reports whether roll-outs may be ordered at all.
+// Enabled reports whether roll-outs may be ordered.
 func (b Bounds) Enabled() bool { return b.Share > 0 }
 
-// Directive is what the owner of an order sends all hosts several times a second.
+// Directive is what the owner of an order sends to all hosts several times a second.
 type Directive struct {
 	Service string
 	// Order is the ID of the order, Target and Period are the order's: hosts that are cut off from
-	// the store learn of it by the directive.
+	// the store learn of it from the directive.
 	Order  int64
 	Target string
 	Period time.Duration
 	Phase  Phase
-	// Share is the part of the requests that go to the target.
+	// Share is the fraction of the requests that goes to the target.
 	Share float64
-	// Slack is the requests of a host that may go there before Share is filled.
+	// Slack is the number of requests that a host may send to the target in excess of Share.
 	Slack int
-	// Epoch is of the lease under which the owner acts, Number grows with each directive that
-	// differs within it.
+	// Epoch is that of the lease under which the owner acts. Number grows within an epoch with each
+	// change of the directive.
 	Epoch, Number int64
-	// Suspects are endpoints of the target that are left out, as they may be at fault
-	// themselves.
+	// Suspects are endpoints of the target that are excluded, as they may be faulty themselves.
 	Suspects []string
-	// SlowThresholds are what counts as slow over all hosts, for those with too few answers of their own.
+	// SlowThresholds are those over all hosts, for hosts with too few answers of their own.
 	SlowThresholds []SlowThreshold
 }
 
-// SlowThreshold is the value above which answers of a kind are slow, and from how many
-// answers of the other versions it was worked out.
+// SlowThreshold is the value above which answers of a kind are slow, and the number of answers of
+// the other versions that it was computed from.
 type SlowThreshold struct {
 	Kind    Kind
 	Value   float64
@@ -131,20 +130,20 @@
 }
 
 // order returns the order that a directive applies to.
-func (w Directive) order() Order {
-	return Order{Service: w.Service, Target: w.Target, Period: w.Period, ID: w.Order}
+func (d Directive) order() Order {
+	return Order{Service: d.Service, Target: d.Target, Period: d.Period, ID: d.Order}
 }
 
 // newer reports whether a directive replaces another of the same order.
-func (w Directive) newer(held Directive) bool {
-	if w.Epoch != held.Epoch {
-		return w.Epoch > held.Epoch
+func (d Directive) newer(previous Directive) bool {
+	if d.Epoch != previous.Epoch {
+		return d.Epoch > previous.Epoch
 	}
-	return w.Number >= held.Number
+	return d.Number >= previous.Number
 }
 
-// Count is answers of one kind, and the bad ones among them: failures, or those that
-// took several times as long as the version before takes.
+// Count is the number of answers of one kind, and of the bad ones among them: failures, or answers
+// that took several times as long as those of the previous version.
 type Count struct {
 	Answers, Bad int
 }
@@ -154,39 +153,41 @@
 	c.Bad += other.Bad
 }
 
-// since returns what has been counted after an earlier count. Sends that were overdue
-// and were answered in time after all may make it less.
+// since returns what has been counted after an earlier count. A count may have decreased, if
+// attempts that were overdue were answered in time after all.
 func (c Count) since(earlier Count) Count {
 	answers := max(c.Answers-earlier.Answers, 0)
 	return Count{answers, min(max(c.Bad-earlier.Bad, 0), answers)}
 }
 
-// Kind names what is compared between two versions: the failures among a route's
-// answers, or how long a part of these takes. It is a hash of its name.
+// Kind identifies what is compared between two versions: the failures among a route's answers, or
+// how long a part of the answers takes. It is a hash of the route's name, with the part in its
+// lowest bits.
 type Kind uint32
 
-// Tally is the answers of one kind at one endpoint; Endpoint is empty for all that are
-// not of the target.
+// Tally is the count of one kind of answers at one endpoint of the target, or at all endpoints of
+// other versions if Endpoint is empty.
 type Tally struct {
 	Kind     Kind
 	Endpoint string
 	Count
 }
 
-// Report is what one host tells the owner of an order. Counts only grow.
+// Report is what one host sends to the owner of an order. The numbers of requests only grow.
 type Report struct {
 	Service string
 	Order   int64
-	// Phase is what the host has entered, Epoch and Number are of the latest word taken.
+	// Phase is the phase that the host has entered, Epoch and Number are those of the latest
+	// directive applied.
 	Phase         Phase
 	Epoch, Number int64
-	// Requests is the requests for the service since the host heard of the order, TargetRequests
-	// those of them that were sent to the target.
+	// Requests is the number of requests for the service since the host received the order,
+	// TargetRequests the number of attempts that were sent to the target.
 	Requests, TargetRequests int
-	// OthersRunning is what runs now at endpoints that are not of the target.
+	// OthersRunning is the number of attempts in progress at endpoints of other versions.
 	OthersRunning int
-	// LongestOther is the longest time that such a send has taken lately.
-	LongestOther time.Duration
-	Tallies []Tally
-	SlowThresholds  []SlowThreshold
+	// LongestOther is the longest time that such an attempt has recently taken.
+	LongestOther   time.Duration
+	Tallies        []Tally
+	SlowThresholds []SlowThreshold
 }
--- a/pkg/rollout/switch.go
+++ b/pkg/rollout/switch.go
@@ -11,28 +11,29 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Subset says which endpoints a request goes to.
+// Subset is the group of endpoints that a request may be sent to.
 type Subset int
 
-// The sides.
+// The subsets.
 const (
-	// Default is all endpoints but those whose version may be ordered unheard: no order
-	// concerns the service.
+	// Default is all endpoints except those of withheld versions. It is used if no order concerns
+	// the service.
 	Default Subset = iota
-	// All is those too.
+	// All is all endpoints, including those of withheld versions.
 	All
-	// Others are the endpoints that are not of an ordered version.
+	// Others are the endpoints of versions other than the ordered one.
 	Others
 	// Target is the endpoints of the ordered version.
 	Target
 )
 
-// Rule says which endpoints a side has. The zero value has all. What it holds is not
-// to be changed.
+// Rule selects the endpoints of a subset. The zero value selects all. Its slice and map must not be
+// modified.
 type Rule struct {
-	// OnlyRelease is the version that may take the request, empty for all but those in Not.
-	OnlyRelease string
-	ExcludedReleases  []string
+	// OnlyRelease is the version that may take the request; if it is empty, all versions but
+	// ExcludedReleases may.
+	OnlyRelease      string
+	ExcludedReleases []string
 	// OnlyEndpoints are the endpoints that may take it, nil for all.
 	OnlyEndpoints map[string]bool
 }
@@ -48,49 +49,49 @@
 	return r.OnlyEndpoints == nil || r.OnlyEndpoints[info.ID]
 }
 
-// Splitter splits one host's requests between versions and counts how they end. It is
-// safe for concurrent use.
+// Splitter splits one host's requests between versions and counts their results. It is safe for
+// concurrent use.
 type Splitter struct {
 	bounds Bounds
 
 	mu       sync.RWMutex
 	services map[string]*service
-	// settled says that the endpoints of the start are known: versions of endpoints
-	// that come from then on are new.
-	settled bool
+	// initialEndpointsKnown is whether the endpoints present at start-up are known: versions that
+	// appear later are new.
+	initialEndpointsKnown bool
 }
 
-// New returns a switch; with bounds that are not enabled it lets all requests pass.
+// New returns a splitter. If the bounds are not enabled, it restricts no requests.
 func New(bounds Bounds) *Splitter {
 	return &Splitter{bounds: bounds, services: map[string]*service{}}
 }
 
-// Bounds returns what a bad version may get.
+// Bounds returns the limits of the requests to a bad version.
 func (s *Splitter) Bounds() Bounds { return s.bounds }
 
-// service is one service's split. Its fields are guarded by its lock.
+// service is the state of one service. Its fields are guarded by its lock.
 type service struct {
 	mu sync.Mutex
-	// releases are the versions of its endpoints and when each was first seen, zero for
-	// those of the start.
-	releases map[string]time.Time
-	// unvetted are versions that may be ordered unheard.
-	unvetted []string
-	// excluded are targets of orders that did not end in their completion.
-	excluded   []string
-	references map[Kind]*reference
-	order      *split
-	// running is the sends under way by version.
-	running map[string]int
-	longest time.Duration
-	longAt  time.Time
+	// firstSeen is when each version of its endpoints was first seen, zero for those present at
+	// start-up.
+	firstSeen map[string]time.Time
+	// withheld are new versions whose order may not have been received yet.
+	withheld []string
+	// excluded are targets of orders that were not completed.
+	excluded  []string
+	baselines map[Kind]*baseline
+	current   *orderState
+	// inFlight is the number of attempts in progress by version.
+	inFlight       map[string]int
+	longestOther   time.Duration
+	longestOtherAt time.Time
 }
 
-// kindParts are the bits of a kind that tell the parts of an answer apart.
-const kindParts = 3
+// kindMask is the bits of a kind that identify the parts of an answer.
+const kindMask = 3
 
-// KindOf returns the kind of a name.
-func KindOf(name string) Kind { return Kind(xxhash.Sum64String(name)) &^ kindParts }
+// KindOf returns the kind for the failures of a route by the route's name.
+func KindOf(name string) Kind { return Kind(xxhash.Sum64String(name)) &^ kindMask }
 
 func (s *Splitter) find(name string) *service {
 	s.mu.RLock()
@@ -98,7 +99,7 @@
 	return s.services[name]
 }
 
-func (s *Splitter) of(name string) *service {
+func (s *Splitter) getOrCreate(name string) *service {
 	if found := s.find(name); found != nil {
 		return found
 	}
@@ -106,272 +107,275 @@
 	defer s.mu.Unlock()
 	found, ok := s.services[name]
 	if !ok {
-		found = &service{releases: map[string]time.Time{}, references: map[Kind]*reference{}, running: map[string]int{}}
+		found = &service{firstSeen: map[string]time.Time{}, baselines: map[Kind]*baseline{}, inFlight: map[string]int{}}
 		s.services[name] = found
 	}
 	return found
 }
 
-// AddOrder takes in an operator's order and reports whether it is news. One that is older
-// than the one held is left. joined says that it was there when the process started.
-func (s *Splitter) AddOrder(o Order, joined bool) bool {
+// AddOrder adds an operator's order and reports whether it is new. An order that is older than the
+// current one is ignored. learnedLate is whether the order was there when the process started, or
+// was first seen in a directive.
+func (s *Splitter) AddOrder(o Order, learnedLate bool) bool {
 	if !s.bounds.Enabled() || o.Check() != nil {
 		return false
 	}
-	v := s.of(o.Service)
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.order != nil && v.order.order.ID >= o.ID {
+	svc := s.getOrCreate(o.Service)
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	if svc.current != nil && svc.current.order.ID >= o.ID {
 		return false
 	}
-	if v.order != nil && o.RenumberedFrom(v.order.order) {
+	if svc.current != nil && o.RenumberedFrom(svc.current.order) {
 		// The restore may have lost the row with the order's end: keep the order open until a row
 		// confirms the end.
-		v.order.formerID = v.order.order.ID
-		v.order.order.ID, v.order.recorded = o.ID, false
+		svc.current.formerID = svc.current.order.ID
+		svc.current.order.ID, svc.current.endRecorded = o.ID, false
 		return false
 	}
-	if before := v.order; before != nil && before.phase != Completed {
-		v.exclude(before.order.Target)
+	if before := svc.current; before != nil && before.phase != Completed {
+		svc.exclude(before.order.Target)
 	}
-	v.excluded = slices.DeleteFunc(v.excluded, func(release string) bool { return release == o.Target })
-	_, known := v.releases[o.Target]
-	v.order = &split{
-		order: o, phase: Trying, joined: joined, inUse: known && !slices.Contains(v.unvetted, o.Target),
-		kinds: map[Kind]*kindCount{}, tallies: map[tallyKey]*Count{}, pending: map[*Attempt]struct{}{},
+	svc.excluded = slices.DeleteFunc(svc.excluded, func(release string) bool { return release == o.Target })
+	_, known := svc.firstSeen[o.Target]
+	svc.current = &orderState{
+		order: o, phase: Trying, learnedLate: learnedLate, targetInUse: known && !slices.Contains(svc.withheld, o.Target),
+		kindCounts: map[Kind]*kindCount{}, tallies: map[tallyKey]*Count{}, pending: map[*Attempt]struct{}{},
 	}
-	v.rules()
+	svc.updateRules()
 	return true
 }
 
-func (v *service) exclude(release string) {
-	if !slices.Contains(v.excluded, release) {
-		v.excluded = append(v.excluded, release)
+func (svc *service) exclude(release string) {
+	if !slices.Contains(svc.excluded, release) {
+		svc.excluded = append(svc.excluded, release)
 	}
 }
 
-// rules works out the rules of both sides. The lock is held.
-func (v *service) rules() {
-	not := append(slices.Clone(v.excluded), v.unvetted...)
-	d := v.order
-	if d == nil {
+// updateRules computes the rules of both subsets. The caller holds the lock.
+func (svc *service) updateRules() {
+	excluded := append(slices.Clone(svc.excluded), svc.withheld...)
+	state := svc.current
+	if state == nil {
 		return
 	}
-	d.target = Rule{OnlyRelease: d.order.Target, OnlyEndpoints: d.among}
-	if d.alone {
-		d.others = Rule{ExcludedReleases: not}
+	state.targetRule = Rule{OnlyRelease: state.order.Target, OnlyEndpoints: state.trialEndpoints}
+	if state.nothingToSplit {
+		state.othersRule = Rule{ExcludedReleases: excluded}
 		return
 	}
-	d.others = Rule{ExcludedReleases: append(not, d.order.Target)}
+	state.othersRule = Rule{ExcludedReleases: append(excluded, state.order.Target)}
 }
 
-// ApplyDirective applies the owner's directive. It reports whether the share or the phase changed.
-func (s *Splitter) ApplyDirective(w Directive, now time.Time) bool {
-	// A host that learns of an order by a directive may be late: it has no slack.
-	s.AddOrder(w.order(), true)
-	v := s.find(w.Service)
-	if v == nil {
+// ApplyDirective applies the owner's directive. It reports whether the share or the phase changed,
+// or the directive before had expired.
+func (s *Splitter) ApplyDirective(directive Directive, now time.Time) bool {
+	// A host that learns of an order from a directive may be late: it has no slack.
+	s.AddOrder(directive.order(), true)
+	svc := s.find(directive.Service)
+	if svc == nil {
 		return false
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
-	if d == nil || !d.matches(w.order()) || d.phase.Ended() || !w.newer(d.directive) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
+	if state == nil || !state.matches(directive.order()) || state.phase.Ended() || !directive.newer(state.directive) {
 		return false
 	}
-	before, lapsed := d.directive, d.lapsed(now)
-	d.directive, d.appliedAt = w, now
-	entered := v.enter(w.Phase, now)
-	if entered || before.Share != w.Share || len(before.Suspects) != len(w.Suspects) {
-		d.tryAt()
-		v.rules()
+	before, wasExpired := state.directive, state.expired(now)
+	state.directive, state.appliedAt = directive, now
+	entered := svc.enterPhase(directive.Phase, now)
+	if entered || before.Share != directive.Share || len(before.Suspects) != len(directive.Suspects) {
+		state.selectTrialEndpoints()
+		svc.updateRules()
 	}
-	return lapsed || before.Share != w.Share || before.Phase != w.Phase
+	return wasExpired || before.Share != directive.Share || before.Phase != directive.Phase
 }
 
-// ApplyState takes in how an order ended, or that everything goes to its target, as the
-// store tells it.
+// ApplyState applies the state of an order from the store if the order has ended or all requests go
+// to its target. It reports whether the phase changed.
 func (s *Splitter) ApplyState(state State, now time.Time) bool {
-	v := s.find(state.Order.Service)
-	if v == nil {
+	svc := s.find(state.Order.Service)
+	if svc == nil {
 		return false
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.order == nil || !v.order.matches(state.Order) || state.Phase < Draining {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	if svc.current == nil || !svc.current.matches(state.Order) || state.Phase < Draining {
 		return false
 	}
-	v.order.recorded = v.order.recorded || state.Phase.Ended()
-	return v.enter(state.Phase, now)
+	svc.current.endRecorded = svc.current.endRecorded || state.Phase.Ended()
+	return svc.enterPhase(state.Phase, now)
 }
 
-// enter raises the phase; draining stays in force unheard, whatever comes of the
-// owner, until the order ends. The lock is held.
-func (v *service) enter(phase Phase, now time.Time) bool {
-	d := v.order
-	if d.phase.Ended() || phase <= d.phase {
+// enterPhase raises the phase. Draining stays in force without directives until the order ends,
+// even if the owner fails. The caller holds the lock.
+func (svc *service) enterPhase(phase Phase, now time.Time) bool {
+	state := svc.current
+	if state.phase.Ended() || phase <= state.phase {
 		return false
 	}
-	d.phase = phase
+	state.phase = phase
 	switch phase {
 	case Completed:
-		d.endedAt = now
-		v.excluded = nil
+		state.endedAt = now
+		svc.excluded = nil
 	case Reverted:
-		d.endedAt = now
-		v.exclude(d.order.Target)
+		state.endedAt = now
+		svc.exclude(state.order.Target)
 	}
-	d.tryAt()
-	v.rules()
+	state.selectTrialEndpoints()
+	svc.updateRules()
 	return true
 }
 
-// NewlyExpired returns the open orders whose word has lapsed since it was last asked: this
-// host sends their requests to the version before.
+// NewlyExpired returns the open orders whose directive has expired since the last call: this host
+// sends their requests to the previous version.
 func (s *Splitter) NewlyExpired(now time.Time) []Order {
-	var lapsed []Order
-	s.each(func(v *service) {
-		d := v.order
-		if d == nil || d.phase >= Draining || d.appliedAt.IsZero() {
+	var expired []Order
+	s.forEach(func(svc *service) {
+		state := svc.current
+		if state == nil || state.phase >= Draining || state.appliedAt.IsZero() {
 			return
 		}
-		isLapsed := d.lapsed(now)
-		if isLapsed && !d.wasLapsed {
-			lapsed = append(lapsed, d.order)
+		isExpired := state.expired(now)
+		if isExpired && !state.wasExpired {
+			expired = append(expired, state.order)
 		}
-		d.wasLapsed = isLapsed
+		state.wasExpired = isExpired
 	})
-	return lapsed
+	return expired
 }
 
-// CountsTowardCapacity reports whether an endpoint counts as one that serves, where the number of a
-// service's endpoints is planned: not those of a version that is not in use yet or any
-// more.
+// CountsTowardCapacity reports whether an endpoint counts as a serving one when the number of a
+// service's endpoints is planned. Endpoints of a version that is not in use yet or no longer in use
+// do not count.
 func (s *Splitter) CountsTowardCapacity(info *endpoint.Info, now time.Time) bool {
-	v := s.find(info.Service)
-	if v == nil {
+	svc := s.find(info.Service)
+	if svc == nil {
 		return true
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
 	switch {
-	case d == nil || d.alone:
+	case state == nil || state.nothingToSplit:
 		return true
-	case d.phase == Completed:
-		return info.Release == d.order.Target || now.Sub(d.endedAt) > targetOnly
+	case state.phase == Completed:
+		return info.Release == state.order.Target || now.Sub(state.endedAt) > targetOnlyTime
 	default:
-		return info.Release != d.order.Target
+		return info.Release != state.order.Target
 	}
 }
 
-// CompletedOrder returns the order that last replaced a service's endpoints, 0 for none.
+// CompletedOrder returns the ID of the order that last replaced a service's endpoints, 0 if there
+// is none or the order was learned late.
 func (s *Splitter) CompletedOrder(name string) int64 {
-	v := s.find(name)
-	if v == nil {
+	svc := s.find(name)
+	if svc == nil {
 		return 0
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.order == nil || v.order.phase != Completed || v.order.joined {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	if svc.current == nil || svc.current.phase != Completed || svc.current.learnedLate {
 		return 0
 	}
-	return v.order.order.ID
+	return svc.current.order.ID
 }
 
-// InProgress reports whether an order for a service is under way.
+// InProgress reports whether an order for a service is in progress.
 func (s *Splitter) InProgress(name string) bool {
-	v := s.find(name)
-	if v == nil {
+	svc := s.find(name)
+	if svc == nil {
 		return false
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.watching() != nil
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	return svc.inProgress() != nil
 }
 
-// OpenOrders returns the orders whose end is not known to stand in the store, those that all
-// hosts were told to revert too: somebody has to write it.
+// OpenOrders returns the orders whose end is not known to be in the store, including those that all
+// hosts were directed to revert: their end has yet to be written.
 func (s *Splitter) OpenOrders() []Order {
 	var open []Order
-	s.each(func(v *service) {
-		if v.order != nil && !v.order.recorded {
-			open = append(open, v.order.order)
+	s.forEach(func(svc *service) {
+		if svc.current != nil && !svc.current.endRecorded {
+			open = append(open, svc.current.order)
 		}
 	})
 	sort.Slice(open, func(i, j int) bool { return open[i].Service < open[j].Service })
 	return open
 }
 
-// each calls visit for each service under its lock.
-func (s *Splitter) each(visit func(*service)) {
+// forEach calls visit for each service under its lock.
+func (s *Splitter) forEach(visit func(*service)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for _, v := range s.services {
-		v.mu.Lock()
-		visit(v)
-		v.mu.Unlock()
+	for _, svc := range s.services {
+		svc.mu.Lock()
+		visit(svc)
+		svc.mu.Unlock()
 	}
 }
 
-// SubsetFor says where a request goes. A hash of its id decides, so that each further send
-// of it goes the same way and no host needs another's word.
+// SubsetFor counts a request and returns the subset that it is sent to. A hash of the request's ID
+// decides, so that every attempt of it goes the same way without coordination between hosts.
 func (s *Splitter) SubsetFor(name string, kind Kind, request string, now time.Time) Subset {
-	v := s.find(name)
-	if v == nil {
+	svc := s.find(name)
+	if svc == nil {
 		return Default
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
-	if d == nil {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
+	if state == nil {
 		return Default
 	}
-	d.asked++
-	d.kindOf(kind).asked++
-	return d.side(kind, request, now)
+	state.requests++
+	state.countOf(kind).requests++
+	return state.subset(kind, request, now)
 }
 
-// Rule returns the endpoints of a side.
-func (s *Splitter) Rule(name string, side Subset) Rule {
-	v := s.find(name)
-	if v == nil {
+// Rule returns the rule that selects the endpoints of a subset.
+func (s *Splitter) Rule(name string, subset Subset) Rule {
+	svc := s.find(name)
+	if svc == nil {
 		return Rule{}
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
 	switch {
-	case side == All:
+	case subset == All:
 		return Rule{}
-	case v.order == nil || side == Default:
-		return Rule{ExcludedReleases: v.unvetted}
-	case side == Target:
-		return v.order.target
+	case svc.current == nil || subset == Default:
+		return Rule{ExcludedReleases: svc.withheld}
+	case subset == Target:
+		return svc.current.targetRule
 	default:
-		return v.order.others
+		return svc.current.othersRule
 	}
 }
 
-// Fallback says where a request goes for whose side no endpoint takes work: back to the
-// others from a target that is tried, and to the target where nothing else is left and
-// its share allows. ok is false where there is nowhere.
-func (s *Splitter) Fallback(name string, side Subset, now time.Time) (instead Subset, ok bool) {
-	v := s.find(name)
-	if v == nil || side == All {
+// Fallback returns where to send a request if no endpoint of its subset takes work: to the others
+// instead of a target that is tried, and to the target if nothing else is left and its share
+// allows. ok is false if there is no alternative.
+func (s *Splitter) Fallback(name string, subset Subset, now time.Time) (fallback Subset, ok bool) {
+	svc := s.find(name)
+	if svc == nil || subset == All {
 		return All, false
 	}
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	d := v.order
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	state := svc.current
 	switch {
-	case d == nil || side == Default:
-		// A release may have replaced all endpoints faster than its version is vetted.
-		return All, len(v.unvetted) > 0
-	case side == Target:
-		return Others, d.phase != Completed
-	case d.phase == Reverted:
-		return Target, now.Sub(d.endedAt) > revertKept
+	case state == nil || subset == Default:
+		// A new version may have replaced all endpoints while it was still withheld.
+		return All, len(svc.withheld) > 0
+	case subset == Target:
+		return Others, state.phase != Completed
+	case state.phase == Reverted:
+		return Target, now.Sub(state.endedAt) > revertedExclusionTime
 	default:
-		return Target, float64(d.tried+1) <= s.bounds.Share*float64(d.asked)
+		return Target, float64(state.targetRequests+1) <= s.bounds.Share*float64(state.requests)
 	}
 }
