--- a/pkg/rolloutsync/desk_test.go
+++ b/pkg/rolloutsync/coordinator_test.go
@@ -30,12 +30,12 @@
 )
 
 var (
-	bounds = rollout.Bounds{Share: 0.1, Slack: 50}
-	order  = rollout.Order{Service: service, Target: "v2", Period: 20 * time.Second, ID: 5}
-	quiet  = &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
+	bounds        = rollout.Bounds{Share: 0.1, Slack: 50}
+	order         = rollout.Order{Service: service, Target: "v2", Period: 20 * time.Second, ID: 5}
+	discardLogger = &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 )
 
-// status counts how often operators were told each phase.
+// status encodes the status row as the name of the phase.
 type status struct{}
 
 func (status) StatusKey(name string) string { return "status/rollout/" + name }
@@ -44,16 +44,16 @@
 
 // host is a process that may own the order, and splits its own requests.
 type host struct {
-	fleet    *fleet
-	name     string
-	rollouts *rollout.Splitter
-	leases   *lease.Manager
-	desk     *rolloutsync.Coordinator
-	paused   atomic.Bool
-	stop     context.CancelFunc
+	fleet       *fleet
+	name        string
+	splitter    *rollout.Splitter
+	leases      *lease.Manager
+	coordinator *rolloutsync.Coordinator
+	paused      atomic.Bool
+	stop        context.CancelFunc
 }
 
-// fleet is three of them over one store.
+// fleet is three hosts over one store.
 type fleet struct {
 	store  *tables.Store
 	mu     sync.Mutex
@@ -92,7 +92,7 @@
 func (f *fleet) start(i int) {
 	f.starts++
 	name := fmt.Sprintf("h%d.%d", i, f.starts)
-	h := &host{fleet: f, name: name, rollouts: rollout.New(bounds)}
+	h := &host{fleet: f, name: name, splitter: rollout.New(bounds)}
 	clock := storeclock.New()
 	clock.Heard(time.Since(f.began) + time.Minute)
 	writer := table.NewWriter(f.store, name)
@@ -101,11 +101,11 @@
 		grant, ok := h.leases.Held(shard)
 		return grant, h.leases.Left(shard), ok
 	}
-	h.desk = rolloutsync.NewCoordinator(h.rollouts, rollout.DefaultBayesTest(), writer, status{}, f.known, clock, held, quiet)
-	h.rollouts.ObserveRelease(service, "v1", time.Now())
-	h.rollouts.UpdateEndpoints(infos(), true, time.Now())
-	h.rollouts.AddOrder(order, f.starts > 3)
-	h.rollouts.UpdateEndpoints(infos(), true, time.Now())
+	h.coordinator = rolloutsync.NewCoordinator(h.splitter, rollout.DefaultBayesTest(), writer, status{}, f.fleetInfo, clock, held, discardLogger)
+	h.splitter.ObserveRelease(service, "v1", time.Now())
+	h.splitter.UpdateEndpoints(infos(), true, time.Now())
+	h.splitter.AddOrder(order, f.starts > 3)
+	h.splitter.UpdateEndpoints(infos(), true, time.Now())
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
 	f.mu.Lock()
@@ -114,30 +114,30 @@
 	go h.run(ctx, func(ctx context.Context) {
 		h.leases.Step(ctx, map[lease.Shard]lease.Wish{shard: lease.Wanted})
 	}, 700*time.Millisecond)
-	go h.run(ctx, h.desk.Step, 100*time.Millisecond)
-	go h.run(ctx, h.tell, 250*time.Millisecond)
+	go h.run(ctx, h.coordinator.Step, 100*time.Millisecond)
+	go h.run(ctx, h.sendDirectives, 250*time.Millisecond)
 	go h.run(ctx, h.readRow, 1500*time.Millisecond)
 	go h.run(ctx, h.serve, 20*time.Millisecond)
 }
 
-// run calls do until the process ends; a paused one stands still between two calls.
-func (h *host) run(ctx context.Context, do func(context.Context), pause time.Duration) {
+// run calls do until the process ends. A paused process makes no calls.
+func (h *host) run(ctx context.Context, do func(context.Context), interval time.Duration) {
 	for ctx.Err() == nil {
-		time.Sleep(pause)
+		time.Sleep(interval)
 		if !h.paused.Load() && ctx.Err() == nil {
 			do(ctx)
 		}
 	}
 }
 
-func (f *fleet) known(rollout.Order) rollout.Fleet {
-	known := rollout.Fleet{Advertised: len(f.hosts), OtherEndpoints: 4, TargetEndpoints: 4}
+func (f *fleet) fleetInfo(rollout.Order) rollout.Fleet {
+	info := rollout.Fleet{Advertised: len(f.hosts), OtherEndpoints: 4, TargetEndpoints: 4}
 	for _, h := range f.all() {
 		if !h.paused.Load() {
-			known.Live = append(known.Live, h.name)
+			info.Live = append(info.Live, h.name)
 		}
 	}
-	return known
+	return info
 }
 
 // infos returns the service's endpoints, of both versions.
@@ -157,16 +157,17 @@
 	return endpoint.Info{ID: fmt.Sprintf("e%d", i), State: endpoint.Live, Service: service, Release: release}
 }
 
-// tell tells the others what this host has decided; a part is lost.
-func (h *host) tell(context.Context) {
-	for _, w := range h.desk.Directives() {
+// sendDirectives sends this host's directives to all hosts and applies their reports. One in ten is
+// lost.
+func (h *host) sendDirectives(context.Context) {
+	for _, w := range h.coordinator.Directives() {
 		for _, other := range h.fleet.all() {
 			if other.paused.Load() || h.fleet.draw(10) == 0 {
 				continue
 			}
-			other.rollouts.ApplyDirective(w, time.Now())
-			if r, ok := other.rollouts.Report(service, w.Order, time.Now()); ok {
-				h.desk.ApplyReport(other.name, r)
+			other.splitter.ApplyDirective(w, time.Now())
+			if r, ok := other.splitter.Report(service, w.Order, time.Now()); ok {
+				h.coordinator.ApplyReport(other.name, r)
 			}
 		}
 	}
@@ -175,7 +176,7 @@
 func (h *host) readRow(ctx context.Context) {
 	if row, ok, err := h.fleet.store.Get(ctx, rolloutsync.Key(service)); ok && err == nil {
 		if state, err := rolloutsync.DecodeState(row.Value); err == nil {
-			h.rollouts.ApplyState(state, time.Now())
+			h.splitter.ApplyState(state, time.Now())
 		}
 	}
 }
@@ -184,27 +185,27 @@
 func (h *host) serve(context.Context) {
 	now := time.Now()
 	kind := rollout.KindOf("route")
-	side := h.rollouts.SubsetFor(service, kind, fmt.Sprint(h.fleet.draw(1<<40)), now)
-	rule := h.rollouts.Rule(service, side)
+	subset := h.splitter.SubsetFor(service, kind, fmt.Sprint(h.fleet.draw(1<<40)), now)
+	rule := h.splitter.Rule(service, subset)
 	first := h.fleet.draw(8)
 	for i := range 8 {
 		info := endpointOf((first + i) % 8)
 		if !rule.Allows(&info) {
 			continue
 		}
-		sent := h.rollouts.StartAttempt(service, &info, kind, 0, now)
+		attempt := h.splitter.StartAttempt(service, &info, kind, 0, now)
 		go func() {
 			time.Sleep(time.Duration(20+h.fleet.draw(40)) * time.Millisecond)
 			failed := h.fleet.isBad() && info.Release == "v2" && h.fleet.draw(2) == 0
-			h.rollouts.RecordAnswer(sent, failed, time.Now())
-			h.rollouts.FinishAttempt(sent, time.Now())
+			h.splitter.RecordAnswer(attempt, failed, time.Now())
+			h.splitter.FinishAttempt(attempt, time.Now())
 		}()
 		return
 	}
 }
 
-// faults draws what befalls a call to the store.
-func (f *fleet) faults(tables.Call) tables.Fault {
+// drawFault draws the fault of a call to the store.
+func (f *fleet) drawFault(tables.Call) tables.Fault {
 	switch f.draw(12) {
 	case 0:
 		return tables.Down{}
@@ -220,60 +221,60 @@
 	return tables.None{}
 }
 
-// Owners die, stand still and wake, and their writes are lost or come seconds late: an
-// order's row never goes back and has one end, which all hosts come to, and that end is
-// the right one.
-func TestOneEndWhateverBefallsOwners(t *testing.T) {
+// Owners die, freeze and resume, and their writes are lost or arrive seconds late. The phase of an
+// order's row must never go back, and must end in the one final phase that is right, which all
+// hosts must reach.
+func TestOneFinalPhaseUnderFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fleet{store: tables.New(), random: rand.New(rand.NewPCG(seed, 1)), began: time.Now(), hosts: make([]*host, 3), bad: seed%2 == 1}
 			for i := range f.hosts {
 				f.start(i)
 			}
-			f.store.SetFaults(f.faults)
-			f.watch(t, seed)
+			f.store.SetFaults(f.drawFault)
+			f.runWithFaults(t, seed)
 			for _, h := range f.hosts {
 				h.stop()
 			}
-			// Late writes and sleeping loops end.
+			// Wait for delayed writes and sleeping loops to end.
 			time.Sleep(10 * time.Second)
 		})
 	}
 }
 
-// watch harms hosts and looks at the row until the order has long ended.
-func (f *fleet) watch(t *testing.T, seed uint64) {
+// runWithFaults injects faults into hosts and checks the row until long after the order has ended.
+func (f *fleet) runWithFaults(t *testing.T, seed uint64) {
 	t.Helper()
-	most := rollout.Phase(0)
+	latest := rollout.Phase(0)
 	for time.Since(f.began) < 60*time.Second {
 		time.Sleep(50 * time.Millisecond)
 		if time.Since(f.began) < 25*time.Second && f.draw(40) == 0 {
-			f.harm(f.draw(len(f.hosts)))
+			f.injectFault(f.draw(len(f.hosts)))
 		}
 		if time.Since(f.began) > 30*time.Second {
 			f.store.SetFaults(nil)
 		}
 		phase := f.phase()
-		if phase < most || most.Ended() && phase != most {
-			t.Fatalf("seed %d: row went from %v to %v", seed, most, phase)
+		if phase < latest || latest.Ended() && phase != latest {
+			t.Fatalf("seed %d: phase went from %v to %v", seed, latest, phase)
 		}
-		most = phase
+		latest = phase
 	}
 	want := rollout.Completed
 	if f.bad {
 		want = rollout.Reverted
 	}
-	if most != want {
-		t.Errorf("seed %d: got %v, want %v", seed, most, want)
+	if latest != want {
+		t.Errorf("seed %d: got phase %v, want %v", seed, latest, want)
 	}
 	for _, h := range f.hosts {
-		if open := h.rollouts.OpenOrders(); len(open) > 0 {
-			t.Errorf("seed %d: %s holds the order for open, want it %v", seed, h.name, most)
+		if open := h.splitter.OpenOrders(); len(open) > 0 {
+			t.Errorf("seed %d: %s still has the order open, want it %v", seed, h.name, latest)
 		}
 	}
 }
 
-// phase returns the row's phase, as the store has it.
+// phase returns the phase of the row in the store.
 func (f *fleet) phase() rollout.Phase {
 	for {
 		row, ok, err := f.store.Get(context.Background(), rolloutsync.Key(service))
@@ -291,7 +292,7 @@
 	}
 }
 
-func (f *fleet) harm(i int) {
+func (f *fleet) injectFault(i int) {
 	h := f.hosts[i]
 	if f.draw(2) == 0 {
 		h.stop()
@@ -321,7 +322,7 @@
 			renumbered := order
 			renumbered.ID = storeversion.New(1, 3)
 			for _, h := range f.hosts {
-				if h.rollouts.AddOrder(renumbered, false) {
+				if h.splitter.AddOrder(renumbered, false) {
 					t.Errorf("%s: order from before the restore: got it taken as new, want it recognized", h.name)
 				}
 			}
@@ -330,7 +331,7 @@
 				t.Errorf("phase after the restore: got %v, want %v as before", got, ended)
 			}
 			for _, h := range f.hosts {
-				if open := h.rollouts.OpenOrders(); len(open) > 0 {
+				if open := h.splitter.OpenOrders(); len(open) > 0 {
 					t.Errorf("%s still has the order open, want it %v", h.name, ended)
 				}
 				h.stop()
@@ -356,7 +357,7 @@
 			renumbered := order
 			renumbered.ID = storeversion.New(1, 3)
 			for _, h := range f.hosts {
-				h.rollouts.AddOrder(renumbered, false)
+				h.splitter.AddOrder(renumbered, false)
 			}
 			time.Sleep(20 * time.Second)
 			if got := f.phase(); got != rollout.Completed {
@@ -383,8 +384,8 @@
 			next := order
 			next.ID = id
 			for _, h := range f.hosts {
-				h.rollouts.AddOrder(next, false)
-				h.rollouts.UpdateEndpoints(infos(), true, time.Now())
+				h.splitter.AddOrder(next, false)
+				h.splitter.UpdateEndpoints(infos(), true, time.Now())
 			}
 		}
 		takeOnAll(storeversion.New(1, 3))
@@ -405,8 +406,8 @@
 	})
 }
 
-// What hosts tell each other is what they meant.
-func TestWordsAndReportsAreCarried(t *testing.T) {
+// Directives and reports must be equal after they are encoded and decoded.
+func TestDirectivesAndReportsRoundTrip(t *testing.T) {
 	w := rollout.Directive{
 		Service: service, Order: 5, Target: "v2", Period: time.Second, Phase: rollout.Shifting, Share: 0.25, Slack: 3, Epoch: 2, Number: 9, Suspects: []string{"e1"},
 		SlowThresholds: []rollout.SlowThreshold{{Kind: 4, Value: 0.5, Answers: 20}},
@@ -415,9 +416,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words, _, err := rolloutsync.Decode(data)
-	if got, want := fmt.Sprintf("%+v %v", words, err), fmt.Sprintf("%+v <nil>", []rollout.Directive{w}); got != want {
-		t.Errorf("words: got %s, want %s", got, want)
+	directives, _, err := rolloutsync.Decode(data)
+	if got, want := fmt.Sprintf("%+v %v", directives, err), fmt.Sprintf("%+v <nil>", []rollout.Directive{w}); got != want {
+		t.Errorf("directives: got %s, want %s", got, want)
 	}
 	r := rollout.Report{
 		Service: service, Order: 5, Phase: rollout.Draining, Epoch: 2, Number: 9, Requests: 100, TargetRequests: 7, OthersRunning: 2, LongestOther: 3 * time.Second,
@@ -441,9 +442,10 @@
 	}
 }
 
-// The store turns all writes away when a version is found bad, and the owner may die
-// before they pass: the hosts were told, and the row says so as soon as it can.
-func TestRevertIsWrittenOnceTheStoreIsBack(t *testing.T) {
+// The store rejects all writes when a version is found bad, and the owner may die before they
+// succeed. The hosts were already directed to revert, and the row must show it as soon as it can be
+// written.
+func TestRevertIsWrittenOnceTheStoreAcceptsWrites(t *testing.T) {
 	for _, ownerDies := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := &fleet{store: tables.New(), random: rand.New(rand.NewPCG(1, 1)), began: time.Now(), hosts: make([]*host, 3), bad: true}
@@ -459,7 +461,7 @@
 			})
 			time.Sleep(5 * time.Second)
 			if got := f.phase(); got != rollout.Trying {
-				t.Errorf("row while the store turns writes away: got %v, want trying", got)
+				t.Errorf("phase while the store rejects writes: got %v, want trying", got)
 			}
 			for i, h := range f.all() {
 				if _, holds := h.leases.Held(shard); holds && ownerDies {
@@ -486,5 +488,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("row after 20 s: got %v, want %v", f.phase(), want)
+	t.Fatalf("phase after 20 s: got %v, want %v", f.phase(), want)
 }
--- a/pkg/rolloutsync/wire.go
+++ b/pkg/rolloutsync/wire.go
@@ -1,5 +1,5 @@
-// Package rolloutsync carries roll-outs between hosts: the owner's words and the hosts'
-// reports by datagram, and the state of each order by a row in the store.
+// Package rolloutsync sends roll-outs between hosts: the owner's directives and the hosts' reports
+// in datagrams, and the state of each order in a row of the store.
 package rolloutsync
 
 import (
@@ -12,63 +12,63 @@
 	"ironhollow/pkg/rollout"
 )
 
-// Bounds of a report, with which it fits a datagram of 1,400 bytes: three routes whose
-// answers are streams have 12 kinds, and are told apart at seven endpoints and over all
-// others. What is beyond is not told.
+// Limits of a report, with which it fits a datagram of 1,400 bytes: three routes whose answers are
+// streams have 12 kinds, which are counted separately for seven endpoints and for all others
+// together. Anything beyond is left out.
 const (
-	mostTallies = 110
-	mostBounds  = 24
+	maxTallies        = 110
+	maxSlowThresholds = 24
 )
 
-// message is what one datagram tells.
+// message is the content of one datagram.
 type message struct {
-	_       struct{} `cbor:",toarray"`
-	Words   []wireDirective
-	Reports []report
+	_          struct{} `cbor:",toarray"`
+	Directives []wireDirective
+	Reports    []wireReport
 }
 
 type wireDirective struct {
-	_        struct{} `cbor:",toarray"`
-	Service  string
-	Order    int64
-	Target   string
-	PeriodMS int64
-	Phase    int
-	Share    float32
-	Slack    int
-	Epoch    int64
-	Number   int64
-	Suspects []string
-	Bounds   []bound
+	_              struct{} `cbor:",toarray"`
+	Service        string
+	Order          int64
+	Target         string
+	PeriodMS       int64
+	Phase          int
+	Share          float32
+	Slack          int
+	Epoch          int64
+	Number         int64
+	Suspects       []string
+	SlowThresholds []wireSlowThreshold
 }
 
-type bound struct {
+type wireSlowThreshold struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    uint32
 	Value   float32
 	Answers int
 }
 
-type report struct {
-	_             struct{} `cbor:",toarray"`
-	Service       string
-	Order         int64
-	Phase         int
-	Epoch         int64
-	Number        int64
-	Asked         int
-	Tried         int
-	OthersRunning int
-	LongestMS     int64
-	// Endpoints and Kinds are named once; a tally has the number of its own, 0 for no
-	// endpoint.
-	Endpoints []string
-	Kinds     []uint32
-	Tallies   []tally
-	Bounds    []bound
+type wireReport struct {
+	_              struct{} `cbor:",toarray"`
+	Service        string
+	Order          int64
+	Phase          int
+	Epoch          int64
+	Number         int64
+	Requests       int
+	TargetRequests int
+	OthersRunning  int
+	LongestOtherMS int64
+	// Endpoints and Kinds contain each value once. A tally has the index of its kind, and the index
+	// of its endpoint plus 1, 0 for no endpoint.
+	Endpoints      []string
+	Kinds          []uint32
+	Tallies        []wireTally
+	SlowThresholds []wireSlowThreshold
 }
 
-type tally struct {
+type wireTally struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     int
 	Endpoint int
@@ -79,16 +79,16 @@
 // EncodeDirectives encodes an owner's directives.
 func EncodeDirectives(directives []rollout.Directive) ([]byte, error) {
 	var m message
-	for _, w := range directives {
-		m.Words = append(m.Words, wireDirective{
-			Service: w.Service, Order: w.Order, Target: w.Target, PeriodMS: w.Period.Milliseconds(), Phase: int(w.Phase), Share: float32(w.Share), Slack: w.Slack,
-			Epoch: w.Epoch, Number: w.Number, Suspects: w.Suspects, Bounds: encodeBounds(w.SlowThresholds),
+	for _, d := range directives {
+		m.Directives = append(m.Directives, wireDirective{
+			Service: d.Service, Order: d.Order, Target: d.Target, PeriodMS: d.Period.Milliseconds(), Phase: int(d.Phase), Share: float32(d.Share), Slack: d.Slack,
+			Epoch: d.Epoch, Number: d.Number, Suspects: d.Suspects, SlowThresholds: encodeSlowThresholds(d.SlowThresholds),
 		})
 	}
 	return cbor.Marshal(m)
 }
 
-// EncodeReports encodes what a host tells an owner.
+// EncodeReports encodes a host's reports to an owner.
 func EncodeReports(reports []rollout.Report) ([]byte, error) {
 	var m message
 	for _, r := range reports {
@@ -97,55 +97,55 @@
 	return cbor.Marshal(m)
 }
 
-func encodeReport(r rollout.Report) report {
-	w := report{
-		Service: r.Service, Order: r.Order, Phase: int(r.Phase), Epoch: r.Epoch, Number: r.Number, Asked: r.Requests, Tried: r.TargetRequests,
-		OthersRunning: r.OthersRunning, LongestMS: r.LongestOther.Milliseconds(), Bounds: encodeBounds(r.SlowThresholds),
+func encodeReport(r rollout.Report) wireReport {
+	encoded := wireReport{
+		Service: r.Service, Order: r.Order, Phase: int(r.Phase), Epoch: r.Epoch, Number: r.Number, Requests: r.Requests, TargetRequests: r.TargetRequests,
+		OthersRunning: r.OthersRunning, LongestOtherMS: r.LongestOther.Milliseconds(), SlowThresholds: encodeSlowThresholds(r.SlowThresholds),
 	}
-	places := map[string]int{"": 0}
-	for _, t := range r.Tallies[:min(len(r.Tallies), mostTallies)] {
-		place, ok := places[t.Endpoint]
+	endpointNumbers := map[string]int{"": 0}
+	for _, t := range r.Tallies[:min(len(r.Tallies), maxTallies)] {
+		number, ok := endpointNumbers[t.Endpoint]
 		if !ok {
-			w.Endpoints = append(w.Endpoints, t.Endpoint)
-			place = len(w.Endpoints)
-			places[t.Endpoint] = place
+			encoded.Endpoints = append(encoded.Endpoints, t.Endpoint)
+			number = len(encoded.Endpoints)
+			endpointNumbers[t.Endpoint] = number
 		}
-		kind := slices.Index(w.Kinds, uint32(t.Kind))
+		kind := slices.Index(encoded.Kinds, uint32(t.Kind))
 		if kind < 0 {
-			kind = len(w.Kinds)
-			w.Kinds = append(w.Kinds, uint32(t.Kind))
+			kind = len(encoded.Kinds)
+			encoded.Kinds = append(encoded.Kinds, uint32(t.Kind))
 		}
-		w.Tallies = append(w.Tallies, tally{Kind: kind, Endpoint: place, Answers: t.Answers, Bad: t.Bad})
+		encoded.Tallies = append(encoded.Tallies, wireTally{Kind: kind, Endpoint: number, Answers: t.Answers, Bad: t.Bad})
 	}
-	return w
+	return encoded
 }
 
-func encodeBounds(bounds []rollout.SlowThreshold) []bound {
-	var list []bound
-	for _, b := range bounds[:min(len(bounds), mostBounds)] {
-		list = append(list, bound{Kind: uint32(b.Kind), Value: float32(b.Value), Answers: b.Answers})
+func encodeSlowThresholds(thresholds []rollout.SlowThreshold) []wireSlowThreshold {
+	var list []wireSlowThreshold
+	for _, b := range thresholds[:min(len(thresholds), maxSlowThresholds)] {
+		list = append(list, wireSlowThreshold{Kind: uint32(b.Kind), Value: float32(b.Value), Answers: b.Answers})
 	}
 	return list
 }
 
-func decodeBounds(bounds []bound) []rollout.SlowThreshold {
+func decodeSlowThresholds(thresholds []wireSlowThreshold) []rollout.SlowThreshold {
 	var list []rollout.SlowThreshold
-	for _, b := range bounds {
+	for _, b := range thresholds {
 		list = append(list, rollout.SlowThreshold{Kind: rollout.Kind(b.Kind), Value: float64(b.Value), Answers: b.Answers})
 	}
 	return list
 }
 
-// Decode decodes a datagram of either kind.
+// Decode decodes a datagram of directives or of reports.
 func Decode(data []byte) (directives []rollout.Directive, reports []rollout.Report, err error) {
 	var m message
 	if err := cbor.Unmarshal(data, &m); err != nil {
 		return nil, nil, fmt.Errorf("rolloutsync: %w", err)
 	}
-	for _, w := range m.Words {
+	for _, d := range m.Directives {
 		directives = append(directives, rollout.Directive{
-			Service: w.Service, Order: w.Order, Target: w.Target, Period: time.Duration(w.PeriodMS) * time.Millisecond, Phase: rollout.Phase(w.Phase), Share: float64(w.Share), Slack: w.Slack,
-			Epoch: w.Epoch, Number: w.Number, Suspects: w.Suspects, SlowThresholds: decodeBounds(w.Bounds),
+			Service: d.Service, Order: d.Order, Target: d.Target, Period: time.Duration(d.PeriodMS) * time.Millisecond, Phase: rollout.Phase(d.Phase), Share: float64(d.Share), Slack: d.Slack,
+			Epoch: d.Epoch, Number: d.Number, Suspects: d.Suspects, SlowThresholds: decodeSlowThresholds(d.SlowThresholds),
 		})
 	}
 	for _, r := range m.Reports {
@@ -158,22 +158,22 @@
 	return directives, reports, nil
 }
 
-func (r report) decode() (rollout.Report, error) {
-	d := rollout.Report{
-		Service: r.Service, Order: r.Order, Phase: rollout.Phase(r.Phase), Epoch: r.Epoch, Number: r.Number, Requests: r.Asked, TargetRequests: r.Tried,
-		OthersRunning: r.OthersRunning, LongestOther: time.Duration(r.LongestMS) * time.Millisecond, SlowThresholds: decodeBounds(r.Bounds),
+func (r wireReport) decode() (rollout.Report, error) {
+	report := rollout.Report{
+		Service: r.Service, Order: r.Order, Phase: rollout.Phase(r.Phase), Epoch: r.Epoch, Number: r.Number, Requests: r.Requests, TargetRequests: r.TargetRequests,
+		OthersRunning: r.OthersRunning, LongestOther: time.Duration(r.LongestOtherMS) * time.Millisecond, SlowThresholds: decodeSlowThresholds(r.SlowThresholds),
 	}
 	for _, t := range r.Tallies {
 		if t.Endpoint < 0 || t.Endpoint > len(r.Endpoints) || t.Kind < 0 || t.Kind >= len(r.Kinds) {
-			return d, fmt.Errorf("rolloutsync: a tally of endpoint %d and kind %d, %d and %d are named", t.Endpoint, t.Kind, len(r.Endpoints), len(r.Kinds))
+			return report, fmt.Errorf("rolloutsync: tally with endpoint %d and kind %d in a report of %d endpoints and %d kinds", t.Endpoint, t.Kind, len(r.Endpoints), len(r.Kinds))
 		}
 		endpoint := ""
 		if t.Endpoint > 0 {
 			endpoint = r.Endpoints[t.Endpoint-1]
 		}
-		d.Tallies = append(d.Tallies, rollout.Tally{Kind: rollout.Kind(r.Kinds[t.Kind]), Endpoint: endpoint, Count: rollout.Count{Answers: t.Answers, Bad: t.Bad}})
+		report.Tallies = append(report.Tallies, rollout.Tally{Kind: rollout.Kind(r.Kinds[t.Kind]), Endpoint: endpoint, Count: rollout.Count{Answers: t.Answers, Bad: t.Bad}})
 	}
-	return d, nil
+	return report, nil
 }
 
 // row is an order's state in the store.
@@ -184,21 +184,21 @@
 	Order     int64  `cbor:"4,keyasint"`
 	Phase     int    `cbor:"5,keyasint"`
 	StartedMS int64  `cbor:"6,keyasint"`
-	Why       string `cbor:"7,keyasint,omitempty"`
-	// Epoch is the lease's under which it was written.
+	Reason    string `cbor:"7,keyasint,omitempty"`
+	// Epoch is that of the lease under which the row was written.
 	Epoch int64 `cbor:"8,keyasint"`
 }
 
-// Table is the store's table of orders' states, a row a service.
+// Table is the store's table of order states, with one row per service.
 const Table = "rollouts"
 
-// Key is the key of a service's row, with its table.
+// Key returns the key of a service's row, including its table.
 func Key(service string) string { return Table + "/" + service }
 
 func encodeState(s rollout.State, epoch int64) ([]byte, error) {
 	return cbor.Marshal(row{
 		Service: s.Order.Service, Target: s.Order.Target, PeriodMS: s.Order.Period.Milliseconds(), Order: s.Order.ID,
-		Phase: int(s.Phase), StartedMS: s.Started.Milliseconds(), Why: s.Reason, Epoch: epoch,
+		Phase: int(s.Phase), StartedMS: s.Started.Milliseconds(), Reason: s.Reason, Epoch: epoch,
 	})
 }
 
@@ -206,12 +206,12 @@
 func DecodeState(value []byte) (rollout.State, error) {
 	var r row
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		return rollout.State{}, fmt.Errorf("rolloutsync: state of a roll-out: %w", err)
+		return rollout.State{}, fmt.Errorf("rolloutsync: decode roll-out state: %w", err)
 	}
 	return rollout.State{
 		Order: rollout.Order{
 			Service: r.Service, Target: r.Target, Period: time.Duration(r.PeriodMS) * time.Millisecond, ID: r.Order,
 		},
-		Phase: rollout.Phase(r.Phase), Started: time.Duration(r.StartedMS) * time.Millisecond, Reason: r.Why,
+		Phase: rollout.Phase(r.Phase), Started: time.Duration(r.StartedMS) * time.Millisecond, Reason: r.Reason,
 	}, nil
 }
