--- a/pkg/endpoint/directory.go
+++ b/pkg/endpoint/directory.go
@@ -8,18 +8,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BucketCount is how many parts a directory's digest has: peers that differ send
-// only the parts in which they do.
+// BucketCount is the number of buckets in a directory's digest. Peers whose digests differ send
+// each other only the buckets that differ.
 const BucketCount = 64
 
-// shardCount is how many locks a directory is spread over.
+// shardCount is the number of shards of a directory. Each shard has its own lock.
 const shardCount = 16
 
-// Directory keeps all endpoints known to a process. It is safe for concurrent
-// use. Gone endpoints are kept so that late news can't revive them.
+// Directory holds all endpoints known to a process. It is safe for concurrent use. Endpoints that
+// are gone are kept, so that a delayed update cannot bring them back.
 type Directory struct {
 	shards [shardCount]shard
-	// generation grows with every change.
+	// generation is incremented on every change.
 	generation atomic.Uint64
 	view       atomic.Pointer[View]
 	viewMu     sync.Mutex
@@ -33,16 +33,16 @@
 	infos map[string]Info
 }
 
-// View is all endpoints at one moment, in the order of their ids.
+// View is a snapshot of all endpoints, sorted by ID.
 type View struct {
 	generation uint64
 	infos      []Info
 }
 
-// Generation tells views apart; it grows with every change.
+// Generation identifies the snapshot. It grows with every change of the directory.
 func (v *View) Generation() uint64 { return v.generation }
 
-// Infos returns the endpoints in the order of their ids; not to be changed.
+// Infos returns the endpoints sorted by ID. The caller must not modify the slice.
 func (v *View) Infos() []Info { return v.infos }
 
 // NewDirectory returns an empty directory.
@@ -59,25 +59,25 @@
 	return &d.shards[xxhash.Sum64String(id)%shardCount]
 }
 
-// Bucket returns the part of the digest an id belongs to.
+// Bucket returns the digest bucket of an endpoint ID.
 func Bucket(id string) int { return int(xxhash.Sum64String(id) >> 8 % BucketCount) }
 
-// Merge takes in what was heard and returns what is now known, and whether
-// that was news.
-func (d *Directory) Merge(heard Info) (Info, bool) {
-	s := d.shardOf(heard.ID)
+// Merge applies received information on an endpoint and returns the resulting information and
+// whether it changed.
+func (d *Directory) Merge(received Info) (Info, bool) {
+	s := d.shardOf(received.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, known := s.infos[heard.ID]
+	held, known := s.infos[received.ID]
 	if !known {
-		d.store(s, Info{}, heard, 0)
-		return heard, true
+		d.store(s, Info{}, received, 0)
+		return received, true
 	}
-	next, isNews := Merge(held, heard)
-	if isNews {
+	next, changed := Merge(held, received)
+	if changed {
 		d.store(s, held, next, held.sum())
 	}
-	return next, isNews
+	return next, changed
 }
 
 func (d *Directory) store(s *shard, held, next Info, oldSum uint64) {
@@ -93,12 +93,12 @@
 	}
 }
 
-// OnLeaving sets what is called, on a goroutine of its own, when an endpoint is
-// found to be leaving, and again when it is learned when.
+// OnLeaving sets the function that is called, on its own goroutine, when an endpoint is found to
+// be leaving, and again when the time at which it leaves becomes known.
 func (d *Directory) OnLeaving(call func(Info)) { d.onLeave.Store(&call) }
 
-// Update marks an incarnation as leaving and reports the result and whether that
-// was news. An endpoint that is not known, or of another incarnation, is left.
+// Update applies a change to an incarnation, such as marking it as leaving, and returns the result
+// and whether it changed. An endpoint that is unknown or of another incarnation is not changed.
 func (d *Directory) Update(ref Ref, change func(*Info)) (Info, bool) {
 	held, known := d.Get(ref.ID)
 	if !known || held.Incarnation != ref.Incarnation {
@@ -108,7 +108,7 @@
 	return d.Merge(held)
 }
 
-// Get returns what is known of one endpoint.
+// Get returns the current information on one endpoint.
 func (d *Directory) Get(id string) (Info, bool) {
 	s := d.shardOf(id)
 	s.mu.RLock()
@@ -117,14 +117,15 @@
 	return info, ok
 }
 
-// View returns all endpoints, made anew only after a change.
+// View returns a snapshot of all endpoints. It is rebuilt only after a change.
 func (d *Directory) View() *View {
 	if v := d.view.Load(); v.generation == d.generation.Load() {
 		return v
 	}
 	d.viewMu.Lock()
 	defer d.viewMu.Unlock()
-	// Read first: a change during the walk makes the view stale, not wrong.
+	// The generation is read before the endpoints: after a change in between, the next call
+	// rebuilds the view.
 	generation := d.generation.Load()
 	if v := d.view.Load(); v.generation == generation {
 		return v
@@ -134,25 +135,25 @@
 	return v
 }
 
-// BucketSums returns the digest, part by part.
+// BucketSums returns the digest, one sum per bucket.
 func (d *Directory) BucketSums() [BucketCount]uint64 {
 	d.sumMu.Lock()
 	defer d.sumMu.Unlock()
 	return d.sums
 }
 
-// InBuckets returns the endpoints of the parts for which want is true.
+// InBuckets returns the endpoints of the buckets for which want is true.
 func (d *Directory) InBuckets(want [BucketCount]bool) []Info {
 	return d.collect(func(i Info) bool { return want[Bucket(i.ID)] })
 }
 
-func (d *Directory) collect(keep func(Info) bool) []Info {
+func (d *Directory) collect(include func(Info) bool) []Info {
 	var infos []Info
 	for i := range d.shards {
 		s := &d.shards[i]
 		s.mu.RLock()
 		for _, info := range s.infos {
-			if keep(info) {
+			if include(info) {
 				infos = append(infos, info)
 			}
 		}
--- a/pkg/endpoint/endpoint.go
+++ b/pkg/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint holds what a process knows of the back ends: model engines
-// and plain services. What is known comes late and from many sides, so every
-// fact is merged by rule, and leaving is monotone for each incarnation.
+// Package endpoint holds what a process knows about the back ends: model engines and plain
+// services. Updates arrive late and from many sources, so they are merged by fixed rules, and the
+// state of an incarnation is monotone: one that is leaving never becomes live again.
 package endpoint
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind tells model engines from plain services.
+// Kind distinguishes model engines from plain services.
 type Kind string
 
 // The kinds of endpoint.
@@ -18,17 +18,17 @@
 	Plain Kind = "plain"
 )
 
-// State is how far an endpoint's incarnation is on its way. It never goes back.
+// State is the lifecycle state of an endpoint's incarnation. It never goes back.
 type State int
 
-// The states, in their only order.
+// The states, in the order in which an incarnation passes through them.
 const (
 	Live State = iota + 1
 	Leaving
 	Gone
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Live:
@@ -41,85 +41,83 @@
 	return "unknown"
 }
 
-// Info is what is known of one endpoint. It is a value and is never changed
-// once handed out.
+// Info describes one endpoint. It is passed by value, and a published value is never changed.
 type Info struct {
-	// ID names the endpoint over all its incarnations.
+	// ID identifies the endpoint across all its incarnations.
 	ID string
-	// Incarnation grows with each start; a later one supersedes all before.
+	// Incarnation grows with each start; a later incarnation supersedes all earlier ones.
 	Incarnation int64
-	// StartedMS is the Unix millisecond of the incarnation's start by the endpoint's own word, 0
-	// if it did not tell.
+	// StartedMS is the time at which the incarnation started, in Unix milliseconds as reported by
+	// the endpoint; 0 if not reported.
 	StartedMS int64
 	State     State
-	// Counter grows with each change of the fields below in one incarnation.
+	// Counter grows with each change of the fields below within an incarnation.
 	Counter    int64
 	DataCenter string
 	Class      string
 	Kind       Kind
-	// Service is the plain service behind the endpoint, empty for an engine.
+	// Service is the name of the plain service; empty for an engine.
 	Service string
-	// Model, Version and Adapter are what an engine has loaded, empty for none.
+	// Model, Version and Adapter are what an engine has loaded; empty if nothing is loaded.
 	Model, Version, Adapter string
-	// Address is an IP number and port.
+	// Address is an IP address and port.
 	Address string
-	// ChecksOrders says that the endpoint refuses orders of a lower epoch.
+	// ChecksOrders is set if the endpoint refuses orders of a lower epoch.
 	ChecksOrders bool
 	Reclaimable  bool
-	// Slots is how many requests it runs at once, 0 if it did not tell.
+	// Slots is the number of requests that the endpoint runs concurrently; 0 if not reported.
 	Slots int
-	// Engine says that a plain service's endpoint runs batches of a model.
+	// Engine is set if the endpoint of a plain service runs batches of a model.
 	Engine bool
-	// Release is the version of the endpoint's software, empty if it did not tell.
+	// Release is the version of the endpoint's software; empty if not reported.
 	Release string
-	// Cold says that it has started a moment ago and is slow for it.
+	// Cold is set if the endpoint has just started and is still slow.
 	Cold bool
-	// LeaveBy is when a leaving endpoint goes, zero if not known.
+	// LeaveBy is the time at which a leaving endpoint stops; zero if unknown.
 	LeaveBy time.Time
 }
 
-// Ref names one incarnation of an endpoint.
+// Ref identifies one incarnation of an endpoint.
 type Ref struct {
 	ID          string
 	Incarnation int64
 }
 
-// Ref returns the incarnation this information is about.
+// Ref returns the reference to the endpoint's incarnation.
 func (i Info) Ref() Ref { return Ref{i.ID, i.Incarnation} }
 
-// AcceptsWork reports whether the endpoint may get new work.
+// AcceptsWork reports whether the endpoint may be sent new work.
 func (i Info) AcceptsWork() bool { return i.State == Live }
 
-// Merge returns the newer of what is held and what was heard, and whether that
-// differs from what is held. A later incarnation wins; within one the later
-// state, then the higher counter.
-func Merge(held, heard Info) (Info, bool) {
-	if heard.Incarnation != held.Incarnation {
-		return pick(held, heard, heard.Incarnation > held.Incarnation)
+// Merge merges received into held, and returns the result and whether it differs from held. A
+// later incarnation wins. Within an incarnation the later state wins, then the higher counter.
+func Merge(held, received Info) (Info, bool) {
+	if received.Incarnation != held.Incarnation {
+		return pick(held, received, received.Incarnation > held.Incarnation)
 	}
 	next := held
-	if heard.Counter > held.Counter {
-		next = heard
+	if received.Counter > held.Counter {
+		next = received
 		next.State = held.State
 		next.LeaveBy = held.LeaveBy
 	}
-	if heard.State > held.State {
-		next.State = heard.State
+	if received.State > held.State {
+		next.State = received.State
 	}
-	if held.LeaveBy.IsZero() || (heard.State > held.State && !heard.LeaveBy.IsZero()) {
-		next.LeaveBy = heard.LeaveBy
+	if held.LeaveBy.IsZero() || (received.State > held.State && !received.LeaveBy.IsZero()) {
+		next.LeaveBy = received.LeaveBy
 	}
 	return next, next != held
 }
 
-func pick(held, heard Info, newer bool) (Info, bool) {
+func pick(held, received Info, newer bool) (Info, bool) {
 	if newer {
-		return heard, true
+		return received, true
 	}
 	return held, false
 }
 
-// sum is the endpoint's part of a digest: equal facts give equal sums.
+// sum returns the endpoint's part of a digest: equal information gives equal sums.
 func (i Info) sum() uint64 {
 	var buffer [64]byte
 	b := append(buffer[:0], i.ID...)
--- a/pkg/endpoint/notice.go
+++ b/pkg/endpoint/notice.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// Notice is what an endpoint's answer says of the endpoint itself, beside what it
-// says of the request. The zero value says nothing.
+// Notice is what a response says about the endpoint itself, apart from the request. The zero value
+// says nothing.
 type Notice struct {
-	// Refused says that the answer turns its request away unrun.
+	// Refused is set if the endpoint rejected the request without running it.
 	Refused bool
-	// Moved says that another instance has the endpoint's address.
+	// Moved is set if another instance has the endpoint's address.
 	Moved bool
-	// Leaving says that the endpoint ends soon and takes no new work.
+	// Leaving is set if the endpoint stops soon and accepts no new work.
 	Leaving bool
-	// Backoff is how long the endpoint asks the receiver of the answer for no request, 0 for
-	// not at all; never negative, MaxBackoff at most.
+	// Backoff is how long the receiver of the response is asked to send no requests to the
+	// endpoint; 0 for no backoff. It is never negative and at most MaxBackoff.
 	Backoff time.Duration
-	// Limit is how many requests a second the endpoint takes from all hosts together,
-	// until an answer names another limit or none; 0 where the answer names none.
+	// Limit is the number of requests per second that the endpoint accepts from all hosts
+	// together, until a response sets another limit or none; 0 if the response sets none.
 	Limit Limit
-	// BadLimit says that the answer names a limit that cannot be read: the one before
-	// holds.
+	// BadLimit is set if the limit in the response cannot be parsed. The previous limit stays in
+	// force.
 	BadLimit bool
 }
 
-// Limit is a number of requests a second: 0 for no limit, else between MinLimit and
+// Limit is a number of requests per second: 0 for no limit, otherwise between MinLimit and
 // MaxLimit.
 type Limit float64
 
-// Bounds of a limit that an endpoint names. One of zero is MinLimit, so that a request
-// now and then finds out when it is lifted.
+// Bounds of the limit that an endpoint sets. A limit of zero becomes MinLimit, so that an
+// occasional request finds out when it is lifted.
 const (
 	MinLimit Limit = 0.05
 	MaxLimit Limit = 1e6
 )
 
-// WithLimit returns the notice with a limit as an answer gives it: requests a second, a
-// decimal number; empty for no limit.
+// WithLimit returns the notice with the limit of a response: requests per second as a decimal
+// number, empty for no limit.
 func (n Notice) WithLimit(text string) Notice {
 	if text == "" {
 		return n
@@ -53,35 +53,36 @@
 	return n
 }
 
-// MaxBackoff bounds a backoff: an endpoint that names an absurd time is asked again.
+// MaxBackoff bounds a backoff, so that an endpoint that asks for an absurdly long one is tried
+// again.
 const MaxBackoff = time.Hour
 
-// IsZero reports whether the answer says nothing of its endpoint.
+// IsZero reports whether the response says nothing about its endpoint.
 func (n Notice) IsZero() bool { return n == Notice{} }
 
-// String names what is said beside a refusal, for log lines; it may be empty.
+// String describes the notice for log lines, without the refusal. It may be empty.
 func (n Notice) String() string {
-	var said []string
+	var parts []string
 	if n.Moved {
-		said = append(said, "not there")
+		parts = append(parts, "not there")
 	}
 	if n.Leaving {
-		said = append(said, "leaves")
+		parts = append(parts, "leaves")
 	}
 	if n.Backoff > 0 {
-		said = append(said, "backoff "+n.Backoff.String())
+		parts = append(parts, "backoff "+n.Backoff.String())
 	}
 	if n.Limit > 0 {
-		said = append(said, "limit "+strconv.FormatFloat(float64(n.Limit), 'g', -1, 64)+"/s")
+		parts = append(parts, "limit "+strconv.FormatFloat(float64(n.Limit), 'g', -1, 64)+"/s")
 	}
 	if n.BadLimit {
-		said = append(said, "unreadable limit")
+		parts = append(parts, "unreadable limit")
 	}
-	return strings.Join(said, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// BackoffFromSeconds returns the backoff of a number of seconds as an answer gives it; what is no
-// length of time is none.
+// BackoffFromSeconds returns the backoff for a number of seconds in a response. A value that is
+// not a positive number gives no backoff.
 func BackoffFromSeconds(seconds float64) time.Duration {
 	switch {
 	case seconds >= MaxBackoff.Seconds():
@@ -89,7 +90,7 @@
 	case seconds > 0:
 		return time.Duration(seconds * float64(time.Second))
 	default:
-		// Also not a number.
+		// This case includes NaN.
 		return 0
 	}
 }
