--- a/pkg/retry/retry.go
+++ b/pkg/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry bounds what is sent again: a budget as a share of what is sent
-// the first time, and full jitter between tries.
+// Package retry limits retries: by a budget that is a share of first sends, and with full jitter
+// between attempts.
 package retry
 
 import (
@@ -10,43 +10,43 @@
 
 // Parameters of the budget.
 const (
-	// reserve is how many retries a quiet process may make at once.
-	reserve = 10.0
-	// trickle is retries a second that are always allowed, so that a process
-	// without new requests can still finish what it has.
-	trickle = 1.0
+	// maxTokens is the number of retries that a process may send at once after a quiet period.
+	maxTokens = 10.0
+	// tokensPerSecond is the number of retries per second that are always allowed, so that a
+	// process without new requests can still complete its running ones.
+	tokensPerSecond = 1.0
 )
 
-// Budget allows retries as a share of first sends. It is safe for concurrent
-// use. Moves of running work away from a leaving endpoint are not retries.
+// Budget allows retries as a share of first sends. It is safe for concurrent use. Moving running
+// work away from a leaving endpoint is not a retry.
 type Budget struct {
-	mu     sync.Mutex
-	share  float64
-	tokens float64
-	at     time.Time
-	first  int64
-	again  int64
+	mu         sync.Mutex
+	share      float64
+	tokens     float64
+	refilledAt time.Time
+	firstSends int64
+	retries    int64
 }
 
-// New returns a full budget; share is retries for each first send.
+// New returns a full budget; share is the number of retries per first send.
 func New(share float64, now time.Time) *Budget {
-	return &Budget{share: share, tokens: reserve, at: now}
+	return &Budget{share: share, tokens: maxTokens, refilledAt: now}
 }
 
-// SetShare changes the share.
+// SetShare sets the number of retries per first send.
 func (b *Budget) SetShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share = share
 }
 
-// RecordFirstSend notes a first send.
+// RecordFirstSend counts a first send.
 func (b *Budget) RecordFirstSend(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
-	b.first++
-	b.tokens = min(reserve, b.tokens+b.share)
+	b.firstSends++
+	b.tokens = min(maxTokens, b.tokens+b.share)
 }
 
 // Take reports whether a retry may be sent now, and counts it if so.
@@ -58,38 +58,38 @@
 		return false
 	}
 	b.tokens--
-	b.again++
+	b.retries++
 	return true
 }
 
-// Counts returns first sends and retries so far.
-func (b *Budget) Counts() (first, again int64) {
+// Counts returns the numbers of first sends and retries so far.
+func (b *Budget) Counts() (firstSends, retries int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.first, b.again
+	return b.firstSends, b.retries
 }
 
 func (b *Budget) refill(now time.Time) {
-	elapsed := now.Sub(b.at).Seconds()
+	elapsed := now.Sub(b.refilledAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	b.tokens = min(reserve, b.tokens+elapsed*trickle)
-	b.at = now
+	b.tokens = min(maxTokens, b.tokens+elapsed*tokensPerSecond)
+	b.refilledAt = now
 }
 
-// Bounds of the pause between tries.
+// Bounds of the delay between attempts.
 const (
-	firstPause = 20 * time.Millisecond
-	mostPause  = 2 * time.Second
+	baseDelay = 20 * time.Millisecond
+	maxDelay  = 2 * time.Second
 )
 
-// Delay returns how long to wait before a try, counted from 1: full jitter
-// below a bound that doubles, so that many callers do not come back together.
-func Delay(try int, random *rand.Rand) time.Duration {
-	bound := mostPause
-	if try < 8 {
-		bound = min(mostPause, firstPause<<try)
+// Delay returns how long to wait before an attempt, counted from 1. It uses full jitter below a
+// bound that doubles with each attempt, so that many callers do not retry at the same time.
+func Delay(attempt int, random *rand.Rand) time.Duration {
+	bound := maxDelay
+	if attempt < 8 {
+		bound = min(maxDelay, baseDelay<<attempt)
 	}
 	return time.Duration(random.Int64N(int64(bound)) + 1)
 }
--- a/pkg/retry/retry_test.go
+++ b/pkg/retry/retry_test.go
@@ -10,10 +10,10 @@
 
 var start = time.UnixMilli(1_800_000_000_000)
 
-// TestBudgetEndsAStorm sends 100 requests a second for a minute while every
-// send fails and each is tried up to five times: the budget holds what is sent
-// again to its share, where five times as much would be sent without one.
-func TestBudgetEndsAStorm(t *testing.T) {
+// TestBudgetLimitsRetryStorm sends 100 requests per second for a minute while every attempt fails
+// and each request is tried up to five times. The budget limits the retries to its share; without
+// one, five times as many requests would be sent.
+func TestBudgetLimitsRetryStorm(t *testing.T) {
 	b := retry.New(0.1, start)
 	for i := range 6000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
@@ -39,16 +39,16 @@
 	}
 }
 
-func TestPausesSpreadAndAreBounded(t *testing.T) {
+func TestDelaysSpreadAndAreBounded(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	for try := 1; try <= 40; try++ {
+	for attempt := 1; attempt <= 40; attempt++ {
 		least, most := time.Hour, time.Duration(0)
 		for range 200 {
-			p := retry.Delay(try, random)
+			p := retry.Delay(attempt, random)
 			least, most = min(least, p), max(most, p)
 		}
 		if most > 2*time.Second || least <= 0 || least*2 > most {
-			t.Errorf("try %d: got pauses from %v to %v, want them spread below 2s", try, least, most)
+			t.Errorf("attempt %d: got delays from %v to %v, want them spread below 2s", attempt, least, most)
 		}
 	}
 }
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -5,78 +5,77 @@
 	"time"
 )
 
-// WindowBudget bounds what one node sends again to a service, so that all nodes
-// together stay under a share of the service's requests plus a slack in
-// any span of one window's length. It needs no word from other nodes: the share
-// is of this node's own requests, the slack is divided by their number. It
-// is safe for concurrent use.
+// WindowBudget limits the retries of one node to a service, so that the retries of all nodes
+// together stay below a share of the service's requests plus a slack in any span of one window's
+// length. The nodes need no coordination: the share applies to the node's own requests, and the
+// slack is divided by the number of nodes. It is safe for concurrent use.
 type WindowBudget struct {
 	share, slack float64
-	step         time.Duration
+	bucketLength time.Duration
 
 	mu       sync.Mutex
-	services map[string]*counts
+	services map[string]*serviceCounts
 }
 
-// steps is how many parts a window is counted in. A part more than the window
-// is looked at, so that a span that begins within a part is covered.
-const steps = 20
+// bucketCount is the number of buckets in a window. The counts cover one bucket more than the
+// window, so that a span that begins within a bucket is included in full.
+const bucketCount = 20
 
-// margin is the part of the bound that is used: nodes differ in their clocks'
-// steps and in how many others they know.
-const margin = 0.8
+// safetyFactor is the part of the bound that is used, because the buckets of nodes are not
+// aligned by their clocks, and nodes differ in how many other nodes they know.
+const safetyFactor = 0.8
 
-type counts struct {
-	first, again [steps + 1]int
-	// at numbers the newest part.
-	at int64
+type serviceCounts struct {
+	firstSends, retries [bucketCount + 1]int
+	// bucket is the number of the newest bucket.
+	bucket int64
 }
 
 // NewWindowBudget returns a budget of share x requests + slack in each window.
 func NewWindowBudget(share, slack float64, window time.Duration) *WindowBudget {
-	return &WindowBudget{share: share, slack: slack, step: window / steps, services: map[string]*counts{}}
+	return &WindowBudget{share: share, slack: slack, bucketLength: window / bucketCount, services: map[string]*serviceCounts{}}
 }
 
-// RecordFirstSend notes a first send to a service.
+// RecordFirstSend counts a first send to a service.
 func (w *WindowBudget) RecordFirstSend(service string, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := w.counts(service, now)
-	c.first[c.at%(steps+1)]++
+	c := w.currentCounts(service, now)
+	c.firstSends[c.bucket%(bucketCount+1)]++
 }
 
-// Take reports whether a request may be sent to a service again, and counts it
-// if so. nodes is how many nodes share the slack, at least 1.
+// Take reports whether a retry may be sent to a service, and counts it if so. nodes is the number
+// of nodes that share the slack, at least 1.
 func (w *WindowBudget) Take(service string, nodes int, now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	c := w.counts(service, now)
-	first, again := 0, 0
-	for i := range c.first {
-		first += c.first[i]
-		again += c.again[i]
+	c := w.currentCounts(service, now)
+	firstSends, retries := 0, 0
+	for i := range c.firstSends {
+		firstSends += c.firstSends[i]
+		retries += c.retries[i]
 	}
-	bound := margin * (w.share*float64(first) + w.slack/float64(max(nodes, 1)))
-	if float64(again+1) > bound {
+	bound := safetyFactor * (w.share*float64(firstSends) + w.slack/float64(max(nodes, 1)))
+	if float64(retries+1) > bound {
 		return false
 	}
-	c.again[c.at%(steps+1)]++
+	c.retries[c.bucket%(bucketCount+1)]++
 	return true
 }
 
-// counts returns a service's counts moved on to now.
-func (w *WindowBudget) counts(service string, now time.Time) *counts {
-	at := now.UnixNano() / int64(w.step)
+// currentCounts returns a service's counts, with the buckets advanced to now.
+func (w *WindowBudget) currentCounts(service string, now time.Time) *serviceCounts {
+	bucket := now.UnixNano() / int64(w.bucketLength)
 	c := w.services[service]
 	if c == nil {
-		c = &counts{at: at}
+		c = &serviceCounts{bucket: bucket}
 		w.services[service] = c
 	}
-	for range min(at-c.at, steps+1) {
-		c.at++
-		c.first[c.at%(steps+1)] = 0
-		c.again[c.at%(steps+1)] = 0
+	for range min(bucket-c.bucket, bucketCount+1) {
+		c.bucket++
+		c.firstSends[c.bucket%(bucketCount+1)] = 0
+		c.retries[c.bucket%(bucketCount+1)] = 0
 	}
-	c.at = max(c.at, at)
+	c.bucket = max(c.bucket, bucket)
 	return c
 }
--- a/pkg/retry/window_test.go
+++ b/pkg/retry/window_test.go
@@ -7,9 +7,9 @@
 	"ironhollow/pkg/retry"
 )
 
-// Nine nodes that all send again whatever they may stay under the bound of all
-// together in every window, at uneven load.
-func TestWindowKeepsTheBoundOfAllNodes(t *testing.T) {
+// Nine nodes with uneven load retry whenever they may. All of them together must stay below the
+// bound in every window.
+func TestWindowBudgetBoundsAllNodes(t *testing.T) {
 	const (
 		nodes = 9
 		share = 0.2
@@ -27,7 +27,7 @@
 		now := start.Add(time.Duration(i) * step)
 		f, a := 0, 0
 		for n, b := range budgets {
-			// Traffic comes and goes, and one node has most of it.
+			// Traffic starts and stops, and one node has most of it.
 			if i%400 < 200 && (n == 0 || i%7 == 0) {
 				b.RecordFirstSend("svc", now)
 				f++
@@ -44,7 +44,7 @@
 		for j := i; j < i+per; j++ {
 			retries += again[j]
 		}
-		// The window itself, or the one before, whichever has more.
+		// The window itself or the one before, whichever has more requests.
 		for _, from := range []int{i, i - per} {
 			sum := 0
 			for j := from; j < from+per; j++ {
@@ -53,12 +53,12 @@
 			requests = max(requests, sum)
 		}
 		if bound := share*float64(requests) + slack; float64(retries) > bound {
-			t.Fatalf("window at step %d: got %d sent again, want %.0f at most", i, retries, bound)
+			t.Fatalf("window at step %d: got %d retries, want at most %.0f", i, retries, bound)
 		}
 	}
 }
 
-func TestWindowIsOfEachService(t *testing.T) {
+func TestWindowBudgetIsPerService(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := retry.NewWindowBudget(0, 2.5, time.Second)
 	for i, want := range []bool{true, true, false} {
@@ -67,7 +67,7 @@
 		}
 	}
 	if !w.Take("b", 1, now) {
-		t.Error("retry of b: got none, want one of its own")
+		t.Error("retry of b: got none, want one from its own budget")
 	}
 	if !w.Take("a", 1, now.Add(2*time.Second)) {
 		t.Error("retry of a two seconds later: got none, want one")
