--- a/pkg/endpoint/directory.go
+++ b/pkg/endpoint/directory.go
@@ -63,7 +63,7 @@
 func Bucket(id string) int { return int(xxhash.Sum64String(id) >> 8 % BucketCount) }
 
 // Merge applies received information on an endpoint and returns the resulting information and
-// whether it changed.
+// whether the directory changed.
 func (d *Directory) Merge(received Info) (Info, bool) {
 	s := d.shardOf(received.ID)
 	s.mu.Lock()
@@ -98,7 +98,7 @@
 func (d *Directory) OnLeaving(call func(Info)) { d.onLeave.Store(&call) }
 
 // Update applies a change to an incarnation, such as marking it as leaving, and returns the result
-// and whether it changed. An endpoint that is unknown or of another incarnation is not changed.
+// and whether the directory changed. An endpoint that is unknown or of another incarnation is not changed.
 func (d *Directory) Update(ref Ref, change func(*Info)) (Info, bool) {
 	held, known := d.Get(ref.ID)
 	if !known || held.Incarnation != ref.Incarnation {
--- a/pkg/retry/window.go
+++ b/pkg/retry/window.go
@@ -21,8 +21,8 @@
 // window, so that a span that begins within a bucket is included in full.
 const bucketCount = 20
 
-// safetyFactor is the part of the bound that is used, because the buckets of nodes are not
-// aligned by their clocks, and nodes differ in how many other nodes they know.
+// safetyFactor is the part of the bound that is used, because the clocks, and so the
+// buckets, of nodes are not aligned, and nodes differ in how many other nodes they know.
 const safetyFactor = 0.8
 
 type serviceCounts struct {
--- a/pkg/route/backoff.go
+++ b/pkg/route/backoff.go
@@ -7,36 +7,40 @@
 	"ironhollow/pkg/ratelimit"
 )
 
-// backoff is until when an endpoint gets no requests, or fewer. The zero value is for none.
+// backoff holds the times until which an endpoint gets no requests, or fewer. The zero value means
+// no backoff.
 type backoff struct {
 	incarnation int64
-	// own ends the backoff that the endpoint asked this entry for: nothing is sent before.
-	own time.Time
-	// penalty ends a backoff that it asked another entry for, or that follows a refusal. What
-	// is left of it counts as time that a request would wait there, so that the endpoint is
-	// chosen where all others would take longer.
-	penalty time.Time
+	// requestedUntil is the end of the backoff that the endpoint requested from this entry. No
+	// request is sent before it.
+	requestedUntil time.Time
+	// penaltyUntil is the end of the penalty for a backoff requested from another entry, or for a
+	// refusal. The remaining penalty counts as waiting time, so that the endpoint is chosen only
+	// if all others would take longer.
+	penaltyUntil time.Time
 }
 
-// over reports whether nothing is left of the backoff.
-func (r backoff) over(now time.Time) bool { return !now.Before(r.own) && !now.Before(r.penalty) }
+// expired reports whether both times have passed.
+func (b backoff) expired(now time.Time) bool {
+	return !now.Before(b.requestedUntil) && !now.Before(b.penaltyUntil)
+}
 
-// maxBackoffs is how many backoffs are kept before those that are over are dropped.
-const maxBackoffs = 256
+// backoffCleanupSize is the number of stored backoffs from which expired ones are removed.
+const backoffCleanupSize = 256
 
-// SetBackoff keeps requests of this entry from an endpoint until a time, or a later one that was
-// set before. It reports whether that begins a backoff.
-func (r *Router) SetBackoff(ref endpoint.Ref, until, now time.Time) (begins bool) {
+// SetBackoff stops this entry from sending requests to an endpoint until the given time, or until
+// the end of an earlier backoff if that is later. It reports whether this starts a new backoff.
+func (r *Router) SetBackoff(ref endpoint.Ref, until, now time.Time) (started bool) {
 	r.changeBackoff(ref, now, func(held *backoff) {
-		begins = !now.Before(held.own)
-		held.own = later(held.own, until)
+		started = !now.Before(held.requestedUntil)
+		held.requestedUntil = later(held.requestedUntil, until)
 	})
-	return begins
+	return started
 }
 
-// SetPeerBackoff notes that an endpoint asked another entry for backoff until a time.
+// SetPeerBackoff records that an endpoint requested a backoff from another entry.
 func (r *Router) SetPeerBackoff(ref endpoint.Ref, until, now time.Time) {
-	r.changeBackoff(ref, now, func(held *backoff) { held.penalty = later(held.penalty, until) })
+	r.changeBackoff(ref, now, func(held *backoff) { held.penaltyUntil = later(held.penaltyUntil, until) })
 }
 
 func later(a, b time.Time) time.Time {
@@ -46,9 +50,9 @@
 	return a
 }
 
-// changeBackoff changes the backoff of an endpoint's incarnation, and of its slot if it is in
-// use: a slot is made anew when this entry's part of the endpoints changes, and a backoff
-// must outlive that.
+// changeBackoff changes the backoff of an endpoint's incarnation, and the copy in its slot if the
+// endpoint is in use. The backoff is stored outside the slot because slots are rebuilt when this
+// entry's subset of the endpoints changes.
 func (r *Router) changeBackoff(ref endpoint.Ref, now time.Time, change func(*backoff)) {
 	r.mu.Lock()
 	held := r.backoffs[ref.ID]
@@ -56,7 +60,7 @@
 		held = backoff{incarnation: ref.Incarnation}
 	}
 	change(&held)
-	r.dropBackoffs(now)
+	r.dropExpiredBackoffs(now)
 	r.backoffs[ref.ID] = held
 	r.mu.Unlock()
 	r.withSlot(ref, func(s *slot) {
@@ -65,33 +69,32 @@
 	})
 }
 
-// noteBackoff notes when the last backoff and penalty of any endpoint end. The group's
-// lock is held.
-func (g *group) noteBackoff(r backoff) {
-	g.backoffsUntil = later(g.backoffsUntil, r.own)
-	g.penaltiesUntil = later(g.penaltiesUntil, r.penalty)
+// noteBackoff updates the times at which the group's last backoff and last penalty end. The
+// group's lock must be held.
+func (g *group) noteBackoff(b backoff) {
+	g.backoffsUntil = later(g.backoffsUntil, b.requestedUntil)
+	g.penaltiesUntil = later(g.penaltiesUntil, b.penaltyUntil)
 }
 
-// merge returns the longer of two backoffs of an incarnation.
-func (r backoff) merge(other backoff) backoff {
-	return backoff{r.incarnation, later(r.own, other.own), later(r.penalty, other.penalty)}
+// merge returns the longer of two backoffs of an incarnation, and the longer of their penalties.
+func (b backoff) merge(other backoff) backoff {
+	return backoff{b.incarnation, later(b.requestedUntil, other.requestedUntil), later(b.penaltyUntil, other.penaltyUntil)}
 }
 
-// dropBackoffs drops backoffs that are over, once there are many. The router's lock is
+// dropExpiredBackoffs removes expired backoffs once there are many. The router's lock must be
 // held.
-func (r *Router) dropBackoffs(now time.Time) {
-	if len(r.backoffs) < maxBackoffs {
+func (r *Router) dropExpiredBackoffs(now time.Time) {
+	if len(r.backoffs) < backoffCleanupSize {
 		return
 	}
 	for id, held := range r.backoffs {
-		if held.over(now) {
+		if held.expired(now) {
 			delete(r.backoffs, id)
 		}
 	}
 }
 
-// backoffOf returns the backoff of an endpoint's incarnation. The router's
-// lock is held.
+// backoffOf returns the backoff of an endpoint's incarnation. The router's lock must be held.
 func (r *Router) backoffOf(ref endpoint.Ref) backoff {
 	if held := r.backoffs[ref.ID]; held.incarnation == ref.Incarnation {
 		return held
@@ -99,44 +102,44 @@
 	return backoff{incarnation: ref.Incarnation}
 }
 
-// TimeUntilAvailable returns how long it takes until some endpoint's backoff is over or its limit leaves
-// room; 0 where one takes work now, or there is none. Endpoints to be
-// avoided count: the caller's next try may go there.
+// TimeUntilAvailable returns the time until the first endpoint's backoff ends or its limit has
+// room; 0 if an endpoint accepts work now, or if there is none. Endpoints to be avoided are
+// included, because the caller's next attempt may use them.
 func (r *Router) TimeUntilAvailable(q Query, now time.Time) time.Duration {
 	g, _ := r.groupFor(q.Target)
-	hosts := r.sharers()
+	hosts := r.limitHosts()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var first time.Duration
+	var shortest time.Duration
 	for _, s := range g.slots {
 		if !q.Rule.Allows(&s.info) {
 			continue
 		}
-		left, ok := s.load.freeIn(hosts, now)
+		remaining, ok := s.load.timeUntilAvailable(hosts, now)
 		if !ok {
-			left = noShareComeBack
+			remaining = noShareRetryAfter
 		}
-		if left <= 0 {
+		if remaining <= 0 {
 			return 0
 		}
-		if first == 0 || left < first {
-			first = left
+		if shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return first
+	return shortest
 }
 
-// out returns how many slots are out, for failures, backoff or their limit. The group's
-// lock is held.
-func (g *group) out(hosts *ratelimit.Hosts, now time.Time) int {
-	out := g.ejected
-	if !now.Before(g.backoffsUntil) && g.limited == 0 {
-		return out
+// unavailable returns the number of slots that are ejected, in backoff or at their limit. The
+// group's lock must be held.
+func (g *group) unavailable(hosts *ratelimit.Hosts, now time.Time) int {
+	count := g.ejectedCount
+	if !now.Before(g.backoffsUntil) && g.limitedCount == 0 {
+		return count
 	}
 	for _, s := range g.slots {
-		if s.load.failures < ejectAfter && (now.Before(s.load.backoff.own) || !s.load.allows(hosts, now)) {
-			out++
+		if s.load.failures < ejectAfter && (now.Before(s.load.backoff.requestedUntil) || !s.load.allows(hosts, now)) {
+			count++
 		}
 	}
-	return out
+	return count
 }
--- a/pkg/route/backoff_test.go
+++ b/pkg/route/backoff_test.go
@@ -8,9 +8,9 @@
 	"ironhollow/pkg/route"
 )
 
-const restTime = 3 * time.Second
+const backoffTime = 3 * time.Second
 
-// chosen returns how many of a number of choices fall on an endpoint.
+// chosen returns how many of 64 choices fall on an endpoint.
 func chosen(r *route.Router, id string, strategy route.Strategy, at time.Time) int {
 	n := 0
 	for range 64 {
@@ -26,97 +26,97 @@
 	return n
 }
 
-// No way to choose goes against an endpoint's word that it wants rest, and each takes it
-// again afterwards, also where the host's part of the endpoints was drawn anew meanwhile.
-func TestBackoffBindsEveryChoice(t *testing.T) {
+// Guards against a strategy that chooses an endpoint during its backoff or not at all afterwards,
+// also if this host's subset of the endpoints changes meanwhile.
+func TestBackoffAppliesToEveryStrategy(t *testing.T) {
 	strategies := []route.Strategy{route.Expected, route.ExpectedStale, route.Random, route.RoundRobin, route.LeastReported, route.PowerOfTwo}
 	for _, strategy := range strategies {
 		r, directory, _ := newRouter(2)
 		at := info(0)
-		if !r.SetBackoff(at.Ref(), now.Add(restTime), now) {
-			t.Fatal("got a rest that was there before, want one that begins")
+		if !r.SetBackoff(at.Ref(), now.Add(backoffTime), now) {
+			t.Fatal("first backoff: got an existing one, want a new one")
 		}
-		if r.SetBackoff(at.Ref(), now.Add(restTime/2), now) {
-			t.Error("shorter rest: got one that begins, want the one that holds")
+		if r.SetBackoff(at.Ref(), now.Add(backoffTime/2), now) {
+			t.Error("shorter backoff: got a new backoff, want the earlier one kept")
 		}
 		r.SetEntryCount(3)
 		gone := info(1)
 		gone.Counter++
 		directory.Merge(gone)
-		if got := chosen(r, at.ID, strategy, now.Add(restTime-time.Millisecond)); got != 0 {
-			t.Errorf("strategy %d: got %d choices of the endpoint that rests, want 0", strategy, got)
+		if got := chosen(r, at.ID, strategy, now.Add(backoffTime-time.Millisecond)); got != 0 {
+			t.Errorf("strategy %d: got %d choices of the endpoint in backoff, want 0", strategy, got)
 		}
-		if _, ok, later := r.ChooseAt(query(), at.Ref(), now.Add(restTime-time.Millisecond)); ok || later {
-			t.Error("chosen before it rested: got it, or to be waited for, want neither")
+		if _, ok, later := r.ChooseAt(query(), at.Ref(), now.Add(backoffTime-time.Millisecond)); ok || later {
+			t.Error("ChooseAt during the backoff: got ok or later, want neither")
 		}
-		if got := chosen(r, at.ID, strategy, now.Add(restTime)); got == 0 {
-			t.Errorf("strategy %d: got no choice of the endpoint after its rest, want some", strategy)
+		if got := chosen(r, at.ID, strategy, now.Add(backoffTime)); got == 0 {
+			t.Errorf("strategy %d: got no choice of the endpoint after its backoff, want some", strategy)
 		}
 	}
 }
 
-// An endpoint that has started again has asked for nothing.
-func TestRestEndsWithTheLife(t *testing.T) {
+// A backoff does not apply to the endpoint's next incarnation.
+func TestBackoffEndsWithIncarnation(t *testing.T) {
 	r, directory, _ := newRouter(1)
-	r.SetBackoff(info(0).Ref(), now.Add(restTime), now)
+	r.SetBackoff(info(0).Ref(), now.Add(backoffTime), now)
 	next := info(0)
 	next.Incarnation++
 	directory.Merge(next)
 	if c, ok := r.Choose(query(), route.Expected, now); !ok || c.Endpoint.Ref() != next.Ref() {
-		t.Errorf("got %+v, %v, want the next life", c.Endpoint, ok)
+		t.Errorf("got %+v, %v, want the next incarnation", c.Endpoint, ok)
 	}
 }
 
-// What an endpoint asked of another host is heeded while others are free, and does not
-// bind: it is chosen where it is the only one.
-func TestRestOfAnotherHostIsHeeded(t *testing.T) {
+// A backoff that an endpoint requested from another host is respected while other endpoints are
+// free, but does not exclude it: it is chosen if it is the only one.
+func TestPeerBackoffIsAPenalty(t *testing.T) {
 	r, directory, _ := newRouter(2)
-	r.SetPeerBackoff(info(0).Ref(), now.Add(restTime), now)
+	r.SetPeerBackoff(info(0).Ref(), now.Add(backoffTime), now)
 	if got := chosen(r, info(0).ID, route.Expected, now); got != 0 {
-		t.Errorf("while another is free: got %d choices, want 0", got)
+		t.Errorf("while another endpoint is free: got %d choices, want 0", got)
 	}
 	other := info(1)
 	other.State = endpoint.Gone
 	directory.Merge(other)
 	if got, want := chosen(r, info(0).ID, route.Expected, now), 64; got != want {
-		t.Errorf("as the only one: got %d choices, want %d", got, want)
+		t.Errorf("as the only endpoint: got %d choices, want %d", got, want)
 	}
 }
 
-// Where none takes a request it is known when the first one does; endpoints that are out
-// for failures are tried sooner than all callers are turned away.
-func TestFreeIn(t *testing.T) {
+// If no endpoint accepts a request, the time until the first one does is known. Ejected endpoints
+// are used before all requests are refused.
+func TestTimeUntilAvailable(t *testing.T) {
 	r, _, _ := newRouter(3)
 	if got := r.TimeUntilAvailable(query(), now); got != 0 {
-		t.Errorf("none rests: got %v left, want 0", got)
+		t.Errorf("no backoff: got %v left, want 0", got)
 	}
 	for i := range 2 {
-		r.SetBackoff(info(i).Ref(), now.Add(restTime*time.Duration(i+1)), now)
+		r.SetBackoff(info(i).Ref(), now.Add(backoffTime*time.Duration(i+1)), now)
 	}
 	if got := r.TimeUntilAvailable(query(), now); got != 0 {
-		t.Errorf("one takes work: got %v left, want 0", got)
+		t.Errorf("one endpoint accepts work: got %v left, want 0", got)
 	}
 	for range 3 {
 		c, ok := r.Choose(query(), route.Expected, now)
 		if !ok || c.Endpoint.ID != info(2).ID {
-			t.Fatalf("got %+v, %v, want the endpoint that does not rest", c.Endpoint, ok)
+			t.Fatalf("got %+v, %v, want the endpoint without backoff", c.Endpoint, ok)
 		}
 		r.Done(c, route.Result{Failed: true}, now)
 	}
 	if c, ok := r.Choose(query(), route.Expected, now); !ok || c.Endpoint.ID != info(2).ID {
-		t.Errorf("two rest and one has failed: got %+v, %v, want the one that failed", c.Endpoint, ok)
+		t.Errorf("two in backoff and one ejected: got %+v, %v, want the ejected one", c.Endpoint, ok)
 	}
-	r.SetBackoff(info(2).Ref(), now.Add(restTime*3), now)
+	r.SetBackoff(info(2).Ref(), now.Add(backoffTime*3), now)
 	if _, ok := r.Choose(query(), route.Expected, now); ok {
-		t.Error("all rest: got a choice, want none")
+		t.Error("all in backoff: got a choice, want none")
 	}
-	if got := r.TimeUntilAvailable(query(), now.Add(time.Second)); got != restTime-time.Second {
-		t.Errorf("all rest: got %v left, want %v", got, restTime-time.Second)
+	if got := r.TimeUntilAvailable(query(), now.Add(time.Second)); got != backoffTime-time.Second {
+		t.Errorf("all in backoff: got %v left, want %v", got, backoffTime-time.Second)
 	}
 }
 
-// A refusal is no sign that an endpoint serves: failures in a row stay in a row.
-func TestRefusalIsNoSuccess(t *testing.T) {
+// Guards against a refusal that counts as a success and so resets the number of failures in a row.
+func TestRefusalDoesNotResetFailures(t *testing.T) {
 	r, _, _ := newRouter(4)
 	for _, result := range []route.Result{{Failed: true}, {Failed: true}, {Refused: true}, {Failed: true}} {
 		c, ok, _ := r.ChooseAt(query(), info(0).Ref(), now)
@@ -130,9 +130,9 @@
 	}
 }
 
-// Where more than half of the endpoints turn requests away the service is full: requests
-// are spread over all of them by their loads, and none waits for those that are set back.
-func TestFullServiceIsNotSetBack(t *testing.T) {
+// If more than half of the endpoints refuse requests, the service is full: requests are spread
+// over all endpoints by load, and none waits for an endpoint's penalty.
+func TestFullServiceIgnoresPenalties(t *testing.T) {
 	const count = 5
 	r, _, _ := newRouter(count)
 	for i := range count - 1 {
--- a/pkg/route/explore.go
+++ b/pkg/route/explore.go
@@ -16,15 +16,16 @@
 	exploreWeight = 2 * connectWeight
 )
 
-// countChoice counts a choice and reports whether it may explore an endpoint. The group's lock is held.
+// countChoice counts a choice and reports whether it may explore an endpoint. The group's lock
+// must be held.
 func (g *group) countChoice() bool {
 	g.choicesSinceExplored++
 	return g.choicesSinceExplored >= exploreEvery
 }
 
-// noteSent records the time of a request sent to an endpoint, and restarts the count of choices if
-// exploration was due and the endpoint was idle. The group's lock is held.
-func (g *group) noteSent(s *slot, now time.Time) {
+// recordSend records the time of a request sent to an endpoint, and restarts the count of choices
+// if exploration was due and the endpoint was idle. The group's lock must be held.
+func (g *group) recordSend(s *slot, now time.Time) {
 	if g.choicesSinceExplored >= exploreEvery && s.load.isIdle(now) {
 		g.choicesSinceExplored = 0
 	}
--- a/pkg/route/feedback.go
+++ b/pkg/route/feedback.go
@@ -8,39 +8,39 @@
 	"ironhollow/pkg/enginemodel"
 )
 
-// Result is how a choice ended.
+// Result is the outcome of a choice.
 type Result struct {
-	// Failed says that the endpoint is at fault; false also for a caller who
-	// went away.
+	// Failed is set if the endpoint is at fault, but not if the caller disconnected.
 	Failed bool
-	// Refused says that the endpoint turned the request away: it has shown neither a
-	// failure nor that it serves.
+	// Refused is set if the endpoint rejected the request. This counts neither as a failure nor as
+	// a success.
 	Refused bool
-	// PrefillDone says that Router.PrefillDone was called for the choice.
+	// PrefillDone is set if Router.PrefillDone was called for the choice.
 	PrefillDone bool
-	// FirstToken is the time to the first token, 0 if there was none.
+	// FirstToken is the time to the first token; 0 if there was none.
 	FirstToken time.Duration
-	// Tokens and Decode give the gap between tokens; 0 if not measured.
+	// Tokens and Decode are the number of tokens and the decoding time, from which the gap between
+	// tokens is computed; 0 if not measured.
 	Tokens int
 	Decode time.Duration
-	// PromptTokens and CachedTokens are the engine's own account, 0 if it gave
-	// none. Measured says whether it did.
+	// PromptTokens and CachedTokens are the counts reported by the engine; 0 if it reported none.
+	// TokensReported is set if it did.
 	PromptTokens, CachedTokens int
 	TokensReported             bool
-	// Canary says that the endpoint is of a version that is tried: what it shows is no
-	// measure of the service's speed.
+	// Canary is set if the endpoint runs a version under trial. Its speed is not used to estimate
+	// that of the service.
 	Canary bool
 }
 
-// Done ends a choice and learns from it.
+// Done completes a choice and updates the estimates from its result.
 func (r *Router) Done(c Choice, result Result, now time.Time) {
-	r.underWay.Add(-1)
+	r.inFlight.Add(-1)
 	r.withSlot(c.Endpoint.Ref(), func(s *slot) { s.done(c, result, now) })
 }
 
-// withSlot does something to the slot of an endpoint's incarnation, under its group's lock;
-// nothing where that is not in use.
-func (r *Router) withSlot(ref endpoint.Ref, do func(*slot)) {
+// withSlot calls update with the slot of an endpoint's incarnation, under its group's lock. It
+// does nothing if the incarnation is not in use.
+func (r *Router) withSlot(ref endpoint.Ref, update func(*slot)) {
 	s, ok := r.slots()[ref.ID]
 	if !ok {
 		return
@@ -48,60 +48,60 @@
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
 	if s.info.Ref() == ref {
-		do(s)
+		update(s)
 	}
 }
 
-// done ends a choice of the slot. The group's lock is held.
+// done completes a choice of the slot. The group's lock must be held.
 func (s *slot) done(c Choice, result Result, now time.Time) {
 	l := &s.load
-	l.ownRunning = max(l.ownRunning-1, 0)
+	l.localRunning = max(l.localRunning-1, 0)
 	if !result.PrefillDone {
-		l.ownPrefill = max(l.ownPrefill-c.uncached, 0)
+		l.localPrefillTokens = max(l.localPrefillTokens-c.uncachedTokens, 0)
 	}
-	// Requests sent before the report are in its count, later ones in ours.
-	if l.sequence > c.sent.UnixMilli() {
-		l.endedSince++
+	// The report counts the requests sent before it; sentSinceReport counts those sent after it.
+	if l.reportSequence > c.sentAt.UnixMilli() {
+		l.endedSinceReport++
 	} else {
-		l.sentSince = max(l.sentSince-1, 0)
+		l.sentSinceReport = max(l.sentSinceReport-1, 0)
 	}
 	if result.Failed {
-		s.group.fail(s, now)
+		s.group.recordFailure(s, now)
 		return
 	}
 	if result.Refused {
 		return
 	}
-	s.group.succeed(s)
-	l.meanDuration = smooth(l.meanDuration, now.Sub(c.sent))
+	s.group.recordSuccess(s)
+	l.meanDuration = smooth(l.meanDuration, now.Sub(c.sentAt))
 	if !result.Canary {
-		s.group.learn(c, result)
+		s.group.updateSpeed(c, result)
 	}
 	if result.TokensReported && c.CachedTokens > 0 {
-		l.learnTrust(c.CachedTokens, result.CachedTokens)
+		l.updateCacheTrust(c.CachedTokens, result.CachedTokens)
 	}
 }
 
-// PrefillDone notes that a request's prompt has been prefilled: its first token is there. Where it is
-// not called, Done does the same.
+// PrefillDone records that a request's prompt has been prefilled: its first token has arrived. If
+// it is not called, Done records this.
 func (r *Router) PrefillDone(c Choice) {
-	r.withSlot(c.Endpoint.Ref(), func(s *slot) { s.load.ownPrefill = max(s.load.ownPrefill-c.uncached, 0) })
+	r.withSlot(c.Endpoint.Ref(), func(s *slot) { s.load.localPrefillTokens = max(s.load.localPrefillTokens-c.uncachedTokens, 0) })
 }
 
-// LocalLoad is what this entry has under way at an endpoint.
+// LocalLoad is the load of this entry's requests in flight at an endpoint.
 type LocalLoad struct {
 	Endpoint endpoint.Info
 	Running  int
-	// PrefillTokens are of requests that have no first token yet.
+	// PrefillTokens counts the prompt tokens of requests that have no first token yet.
 	PrefillTokens int
 }
 
-// HasInFlight reports whether this entry has requests under way.
-func (r *Router) HasInFlight() bool { return r.underWay.Load() > 0 }
+// HasInFlight reports whether this entry has requests in flight.
+func (r *Router) HasInFlight() bool { return r.inFlight.Load() > 0 }
 
-// LocalLoads returns the endpoints at which this entry has requests under way. One that has
-// none does not bring its groups up to date for that: most hosts of a large fleet take no
-// callers, and thousands of endpoints may come and go.
+// LocalLoads returns the endpoints at which this entry has requests in flight. An entry without
+// any does not update its groups for this: most hosts of a large fleet take no callers, while
+// thousands of endpoints may come and go.
 func (r *Router) LocalLoads() []LocalLoad {
 	if !r.HasInFlight() {
 		return nil
@@ -109,74 +109,75 @@
 	var list []LocalLoad
 	for _, s := range r.slots() {
 		s.group.mu.Lock()
-		if s.load.ownRunning > 0 {
-			list = append(list, LocalLoad{s.info, s.load.ownRunning, s.load.ownPrefill})
+		if s.load.localRunning > 0 {
+			list = append(list, LocalLoad{s.info, s.load.localRunning, s.load.localPrefillTokens})
 		}
 		s.group.mu.Unlock()
 	}
 	return list
 }
 
-// learn takes what an answer shows into the estimate of speed.
-func (g *group) learn(c Choice, result Result) {
-	uncached := c.uncached
+// updateSpeed updates the speed estimate from a result.
+func (g *group) updateSpeed(c Choice, result Result) {
+	uncached := c.uncachedTokens
 	if result.TokensReported {
 		uncached = max(result.PromptTokens-result.CachedTokens, 0)
 	}
-	g.model.Learn(enginemodel.Answer{Tokens: uncached + c.ahead, First: result.FirstToken, Made: result.Tokens, Decode: result.Decode})
+	g.speed.Learn(enginemodel.Answer{Tokens: uncached + c.aheadTokens, First: result.FirstToken, Made: result.Tokens, Decode: result.Decode})
 }
 
-// leastTrust keeps an endpoint's cache in play, so that its trust can recover.
-const leastTrust = 0.1
+// minCacheTrust is the minimum of cacheTrust. It keeps an endpoint's cache in use, so that the
+// trust can recover.
+const minCacheTrust = 0.1
 
-// learnTrust compares what was estimated to be cached with the engine's own account. Events of a
-// cache come late and with gaps; its account of each answer is what shows that an endpoint
-// evicts sooner than this process thinks.
-func (l *load) learnTrust(reckoned, actual int) {
-	part := min(1, float64(actual)/float64(reckoned))
-	l.trust = max(leastTrust, l.trust+smoothing*(part-l.trust))
+// updateCacheTrust compares the estimated number of cached tokens with the number reported by the
+// engine. Cache events arrive late and with gaps; only the number reported with each answer shows
+// that an endpoint evicts sooner than this process estimates.
+func (l *load) updateCacheTrust(estimated, actual int) {
+	accuracy := min(1, float64(actual)/float64(estimated))
+	l.cacheTrust = max(minCacheTrust, l.cacheTrust+smoothing*(accuracy-l.cacheTrust))
 }
 
-func smooth(held, heard time.Duration) time.Duration {
-	return held + time.Duration(smoothing*float64(heard-held))
+func smooth(average, sample time.Duration) time.Duration {
+	return average + time.Duration(smoothing*float64(sample-average))
 }
 
-// fail counts a failure and takes the endpoint out after some in a row, for
-// longer each time.
-func (g *group) fail(s *slot, now time.Time) {
+// recordFailure counts a failure and ejects the endpoint after several in a row, for longer each
+// time.
+func (g *group) recordFailure(s *slot, now time.Time) {
 	l := &s.load
 	l.failures++
 	if l.failures < ejectAfter {
 		return
 	}
 	if l.failures == ejectAfter {
-		g.ejected++
+		g.ejectedCount++
 	}
-	l.ejectedUntil = now.Add(min(firstEject<<min(l.ejections, 8), mostEject))
+	l.ejectedUntil = now.Add(min(minEjectTime<<min(l.ejections, 8), maxEjectTime))
 	l.ejections++
 }
 
-func (g *group) succeed(s *slot) {
+func (g *group) recordSuccess(s *slot) {
 	if s.load.failures >= ejectAfter {
-		g.ejected--
+		g.ejectedCount--
 	}
 	s.load.failures = 0
 	s.load.ejections = 0
 	s.load.ejectedUntil = time.Time{}
 }
 
-// ApplyReport applies an endpoint's load report. An older one than held is dropped.
+// ApplyReport applies an endpoint's load report. A report that is not newer than the latest is
+// dropped.
 func (r *Router) ApplyReport(ref endpoint.Ref, report engine.Report) {
-	r.withSlot(ref, func(s *slot) { s.load.report(report) })
+	r.withSlot(ref, func(s *slot) { s.load.applyReport(report) })
 }
 
-// report applies a report.
-func (l *load) report(report engine.Report) {
-	if report.Sequence <= l.sequence {
+func (l *load) applyReport(report engine.Report) {
+	if report.Sequence <= l.reportSequence {
 		return
 	}
-	l.sequence = report.Sequence
-	l.askedAt = time.UnixMilli(report.Sequence)
+	l.reportSequence = report.Sequence
+	l.polledAt = time.UnixMilli(report.Sequence)
 	l.running, l.waiting, l.slots = report.Running, report.Waiting, max(report.Slots, 1)
 	l.queuedTokens = report.QueuedTokens
 	l.queuedAt = report.QueuedAt
@@ -184,35 +185,36 @@
 		l.queuedAt = time.UnixMilli(report.Sequence)
 	}
 	l.freeTokens = report.FreeTokens
-	l.sentSince, l.endedSince = 0, 0
+	l.sentSinceReport, l.endedSinceReport = 0, 0
 }
 
-// freshFor is how long a report is good for: asking sooner shows nothing new.
-const freshFor = time.Second
+// minPollInterval is the minimum time between polls of an endpoint's load. A more frequent poll
+// would return nothing new.
+const minPollInterval = time.Second
 
-// NextToPoll returns the engine whose load was reported longest ago, if that is long enough, and
-// notes it as asked.
+// NextToPoll returns the engine whose load was polled or reported longest ago, and marks it as
+// polled. The result is false if that was less than minPollInterval ago.
 func (r *Router) NextToPoll(now time.Time) (endpoint.Info, bool) {
 	var oldest *slot
 	var oldestAt time.Time
 	for _, s := range r.slots() {
 		s.group.mu.Lock()
-		at, isModel := s.load.askedAt, s.info.Kind == endpoint.Model
+		at, isModel := s.load.polledAt, s.info.Kind == endpoint.Model
 		s.group.mu.Unlock()
 		if isModel && (oldest == nil || at.Before(oldestAt)) {
 			oldest, oldestAt = s, at
 		}
 	}
-	if oldest == nil || now.Sub(oldestAt) < freshFor {
+	if oldest == nil || now.Sub(oldestAt) < minPollInterval {
 		return endpoint.Info{}, false
 	}
 	oldest.group.mu.Lock()
 	defer oldest.group.mu.Unlock()
-	oldest.load.askedAt = now
+	oldest.load.polledAt = now
 	return oldest.info, true
 }
 
-// Candidate is one line of an explanation.
+// Candidate is one endpoint in the explanation of a choice.
 type Candidate struct {
 	Endpoint     endpoint.Info
 	Usable       bool
@@ -222,37 +224,37 @@
 	Total        time.Duration
 	CachedTokens int
 	Running      int
-	// Slots is how many run at once.
+	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int
-	// FreeTokens is KV memory left, in tokens, as last reported.
+	// FreeTokens is the free KV memory in tokens, as last reported.
 	FreeTokens int
-	// HazardPerHour is the rate the risk was worked out with.
+	// HazardPerHour is the reclaim rate from which Risk was computed.
 	HazardPerHour float64
 }
 
-// Explain returns the sums of every candidate, without choosing.
+// Explain returns the estimates for every candidate, without choosing one.
 func (r *Router) Explain(q Query, now time.Time) []Candidate {
 	g, byID := r.groupFor(q.Target)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cachedSlots := g.markCached(q, byID)
 	defer cachedSlots.clear()
-	q.hosts = r.sharers()
+	q.hosts = r.limitHosts()
 	list := make([]Candidate, 0, len(g.slots))
 	for _, s := range g.slots {
 		sc := r.score(s, q, now)
 		list = append(list, Candidate{
 			Endpoint: s.info, Usable: g.usable(s, q, now), Wait: sc.wait, Decode: sc.decode, Risk: sc.risk,
-			Total: sc.total, CachedTokens: sc.cached, Running: s.load.running + s.load.sentSince - s.load.endedSince,
-			Slots: s.load.slots, FreeTokens: s.load.freeTokens, HazardPerHour: s.load.rate,
+			Total: sc.total, CachedTokens: sc.cachedTokens, Running: s.load.running + s.load.sentSinceReport - s.load.endedSinceReport,
+			Slots: s.load.slots, FreeTokens: s.load.freeTokens, HazardPerHour: s.load.hazardPerHour,
 		})
 	}
 	return list
 }
 
-// ChooseAt picks one endpoint that was decided on before. ok is false where it
-// does not take the request: later is true if it may do so yet, because the
-// request can wait and the endpoint has no room at the moment.
+// ChooseAt chooses an endpoint that was selected before. ok is false if it does not accept the
+// request; later is true if it may do so later, because the request can wait and the endpoint has
+// no room at present.
 func (r *Router) ChooseAt(q Query, ref endpoint.Ref, now time.Time) (c Choice, ok, later bool) {
 	g, byID := r.groupFor(q.Target)
 	g.mu.Lock()
@@ -261,35 +263,35 @@
 	if !known || s.group != g || s.info.Ref() != ref {
 		return Choice{}, false, false
 	}
-	if now.Before(s.load.backoff.own) || !s.load.allows(r.sharers(), now) {
+	if now.Before(s.load.backoff.requestedUntil) || !s.load.allows(r.limitHosts(), now) {
 		return Choice{}, false, false
 	}
-	if q.MayWait && !s.load.hasRoomForWaiting(q.stale) {
+	if q.MayWait && !s.load.hasRoomForMayWait(q.reportOnly) {
 		return Choice{}, false, true
 	}
 	s.load.take()
-	s.load.sentSince++
-	s.load.ownRunning++
-	r.underWay.Add(1)
-	return Choice{Endpoint: s.info, sent: now}, true, false
+	s.load.sentSinceReport++
+	s.load.localRunning++
+	r.inFlight.Add(1)
+	return Choice{Endpoint: s.info, sentAt: now}, true, false
 }
 
-// Lookup returns what is known of an endpoint.
+// Lookup returns the directory's information on an endpoint.
 func (r *Router) Lookup(id string) (endpoint.Info, bool) { return r.directory.Get(id) }
 
-// TokenGap returns the time between tokens at an endpoint, as learned from all of
-// its service.
+// TokenGap returns the time between tokens at an endpoint, as estimated from all endpoints of its
+// service.
 func (r *Router) TokenGap(id string) time.Duration {
 	s, ok := r.slots()[id]
 	if !ok {
-		return startTokenGap
+		return initialTokenGap
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return s.group.model.Figures().TokenGap
+	return s.group.speed.Figures().TokenGap
 }
 
-// TotalSlots returns how many requests the endpoints of a target run at once.
+// TotalSlots returns the number of requests that the endpoints of a target run concurrently.
 func (r *Router) TotalSlots(t Target) int {
 	g, _ := r.groupFor(t)
 	g.mu.Lock()
@@ -301,7 +303,7 @@
 	return total
 }
 
-// EndpointCount returns how many endpoints take work for a target.
+// EndpointCount returns the number of endpoints that accept work for a target.
 func (r *Router) EndpointCount(t Target) int {
 	g, _ := r.groupFor(t)
 	g.mu.Lock()
@@ -309,9 +311,9 @@
 	return len(g.slots)
 }
 
-// OtherVersion returns a target of the same model and adapter that some endpoint
-// serves in another version: while versions are rolled, a service must not go
-// without. ok is false where there is none.
+// OtherVersion returns a target of the same model and adapter that an endpoint serves in another
+// version, so that the service stays available while versions are rolled out. The result is false
+// if there is none.
 func (r *Router) OtherVersion(t Target) (Target, bool) {
 	for _, info := range r.directory.View().Infos() {
 		other := TargetOf(info)
--- a/pkg/route/limit.go
+++ b/pkg/route/limit.go
@@ -7,49 +7,49 @@
 	"ironhollow/pkg/ratelimit"
 )
 
-// noShareComeBack is when a caller comes back to a host that has no share of the endpoints'
-// limits: another host that it asks may have one.
-const noShareComeBack = time.Second
+// noShareRetryAfter is the time after which a caller may retry at a host that has no share of the
+// endpoints' limits. Another host that the caller tries may have one.
+const noShareRetryAfter = time.Second
 
-// limited is the bucket of an endpoint's incarnation that names a limit. It outlives a new
-// draw of this host's part of the endpoints.
-type limited struct {
+// endpointLimit is the rate limit of an endpoint's incarnation. It is kept when this host's subset
+// of the endpoints changes.
+type endpointLimit struct {
 	incarnation int64
 	bucket      *ratelimit.Bucket
 }
 
-// SetHosts sets the hosts that take callers, by name: they share the limits that endpoints name.
-// Where it is never called this host has the whole of each.
+// SetHosts sets the names of the hosts that take callers; they share the limits that endpoints
+// set. If it is never called, this host uses the whole of each limit.
 func (r *Router) SetHosts(names []string, now time.Time) {
 	held := r.hosts.Load()
 	if held == nil {
-		r.hosts.Store(ratelimit.NewHosts(r.home.Node, names, now))
+		r.hosts.Store(ratelimit.NewHosts(r.location.Node, names, now))
 		return
 	}
 	r.hosts.Store(held.With(names, now))
 }
 
-// sharers returns the hosts that share limits.
-func (r *Router) sharers() *ratelimit.Hosts {
+// limitHosts returns the hosts that share limits.
+func (r *Router) limitHosts() *ratelimit.Hosts {
 	if hosts := r.hosts.Load(); hosts != nil {
 		return hosts
 	}
-	return r.alone
+	return r.onlySelf
 }
 
-// SetLimit notes how many requests a second an endpoint takes from all hosts together, 0 for
-// no limit.
+// SetLimit sets the number of requests per second that an endpoint accepts from all hosts
+// together; 0 for no limit.
 func (r *Router) SetLimit(ref endpoint.Ref, limit endpoint.Limit, now time.Time) {
 	r.mu.Lock()
 	held := r.limits[ref.ID]
 	if held.incarnation != ref.Incarnation {
-		held = limited{incarnation: ref.Incarnation}
+		held = endpointLimit{incarnation: ref.Incarnation}
 	}
 	switch {
 	case limit == 0:
 		held.bucket = nil
 	case held.bucket == nil:
-		held.bucket = ratelimit.New(ref.ID, limit, r.sharers(), now)
+		held.bucket = ratelimit.New(ref.ID, limit, r.limitHosts(), now)
 	default:
 		held.bucket.SetLimit(limit, now)
 	}
@@ -60,21 +60,21 @@
 	}
 	r.mu.Unlock()
 	r.withSlot(ref, func(s *slot) {
-		s.group.limited += countLimited(held.bucket) - countLimited(s.load.bucket)
+		s.group.limitedCount += countLimited(held.bucket) - countLimited(s.load.bucket)
 		s.load.bucket = held.bucket
 	})
 }
 
-// countLimited is 1 for an endpoint with a limit, else 0.
-func countLimited(a *ratelimit.Bucket) int {
-	if a == nil {
+// countLimited returns 1 for an endpoint with a limit, otherwise 0.
+func countLimited(bucket *ratelimit.Bucket) int {
+	if bucket == nil {
 		return 0
 	}
 	return 1
 }
 
-// bucketOf returns the bucket of an endpoint's incarnation, nil for no limit. The
-// router's lock is held.
+// bucketOf returns the bucket of an endpoint's incarnation; nil for no limit. The router's lock
+// must be held.
 func (r *Router) bucketOf(ref endpoint.Ref) *ratelimit.Bucket {
 	held, ok := r.limits[ref.ID]
 	if ok && held.incarnation != ref.Incarnation {
@@ -84,7 +84,7 @@
 	return held.bucket
 }
 
-// allows reports whether the endpoint's limit, if any, leaves room for a request.
+// allows reports whether the endpoint's limit, if any, has room for a request.
 func (l *load) allows(hosts *ratelimit.Hosts, now time.Time) bool {
 	return l.bucket == nil || l.bucket.Allows(hosts, now)
 }
@@ -96,13 +96,13 @@
 	}
 }
 
-// freeIn returns how long it is until the endpoint may get a request, 0 for now. ok is
-// false where this host has no share of its limit.
-func (l *load) freeIn(hosts *ratelimit.Hosts, now time.Time) (left time.Duration, ok bool) {
-	left = max(l.backoff.own.Sub(now), 0)
+// timeUntilAvailable returns the time until the endpoint may get a request; 0 for now. ok is false
+// if this host has no share of its limit.
+func (l *load) timeUntilAvailable(hosts *ratelimit.Hosts, now time.Time) (remaining time.Duration, ok bool) {
+	remaining = max(l.backoff.requestedUntil.Sub(now), 0)
 	if l.bucket == nil {
-		return left, true
+		return remaining, true
 	}
-	limited, ok := l.bucket.Left(hosts, now)
-	return max(left, limited), ok
+	limitWait, ok := l.bucket.Left(hosts, now)
+	return max(remaining, limitWait), ok
 }
--- a/pkg/route/naive.go
+++ b/pkg/route/naive.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// pickNaive is what the expected choice is measured against: it knows nothing
-// of queues, caches, reclaims or failures beyond the request's own; backoffs and
-// limits bind it too. The group's lock is held.
+// pickNaive chooses by a naive strategy, as a baseline for the choice by expected time. It ignores
+// caches, reclaims, failures other than the request's own, and queues beyond the latest reports.
+// Backoffs and limits still apply. The group's lock must be held.
 func (g *group) pickNaive(q Query, strategy Strategy, now time.Time) *slot {
 	usable := func(s *slot) bool {
-		if now.Before(s.load.backoff.own) || !s.load.allows(q.hosts, now) {
+		if now.Before(s.load.backoff.requestedUntil) || !s.load.allows(q.hosts, now) {
 			return false
 		}
 		for _, ref := range q.Avoid {
@@ -17,24 +17,24 @@
 		}
 		return true
 	}
-	n := len(g.slots)
-	if n == 0 {
+	count := len(g.slots)
+	if count == 0 {
 		return nil
 	}
 	switch strategy {
 	case LeastReported:
-		return g.leastReported(usable)
+		return g.leastReportedLoad(usable)
 	case PowerOfTwo:
-		return lessLoaded(g.nextUsable(g.random.IntN(n), usable), g.nextUsable(g.random.IntN(n), usable))
+		return lessLoaded(g.nextUsable(g.random.IntN(count), usable), g.nextUsable(g.random.IntN(count), usable))
 	case Random:
-		return g.nextUsable(g.random.IntN(n), usable)
+		return g.nextUsable(g.random.IntN(count), usable)
 	default:
-		g.turn++
-		return g.nextUsable(g.turn%n, usable)
+		g.roundRobinIndex++
+		return g.nextUsable(g.roundRobinIndex%count, usable)
 	}
 }
 
-// nextUsable returns the first usable slot from a place on, going round.
+// nextUsable returns the first usable slot at or after an index, wrapping around.
 func (g *group) nextUsable(from int, usable func(*slot) bool) *slot {
 	for i := range g.slots {
 		s := g.slots[(from+i)%len(g.slots)]
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// leastReported trusts the latest reports, stale as they are.
-func (g *group) leastReported(usable func(*slot) bool) *slot {
+// leastReportedLoad returns the usable slot with the lowest load in the latest reports, however
+// stale.
+func (g *group) leastReportedLoad(usable func(*slot) bool) *slot {
 	var best *slot
 	for _, s := range g.slots {
 		if usable(s) && (best == nil || s.load.running+s.load.waiting < best.load.running+best.load.waiting) {
@@ -56,7 +57,7 @@
 	return best
 }
 
-// lessLoaded compares two slots by the latest reports.
+// lessLoaded returns the slot with the lower load in the latest reports.
 func lessLoaded(a, b *slot) *slot {
 	if a == nil || (b != nil && b.load.running+b.load.waiting < a.load.running+a.load.waiting) {
 		return b
--- a/pkg/route/penalty.go
+++ b/pkg/route/penalty.go
@@ -6,55 +6,55 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Parameters of the penalty for a refusal, where the endpoint asks for no backoff. A refusal is
-// cheap, leaves its connection open and frees the endpoint at once: without a penalty all of
+// Parameters of the penalty for a refusal for which the endpoint requests no backoff. A refusal is
+// cheap, leaves its connection open and frees the endpoint at once. Without a penalty, all of
 // these would favour an endpoint that refuses everything.
 const (
-	// firstPenalty is how long the first refusal counts, doubled with each further one up to
-	// maxPenalty.
+	// firstPenalty is the penalty for the first refusal. It doubles with each further refusal, up
+	// to maxPenalty.
 	firstPenalty = 250 * time.Millisecond
-	// maxPenalty bounds the time until an endpoint that serves again is found.
+	// maxPenalty bounds the time until an endpoint that serves again is detected.
 	maxPenalty = time.Second
-	// penaltyFades is the time without refusal after which one is forgotten.
-	penaltyFades = 2 * maxPenalty
-	// mostRefusals is how many refusals lengthen the penalty.
-	mostRefusals = 2
-	// penaltyShare is the part of the endpoints above which penalties are ignored: the
+	// penaltyDecayTime is the time without a refusal after which one refusal is no longer counted.
+	penaltyDecayTime = 2 * maxPenalty
+	// maxRefusalDoublings is the number of refusals that lengthen the penalty.
+	maxRefusalDoublings = 2
+	// maxPenalizedShare is the share of penalized endpoints above which penalties are ignored: the
 	// service is full then, and requests are spread by load alone.
-	penaltyShare = 0.5
+	maxPenalizedShare = 0.5
 )
 
-// Penalize notes that an endpoint refused a request of this entry. What is left of the penalty
-// counts as waiting time, so that the endpoint is still chosen where all others would take
-// longer. Penalties are not sent to other hosts: all of them would compute the prompts that
-// the endpoint has cached again elsewhere.
+// Penalize records that an endpoint refused a request of this entry. The remaining penalty counts
+// as waiting time, so that the endpoint is still chosen if all others would take longer. Penalties
+// are not sent to other hosts: otherwise all of them would have the prompts that the endpoint has
+// cached computed again elsewhere.
 func (r *Router) Penalize(ref endpoint.Ref, now time.Time) {
 	r.withSlot(ref, func(s *slot) { s.penalize(now) })
 }
 
-// penalize extends the penalty for a refusal. The group's lock is held.
+// penalize extends the penalty for a refusal. The group's lock must be held.
 func (s *slot) penalize(now time.Time) {
 	l := &s.load
-	faded := int(now.Sub(l.refusedAt) / penaltyFades)
-	l.refusals = max(l.refusals-faded, 0)
+	decayed := int(now.Sub(l.refusedAt) / penaltyDecayTime)
+	l.refusals = max(l.refusals-decayed, 0)
 	until := now.Add(min(firstPenalty<<l.refusals, maxPenalty))
-	l.refusals = min(l.refusals+1, mostRefusals)
+	l.refusals = min(l.refusals+1, maxRefusalDoublings)
 	l.refusedAt = now
-	l.backoff.penalty = later(l.backoff.penalty, until)
+	l.backoff.penaltyUntil = later(l.backoff.penaltyUntil, until)
 	s.group.noteBackoff(l.backoff)
 }
 
-// allPenalized reports whether more than penaltyShare of the endpoints have a penalty. The
-// group's lock is held.
-func (g *group) allPenalized(now time.Time) bool {
+// tooManyPenalized reports whether more than maxPenalizedShare of the endpoints have a penalty.
+// The group's lock must be held.
+func (g *group) tooManyPenalized(now time.Time) bool {
 	if !now.Before(g.penaltiesUntil) {
 		return false
 	}
 	count := 0
 	for _, s := range g.slots {
-		if now.Before(s.load.backoff.penalty) {
+		if now.Before(s.load.backoff.penaltyUntil) {
 			count++
 		}
 	}
-	return float64(count) > penaltyShare*float64(len(g.slots))
+	return float64(count) > maxPenalizedShare*float64(len(g.slots))
 }
--- a/pkg/route/placement.go
+++ b/pkg/route/placement.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// Placement says that an endpoint was sent a prompt, and so has read its prefixes.
+// Placement records that an endpoint was sent a prompt, and so has prefilled its prefixes.
 type Placement struct {
 	Endpoint string
-	// PrefixHashes is the prompt's shared prefixes, from its start.
+	// PrefixHashes are the hashes of the prompt's shared prefixes, from its start.
 	PrefixHashes []uint64
 }
 
-// mostPlaced bounds the placements of a target that wait to be sent; what is beyond is dropped.
-const mostPlaced = 32
+// maxPlacements bounds the placements of a target that wait to be sent. Further ones are dropped.
+const maxPlacements = 32
 
-// place notes a prompt for the other entries. The group's lock is held.
-func (g *group) place(q Query, id string) {
-	if q.SharedPrefixes > 0 && len(g.placed) < mostPlaced {
-		g.placed = append(g.placed, Placement{id, q.PrefixHashes[:q.SharedPrefixes]})
+// recordPlacement records the placement of a prompt for the other entries. The group's lock must
+// be held.
+func (g *group) recordPlacement(q Query, id string) {
+	if q.SharedPrefixes > 0 && len(g.placements) < maxPlacements {
+		g.placements = append(g.placements, Placement{id, q.PrefixHashes[:q.SharedPrefixes]})
 	}
 }
 
-// DrainPlacements returns where this entry sent prompts with shared prefixes since
-// it was last asked.
+// DrainPlacements returns and clears the placements of this entry's prompts with shared prefixes
+// since the last call.
 func (r *Router) DrainPlacements() []Placement {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var list []Placement
 	for _, g := range r.groups {
 		g.mu.Lock()
-		list = append(list, g.placed...)
-		g.placed = nil
+		list = append(list, g.placements...)
+		g.placements = nil
 		g.mu.Unlock()
 	}
 	return list
 }
 
-// ApplyPlacement notes where another entry sent a prompt.
+// ApplyPlacement records a placement by another entry.
 func (r *Router) ApplyPlacement(p Placement) {
 	s, ok := r.slots()[p.Endpoint]
 	if !ok {
@@ -42,23 +43,25 @@
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	s.group.index.note(p.PrefixHashes, p.Endpoint)
+	s.group.prefixes.record(p.PrefixHashes, p.Endpoint)
 }
 
-// Parameters of what the other entries are sent at once.
+// Parameters of the updates that are sent to the other entries at once.
 const (
-	// heavyPrefill is the prefill time from which on the other entries are sent a placement at
-	// once: requests behind it would lose a tenth of a short objective.
-	heavyPrefill = 30 * time.Millisecond
-	// mostUrgent bounds the endpoints that wait to be sent; the next full round has what is beyond.
-	mostUrgent = 64
+	// urgentPrefill is the prefill time from which an update is sent to the other entries at once:
+	// requests queued behind it would lose a tenth of a short latency objective.
+	urgentPrefill = 30 * time.Millisecond
+	// maxUrgent bounds the endpoints that wait to be sent. Further ones are sent in the next full
+	// round.
+	maxUrgent = 64
 )
 
-// Urgent returns endpoints whose state the other entries are sent at once: this one has just made
-// their queue longer than what the others know, or a notice of theirs came.
+// Urgent returns a channel of the endpoints whose state is sent to the other entries at once,
+// because this entry has just made their queue longer than the others know, or because a notice
+// from them has arrived.
 func (r *Router) Urgent() <-chan string { return r.urgent }
 
-// MarkUrgent has the state of an endpoint sent to the other entries at once.
+// MarkUrgent marks an endpoint whose state is to be sent to the other entries at once.
 func (r *Router) MarkUrgent(id string) {
 	select {
 	case r.urgent <- id:
@@ -66,7 +69,7 @@
 	}
 }
 
-// LocalLoad returns what this entry has under way at one endpoint.
+// LocalLoad returns the load of this entry's requests in flight at one endpoint.
 func (r *Router) LocalLoad(id string) LocalLoad {
 	s, ok := r.slots()[id]
 	if !ok {
@@ -74,5 +77,5 @@
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return LocalLoad{s.info, s.load.ownRunning, s.load.ownPrefill}
+	return LocalLoad{s.info, s.load.localRunning, s.load.localPrefillTokens}
 }
--- a/pkg/route/placement_test.go
+++ b/pkg/route/placement_test.go
@@ -9,10 +9,10 @@
 	"ironhollow/pkg/route"
 )
 
-// prompts numbers the prompts' own parts.
+// prompts counts the prompts, so that each has a unique last prefix.
 var prompts uint64
 
-// chat is a prompt of a base that all share and a session's own part.
+// chat returns a prompt with a base that all sessions share, a session's prefix and a unique rest.
 func chat(session uint64) route.Query {
 	q := query()
 	q.PromptTokens = 7000
@@ -23,8 +23,8 @@
 	return q
 }
 
-// An entry sends a session's prompt where it had to go for load, away from its
-// home; the others follow there once they have its placement.
+// Because of load, an entry sends a session's prompt to another endpoint than its home. The other
+// entries must send the session there once they have the placement.
 func TestEntriesFollowEachOthersPlacements(t *testing.T) {
 	first, _, _ := newRouter(8)
 	second, _, _ := newRouter(8)
@@ -51,9 +51,9 @@
 	}
 }
 
-// A prefix that someone was seen to have sent elsewhere is not thought to be at its
-// home as well: what is queued there would be estimated too low.
-func TestHomeIsNotThoughtToHaveWhatWentElsewhere(t *testing.T) {
+// Guards against counting a prefix as cached at its home when it was sent elsewhere: the queue at
+// the home would be estimated too low.
+func TestPrefixPlacedElsewhereIsNotCachedAtHome(t *testing.T) {
 	r, _, _ := newRouter(8)
 	q := chat(3)
 	home, _ := r.Choose(q, route.Expected, now)
@@ -70,14 +70,14 @@
 			want = 6500
 		}
 		if c.CachedTokens != want {
-			t.Errorf("%s: got %d tokens reckoned cached, want %d", c.Endpoint.ID, c.CachedTokens, want)
+			t.Errorf("%s: got %d tokens estimated to be cached, want %d", c.Endpoint.ID, c.CachedTokens, want)
 		}
 	}
 }
 
-// Many sessions share a base, of which only the latest endpoints are remembered;
-// each session's endpoint is found by the session's own part.
-func TestSessionIsFoundBehindASharedBase(t *testing.T) {
+// Many sessions share a base, for which only the latest endpoints are stored. Each session's
+// endpoint must be found by the session's own prefix.
+func TestSessionIsFoundByItsOwnPrefix(t *testing.T) {
 	r, _, _ := newRouter(30)
 	for session := range 30 {
 		r.ApplyPlacement(route.Placement{Endpoint: info(session).ID, PrefixHashes: chat(uint64(session)).PrefixHashes[:2]})
@@ -91,15 +91,15 @@
 	}
 }
 
-// A long prompt makes others wait; a short one does not.
-func TestOnlyLongPromptsAreToldAtOnce(t *testing.T) {
+// A long prompt delays other requests, so its endpoint is urgent; that of a short one is not.
+func TestOnlyLongPromptsAreUrgent(t *testing.T) {
 	r, _, _ := newRouter(4)
 	short := query()
 	short.PromptTokens = 20
 	r.Choose(short, route.Expected, now)
 	select {
 	case id := <-r.Urgent():
-		t.Fatalf("short prompt: got %s told at once, want nothing", id)
+		t.Fatalf("short prompt: got urgent endpoint %s, want none", id)
 	default:
 	}
 	long := query()
@@ -108,15 +108,15 @@
 	select {
 	case id := <-r.Urgent():
 		if id != c.Endpoint.ID {
-			t.Errorf("long prompt: got %s told at once, want %s", id, c.Endpoint.ID)
+			t.Errorf("long prompt: got urgent endpoint %s, want %s", id, c.Endpoint.ID)
 		}
 	default:
-		t.Error("long prompt: got nothing told at once, want its endpoint")
+		t.Error("long prompt: got no urgent endpoint, want the prompt's")
 	}
 }
 
-// What others sent of prompts not yet read fades as the endpoint reads them.
-func TestToldQueueIsReadAsTimePasses(t *testing.T) {
+// The queue that other entries reported shrinks as the endpoint prefills it.
+func TestReportedQueueShrinksOverTime(t *testing.T) {
 	r, _, _ := newRouter(1)
 	ref := info(0).Ref()
 	r.ApplyReport(ref, engine.Report{Sequence: now.UnixMilli() + 1, Slots: 16, QueuedTokens: 5000, QueuedAt: now})
@@ -128,23 +128,23 @@
 	}
 }
 
-// A part that nobody has read yet is not cached anywhere: what is queued behind it
-// would be estimated too low by all that come after.
-func TestPartThatNobodyHasReadIsNotCached(t *testing.T) {
+// Guards against counting a prefix as cached before an endpoint has prefilled it: the queue behind
+// it would be estimated too low for all later requests.
+func TestNewPrefixIsNotCached(t *testing.T) {
 	r, _, _ := newRouter(8)
 	q := chat(4)
 	c, _ := r.Choose(q, route.Expected, now)
 	if c.CachedTokens != 0 {
-		t.Errorf("first prompt of a session: got %d tokens reckoned cached, want 0", c.CachedTokens)
+		t.Errorf("first prompt of a session: got %d tokens estimated to be cached, want 0", c.CachedTokens)
 	}
 	if got := r.LocalLoad(c.Endpoint.ID).PrefillTokens; got != q.PromptTokens {
-		t.Errorf("told to the others: got %d tokens to be read, want %d", got, q.PromptTokens)
+		t.Errorf("local load: got %d tokens to be prefilled, want %d", got, q.PromptTokens)
 	}
 }
 
-// A prompt that is refused was not read: what comes later with the same parts does
-// not find them there.
-func TestRefusedPromptIsNotTakenForRead(t *testing.T) {
+// Guards against a rejected choice that counts as prefilled: a later prompt with the same prefixes
+// must not find them cached.
+func TestRejectedChoiceIsNotCached(t *testing.T) {
 	r, _, _ := newRouter(8)
 	q := chat(5)
 	q.Accepts = func(route.Choice) bool { return false }
@@ -152,13 +152,13 @@
 		t.Fatalf("not accepted: got %s, want none", c.Endpoint.ID)
 	}
 	if got := r.DrainPlacements(); len(got) != 0 {
-		t.Errorf("placements told: got %v, want none", got)
+		t.Errorf("placements: got %v, want none", got)
 	}
 	if got := r.LocalLoads(); len(got) != 0 {
-		t.Errorf("loads told: got %v, want none", got)
+		t.Errorf("local loads: got %v, want none", got)
 	}
 	again := chat(5)
 	if c, _ := r.Choose(again, route.Expected, now); c.CachedTokens != 0 {
-		t.Errorf("the same parts again: got %d tokens reckoned cached, want 0", c.CachedTokens)
+		t.Errorf("the same prefixes again: got %d tokens estimated to be cached, want 0", c.CachedTokens)
 	}
 }
--- a/pkg/route/prefix.go
+++ b/pkg/route/prefix.go
@@ -8,20 +8,20 @@
 
 // Parameters of the prefix index.
 const (
-	// blockBytes is how much of a prompt one hash covers.
+	// blockBytes is the number of bytes of a prompt that one hash covers.
 	blockBytes = 256
-	// blockTokens is the same in tokens, at four bytes a token.
+	// blockTokens is the size of a block in tokens, at four bytes per token.
 	blockTokens = blockBytes / 4
-	// MaxBlocks bounds the hashes of one prompt.
+	// MaxBlocks bounds the number of hashes of one prompt.
 	MaxBlocks = 64
-	// holders is how many endpoints are remembered for one prefix.
-	holders = 4
-	// indexLimit bounds the prefixes remembered for one target.
-	indexLimit = 1 << 15
+	// maxHolders is the number of endpoints stored for one prefix.
+	maxHolders = 4
+	// maxIndexSize bounds the prefixes in one generation of a target's index.
+	maxIndexSize = 1 << 15
 )
 
-// HashPrefixes appends the hashes of a prompt's prefixes, one for every full block,
-// to dst. Prompts that share a prefix share its hashes.
+// HashPrefixes appends to dst the hashes of a prompt's prefixes, one for every full block. Prompts
+// with a common prefix have the same hashes for it.
 func HashPrefixes(dst []uint64, prompt []byte) []uint64 {
 	digest := xxhash.New()
 	for end := blockBytes; end <= len(prompt) && len(dst) < MaxBlocks; end += blockBytes {
@@ -31,16 +31,16 @@
 	return dst
 }
 
-// prefixIndex remembers which endpoints were sent which prefixes. It is a hint: engines evict
-// without notice, and events come late or not at all. Two generations bound it: when the young
-// one is full the old one is dropped.
+// prefixIndex stores which endpoints were sent which prefixes. It is a hint: engines evict without
+// notice, and cache events arrive late or not at all. Two generations bound its size: when the
+// young one is full, it replaces the old one.
 type prefixIndex struct {
 	limit      int
 	young, old map[uint64]holderSet
 }
 
-// holderSet is the latest endpoints a prefix was sent to, newest first.
-type holderSet [holders]string
+// holderSet is the latest endpoints that a prefix was sent to, newest first.
+type holderSet [maxHolders]string
 
 func newPrefixIndex(limit int) *prefixIndex {
 	return &prefixIndex{limit: limit, young: map[uint64]holderSet{}, old: map[uint64]holderSet{}}
@@ -62,9 +62,9 @@
 	x.young[hash] = set
 }
 
-// note remembers that an endpoint was sent a prompt.
-func (x *prefixIndex) note(prefix []uint64, id string) {
-	for _, hash := range prefix {
+// record stores that an endpoint was sent a prompt with the given prefixes.
+func (x *prefixIndex) record(hashes []uint64, id string) {
+	for _, hash := range hashes {
 		set, _ := x.get(hash)
 		if set[0] == id {
 			x.put(hash, set)
@@ -78,7 +78,7 @@
 	next := holderSet{id}
 	n := 1
 	for _, held := range s {
-		if held != id && held != "" && n < holders {
+		if held != id && held != "" && n < maxHolders {
 			next[n] = held
 			n++
 		}
@@ -86,51 +86,51 @@
 	return next
 }
 
-// mostMarked is the slots that one prompt can mark: those that were sent its
-// deepest shared prefix or its first, and the home of the shared one.
-const mostMarked = 2*holders + 1
+// maxMarked bounds the slots that one prompt can mark: those that were sent its deepest shared
+// prefix or its first prefix, and the home of the shared one.
+const maxMarked = 2*maxHolders + 1
 
-// marked is the slots whose cached is set, for one choice.
-type marked struct {
-	slots [mostMarked]*slot
+// markedSlots are the slots whose cachedTokens or homeTokens is set, for one choice.
+type markedSlots struct {
+	slots [maxMarked]*slot
 	count int
 }
 
-func (m *marked) add(s *slot, cached int) {
-	m.note(s)
-	s.cached = max(s.cached, cached)
+func (m *markedSlots) add(s *slot, cached int) {
+	m.remember(s)
+	s.cachedTokens = max(s.cachedTokens, cached)
 }
 
-// prefer marks the home of a shared part that nobody is known to have read.
-func (m *marked) prefer(home *slot, tokens int) {
+// markHome marks the home of a shared prefix that no endpoint is known to have cached.
+func (m *markedSlots) markHome(home *slot, tokens int) {
 	if home != nil {
-		m.note(home)
+		m.remember(home)
 		home.homeTokens = tokens
 	}
 }
 
-// note remembers a slot that is about to be marked.
-func (m *marked) note(s *slot) {
-	if s.cached == 0 && m.count < mostMarked {
+// remember adds a slot that is about to be marked.
+func (m *markedSlots) remember(s *slot) {
+	if s.cachedTokens == 0 && m.count < maxMarked {
 		m.slots[m.count] = s
 		m.count++
 	}
 }
 
-// markCached notes on each slot how many tokens of the prefix it has cached and returns the slots
-// it marked. Only what was sent there counts: the preferred endpoint of a part that nobody has
-// read has it no more than others. The group's lock is held.
-func (g *group) markCached(q Query, byID map[string]*slot) marked {
-	var m marked
+// markCached sets on each slot the number of tokens of the prefix that it has cached, and returns
+// the marked slots. Only prefixes that an endpoint was sent count: the home of a prefix that no
+// endpoint has prefilled does not have it cached either. The group's lock must be held.
+func (g *group) markCached(q Query, byID map[string]*slot) markedSlots {
+	var m markedSlots
 	if len(q.PrefixHashes) == 0 {
 		return m
 	}
 	known := false
 	mark := func(prefix uint64) {
-		set, _ := g.index.get(prefix)
+		set, _ := g.prefixes.get(prefix)
 		for _, id := range set {
 			if s := byID[id]; s != nil && s.group == g {
-				depth := g.index.depth(q.PrefixHashes, id)
+				depth := g.prefixes.depth(q.PrefixHashes, id)
 				known = known || depth >= q.SharedPrefixes
 				m.add(s, q.tokensOf(depth))
 			}
@@ -141,12 +141,12 @@
 	}
 	mark(q.PrefixHashes[0])
 	if q.SharedPrefixes > 0 && !known {
-		m.prefer(g.rendezvous(q.PrefixHashes[q.SharedPrefixes-1], &q.Rule), q.tokensOf(q.SharedPrefixes))
+		m.markHome(g.rendezvous(q.PrefixHashes[q.SharedPrefixes-1], &q.Rule), q.tokensOf(q.SharedPrefixes))
 	}
 	return m
 }
 
-// tokensOf returns the tokens that the leading prefixes cover.
+// tokensOf returns the number of tokens that the leading prefixes cover.
 func (q Query) tokensOf(prefixes int) int {
 	if q.PrefixTokens == nil || prefixes == 0 {
 		return prefixes * blockTokens
@@ -154,18 +154,18 @@
 	return q.PrefixTokens[prefixes-1]
 }
 
-func (m *marked) clear() {
+func (m *markedSlots) clear() {
 	for _, s := range m.slots[:m.count] {
-		s.cached, s.homeTokens = 0, 0
+		s.cachedTokens, s.homeTokens = 0, 0
 	}
 }
 
-// depth returns how many leading prefixes an endpoint has: all up to the deepest
-// that it was sent, since it had those before when it read that. Of a prefix that
-// many share only the latest endpoints are remembered.
-func (x *prefixIndex) depth(prefix []uint64, id string) int {
-	for i := len(prefix) - 1; i >= 0; i-- {
-		if set, ok := x.get(prefix[i]); ok && set.has(id) {
+// depth returns the number of leading prefixes that an endpoint has: all up to the deepest that it
+// was sent, as a prompt includes its shorter prefixes. Shorter prefixes may not list the endpoint
+// themselves, because only the latest endpoints are stored for a prefix that many prompts share.
+func (x *prefixIndex) depth(hashes []uint64, id string) int {
+	for i := len(hashes) - 1; i >= 0; i-- {
+		if set, ok := x.get(hashes[i]); ok && set.has(id) {
 			return i + 1
 		}
 	}
@@ -181,17 +181,17 @@
 	return false
 }
 
-// rendezvous returns the endpoint that every entry holds to be the first for a
-// prefix (Thaler and Ravishankar 1998), of those that a rule allows.
+// rendezvous returns the home of a prefix among the endpoints that a rule allows. Every entry
+// computes the same one, by rendezvous hashing (Thaler and Ravishankar 1998).
 func (g *group) rendezvous(prefix uint64, rule *rollout.Rule) *slot {
 	var best *slot
-	var most uint64
+	var maxWeight uint64
 	for _, s := range g.slots {
 		if !rule.Allows(&s.info) {
 			continue
 		}
-		if weight := mix(s.hash ^ prefix); best == nil || weight > most {
-			best, most = s, weight
+		if weight := mix(s.hash ^ prefix); best == nil || weight > maxWeight {
+			best, maxWeight = s, weight
 		}
 	}
 	return best
--- a/pkg/route/query.go
+++ b/pkg/route/query.go
@@ -8,7 +8,7 @@
 	"ironhollow/pkg/rollout"
 )
 
-// Target names what a request needs to be loaded: a model with version and
+// Target identifies what an endpoint must have loaded for a request: a model with version and
 // adapter, or a plain service.
 type Target struct {
 	Service string
@@ -17,85 +17,85 @@
 	Adapter string
 }
 
-// Query is one request for an endpoint.
+// Query describes a request that needs an endpoint.
 type Query struct {
 	Target Target
-	// PrefixHashes is the prompt's prefix hashes (see Hash); it may be empty.
+	// PrefixHashes are the hashes of the prompt's prefixes (see HashPrefixes); may be empty.
 	PrefixHashes []uint64
-	// PrefixTokens is how many tokens each prefix covers, from the prompt's
-	// start; nil where every one is one block longer than the one before.
+	// PrefixTokens is the number of tokens that each prefix covers, from the prompt's start; nil
+	// if each is one block longer than the previous one.
 	PrefixTokens []int
-	// SharedPrefixes is how many of the prefixes other requests have too. Requests that share
-	// a prefix go to the same endpoint from every entry, where it was sent before or
-	// has its home, unless its load speaks against it; 0 leaves that to what this entry
-	// has sent.
+	// SharedPrefixes is the number of the prefixes that other requests have too. Requests with a
+	// shared prefix go from every entry to the same endpoint, which is one that was sent the
+	// prefix before or its home, unless the load there is too high. With 0, only the prompts that
+	// this entry has sent are considered.
 	SharedPrefixes int
-	// PromptTokens and AnswerTokens are what is expected, not known.
+	// PromptTokens and AnswerTokens are estimates.
 	PromptTokens, AnswerTokens int
-	// GeneratedTokens is tokens of the answer had already, to be prefilled again.
+	// GeneratedTokens is the number of answer tokens generated already, to be prefilled again.
 	GeneratedTokens int
-	// RiskWeight is how many seconds a lost second of work counts for; 1 for work
-	// that waits, more for a caller at a counter, 0 to leave risk out.
+	// RiskWeight is the number of seconds that one second of lost work counts for: 1 for work that
+	// can wait, more for a caller at a counter, 0 to ignore the risk.
 	RiskWeight float64
-	// Avoid lists endpoints that this request failed on.
+	// Avoid lists the endpoints at which this request has failed.
 	Avoid []endpoint.Ref
-	// MayWait marks work that takes an endpoint only where that leaves room for
-	// callers who wait.
+	// MayWait marks work that is sent to an endpoint only if that leaves room for callers who wait
+	// for their answer.
 	MayWait bool
-	// SampleSize is how many endpoints are looked at in addition to those that have the prefix, 0 for
-	// all up to a bound. Where many entries choose by old reports, a few at random spread better
-	// than the best of all (Mitzenmacher 2001).
+	// SampleSize is the number of random endpoints that are considered in addition to those that
+	// have the prefix; 0 for all up to scanLimit. If many entries choose by stale reports, a few
+	// random endpoints spread load better than the best of all (Mitzenmacher 2001).
 	SampleSize int
-	// Rule says which endpoints may take the request.
+	// Rule determines which endpoints may take the request.
 	Rule rollout.Rule
-	// Connected reports whether this entry has a connection to an address that the request can use;
-	// nil for all.
+	// Connected reports whether this entry has a connection to an address that the request can
+	// use; nil if it has one to every address.
 	Connected func(address string) bool
-	// Accepts is asked whether the best endpoint is used; nil uses it. What is not
-	// accepted leaves no trace but the work asked for: a part that was refused is not
-	// taken for read.
-	Accepts func(Choice) bool
-	stale   bool
-	// allPenalized says that so many endpoints have a penalty that it is ignored.
-	allPenalized bool
-	// hosts share the limits that endpoints name.
+	// Accepts reports whether the best endpoint is used; nil always uses it. A rejected choice is
+	// counted in the engine demand and changes nothing else: its prefixes do not count as
+	// prefilled.
+	Accepts    func(Choice) bool
+	reportOnly bool
+	// ignorePenalties is set if so many endpoints have a penalty that penalties are ignored.
+	ignorePenalties bool
+	// hosts are those that share the limits of endpoints.
 	hosts *ratelimit.Hosts
 	// mayExplore is set if idle endpoints without a connection are preferred.
 	mayExplore bool
 }
 
-// Choice is an endpoint chosen. Every Choice must be ended with Done.
+// Choice is a chosen endpoint. Every Choice must be completed with Done.
 type Choice struct {
 	Endpoint endpoint.Info
 	// Expected is the estimated time to completion.
 	Expected time.Duration
-	// Wait is the part of it before the first token.
+	// Wait is the part of Expected before the first token.
 	Wait time.Duration
-	// Queued is the part of Wait for what was there before, LeastQueued the least such time
-	// at any endpoint that was looked at.
+	// Queued is the part of Wait that is due to earlier requests, LeastQueued the least such time
+	// of all endpoints that were considered.
 	Queued, LeastQueued time.Duration
-	// CachedTokens is how much of the prompt was estimated to be cached there.
+	// CachedTokens is the number of prompt tokens estimated to be cached at the endpoint.
 	CachedTokens int
-	sent         time.Time
-	// uncached is the prompt's part that was estimated to be prefilled, ahead the tokens of others
-	// that were estimated to be prefilled before it.
-	uncached, ahead int
+	sentAt       time.Time
+	// uncachedTokens is the number of prompt tokens estimated to need prefill, aheadTokens the
+	// number of other requests' tokens estimated to be prefilled before them.
+	uncachedTokens, aheadTokens int
 }
 
-// Sent returns when the endpoint was chosen.
-func (c Choice) Sent() time.Time { return c.sent }
+// Sent returns the time at which the endpoint was chosen.
+func (c Choice) Sent() time.Time { return c.sentAt }
 
-// Strategy names a way to choose.
+// Strategy selects how endpoints are chosen.
 type Strategy int
 
-// The strategies; all but Expected are naive.
+// The strategies. All but Expected and ExpectedStale are naive.
 const (
 	Expected Strategy = iota
 	Random
 	RoundRobin
 	LeastReported
 	PowerOfTwo
-	// ExpectedStale is Expected without the correction of reports by what was
-	// sent since: for measuring what the correction is worth.
+	// ExpectedStale is Expected without the correction of reports by what was sent since, to
+	// measure the effect of that correction.
 	ExpectedStale
 )
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -1,8 +1,8 @@
-// Package route chooses the endpoint of a request. It reads no clock and no
-// socket: time, reports and endpoints are passed in. The expected time of each
-// candidate is queueing, prefill of what is not cached and decoding, from load
-// reports that lag, corrected by what this process sent since; on top comes
-// what a reclaim would lose. naive.go has a naive choice to compare it with.
+// Package route chooses the endpoint of a request. It reads no clock and no socket: time, reports
+// and endpoints are passed in. The expected time at each candidate is the sum of queueing, prefill
+// of the tokens that are not cached, decoding, and the expected loss by a reclaim. It is computed
+// from load reports that lag, corrected by what this process has sent since. naive.go has naive
+// strategies for comparison.
 package route
 
 import (
@@ -22,100 +22,100 @@
 
 // Parameters of the choice.
 const (
-	// scanLimit is how many candidates are looked at one by one; of more, a
-	// sample of that size is taken, next to those that have the prefix cached.
+	// scanLimit is the number of candidates up to which all are considered. Of more, a sample of
+	// that size is considered, in addition to those that have the prefix cached.
 	scanLimit = 32
-	// ejectAfter is how many failures in a row take an endpoint out.
+	// ejectAfter is the number of failures in a row after which an endpoint is ejected.
 	ejectAfter = 3
-	// ejectShare bounds the endpoints that are taken out at once.
-	ejectShare = 0.5
-	// firstEject and mostEject bound how long an endpoint is out.
-	firstEject = 2 * time.Second
-	mostEject  = time.Minute
-	// smoothing is the weight of a new measurement.
+	// maxEjectShare is the share of unavailable endpoints above which ejected ones are used again.
+	maxEjectShare = 0.5
+	// minEjectTime and maxEjectTime bound how long an endpoint is ejected.
+	minEjectTime = 2 * time.Second
+	maxEjectTime = time.Minute
+	// smoothing is the weight of a new measurement in a moving average.
 	smoothing = 0.2
-	// defaultSlots is assumed until an endpoint has reported its own.
+	// defaultSlots is assumed until an endpoint has reported its slots.
 	defaultSlots = 16
 )
 
 // Router chooses endpoints. It is safe for concurrent use: each group of
 // endpoints that serve the same target has its own lock.
 type Router struct {
-	directory *endpoint.Directory
-	hazard    *hazard.Estimator
-	home      Location
-	seed      uint64
-	figures   EngineSpeed
-	// underWay is the choices that have not ended.
-	underWay atomic.Int64
-	// entries is how many entry hosts share the endpoints, 0 if not known.
+	directory    *endpoint.Directory
+	hazard       *hazard.Estimator
+	location     Location
+	seed         uint64
+	initialSpeed EngineSpeed
+	// inFlight is the number of choices that are not completed.
+	inFlight atomic.Int64
+	// entries is the number of entry hosts that share the endpoints; 0 if unknown.
 	entries atomic.Int64
 
-	mu     sync.RWMutex
-	groups map[Target]*group
-	synced uint64
-	// byID finds the group and place of each endpoint.
+	mu               sync.RWMutex
+	groups           map[Target]*group
+	syncedGeneration uint64
+	// byID maps the ID of each endpoint to its slot.
 	byID map[string]*slot
-	// backoffs are those that endpoints asked for, by endpoint.
+	// backoffs are the backoffs of endpoints, by endpoint ID.
 	backoffs map[string]backoff
-	// limits are those that endpoints name, by endpoint.
-	limits map[string]limited
-	// hosts share the limits, nil until they are set; alone is this one.
-	hosts atomic.Pointer[ratelimit.Hosts]
-	alone *ratelimit.Hosts
-	// urgent holds endpoints whose state the other entries are sent at once.
+	// limits are the limits that endpoints set, by endpoint ID.
+	limits map[string]endpointLimit
+	// hosts are the hosts that share the limits, nil until they are set; onlySelf is this host
+	// alone.
+	hosts    atomic.Pointer[ratelimit.Hosts]
+	onlySelf *ratelimit.Hosts
+	// urgent holds the endpoints whose state is sent to the other entries at once.
 	urgent chan string
 }
 
 // Node returns the name of this process's node.
-func (r *Router) Node() string { return r.home.Node }
+func (r *Router) Node() string { return r.location.Node }
 
-// Location says where this process is.
+// Location identifies the node and data centre of this process.
 type Location struct {
 	Node, DataCenter string
 }
 
-// EngineSpeed are those of a target's engines until answers have shown their speed.
+// EngineSpeed is the speed that is assumed for a target's engines until answers are measured.
 type EngineSpeed struct {
-	// TokenGap is the time between tokens of one request, at little load.
+	// TokenGap is the time between tokens of one request, at low load.
 	TokenGap time.Duration
-	// Prefill is the time for one token of a prompt.
+	// Prefill is the prefill time of one prompt token.
 	Prefill time.Duration
-	// MeanRequestTime is how long a request runs.
+	// MeanRequestTime is the mean duration of a request.
 	MeanRequestTime time.Duration
 }
 
-// DefaultEngineSpeed are those of a large model on one host.
+// DefaultEngineSpeed returns the speed of a large model on one host.
 func DefaultEngineSpeed() EngineSpeed {
-	return EngineSpeed{TokenGap: startTokenGap, Prefill: startPrefill, MeanRequestTime: startMeanAnswer}
+	return EngineSpeed{TokenGap: initialTokenGap, Prefill: initialPrefill, MeanRequestTime: initialRequestTime}
 }
 
-// New returns a router over a directory of endpoints. The seed makes its
-// samples repeatable.
-func New(directory *endpoint.Directory, estimator *hazard.Estimator, home Location, seed uint64) *Router {
-	return NewWithEngineSpeed(directory, estimator, home, seed, DefaultEngineSpeed())
+// New returns a router over a directory of endpoints. The seed makes its samples reproducible.
+func New(directory *endpoint.Directory, estimator *hazard.Estimator, location Location, seed uint64) *Router {
+	return NewWithEngineSpeed(directory, estimator, location, seed, DefaultEngineSpeed())
 }
 
-// NewWithEngineSpeed is New with other figures to begin with.
-func NewWithEngineSpeed(directory *endpoint.Directory, estimator *hazard.Estimator, home Location, seed uint64, figures EngineSpeed) *Router {
+// NewWithEngineSpeed is New with another initial engine speed.
+func NewWithEngineSpeed(directory *endpoint.Directory, estimator *hazard.Estimator, location Location, seed uint64, speed EngineSpeed) *Router {
 	r := &Router{
-		figures:   figures,
-		directory: directory,
-		hazard:    estimator,
-		home:      home,
-		seed:      seed,
-		groups:    map[Target]*group{},
-		byID:      map[string]*slot{},
-		backoffs:  map[string]backoff{},
-		limits:    map[string]limited{},
-		alone:     ratelimit.NewHosts(home.Node, []string{home.Node}, time.Time{}),
-		urgent:    make(chan string, mostUrgent),
+		initialSpeed: speed,
+		directory:    directory,
+		hazard:       estimator,
+		location:     location,
+		seed:         seed,
+		groups:       map[Target]*group{},
+		byID:         map[string]*slot{},
+		backoffs:     map[string]backoff{},
+		limits:       map[string]endpointLimit{},
+		onlySelf:     ratelimit.NewHosts(location.Node, []string{location.Node}, time.Time{}),
+		urgent:       make(chan string, maxUrgent),
 	}
-	r.synced = ^uint64(0)
+	r.syncedGeneration = ^uint64(0)
 	return r
 }
 
-// TargetOf returns the target that an endpoint serves at present.
+// TargetOf returns the target that an endpoint currently serves.
 func TargetOf(i endpoint.Info) Target {
 	if i.Kind == endpoint.Plain {
 		return Target{Service: i.Service}
@@ -123,8 +123,8 @@
 	return Target{Model: i.Model, Version: i.Version, Adapter: i.Adapter}
 }
 
-// groupFor returns the target's group, brought up to date with the directory,
-// and the slots by endpoint. That map is not changed once it is made.
+// groupFor returns the target's group, synchronized with the directory, and the slots by endpoint
+// ID. The map is never changed once it is built.
 func (r *Router) groupFor(t Target) (*group, map[string]*slot) {
 	byID := r.slots()
 	r.mu.RLock()
@@ -142,19 +142,19 @@
 	return g, r.byID
 }
 
-// slots returns the slots by endpoint, brought up to date with the directory.
+// slots returns the slots by endpoint ID, synchronized with the directory.
 func (r *Router) slots() map[string]*slot {
 	view := r.directory.View()
 	r.mu.RLock()
 	byID := r.byID
-	fresh := r.synced == view.Generation()
+	fresh := r.syncedGeneration == view.Generation()
 	r.mu.RUnlock()
 	if fresh {
 		return byID
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.synced != view.Generation() {
+	if r.syncedGeneration != view.Generation() {
 		r.sync(view)
 	}
 	return r.byID
@@ -162,26 +162,26 @@
 
 func (r *Router) newGroup() *group {
 	return &group{
-		index:  newPrefixIndex(indexLimit),
-		random: rand.New(rand.NewPCG(r.seed, uint64(len(r.groups)))),
-		model:  enginemodel.NewService(enginemodel.Figures{Prefill: r.figures.Prefill, TokenGap: r.figures.TokenGap}),
+		prefixes: newPrefixIndex(maxIndexSize),
+		random:   rand.New(rand.NewPCG(r.seed, uint64(len(r.groups)))),
+		speed:    enginemodel.NewService(enginemodel.Figures{Prefill: r.initialSpeed.Prefill, TokenGap: r.initialSpeed.TokenGap}),
 	}
 }
 
-// sync rebuilds the groups after a change of the directory; the load known of
-// an endpoint's incarnation is kept. The router's lock is held.
+// sync rebuilds the groups after a change of the directory. The load of an endpoint's incarnation
+// is kept. The router's lock must be held.
 func (r *Router) sync(view *endpoint.View) {
 	old := r.byID
 	for _, g := range r.groups {
 		g.mu.Lock()
 		g.slots = nil
-		g.ejected = 0
-		g.limited = 0
+		g.ejectedCount = 0
+		g.limitedCount = 0
 		g.backoffsUntil, g.penaltiesUntil = time.Time{}, time.Time{}
 		g.mu.Unlock()
 	}
 	r.byID = make(map[string]*slot, len(view.Infos()))
-	for _, info := range Subset(r.home.Node, int(r.entries.Load()), view.Infos()) {
+	for _, info := range Subset(r.location.Node, int(r.entries.Load()), view.Infos()) {
 		target := TargetOf(info)
 		g, ok := r.groups[target]
 		if !ok {
@@ -190,10 +190,10 @@
 		}
 		r.byID[info.ID] = g.add(info, old[info.ID], r.newLoad(info))
 	}
-	r.synced = view.Generation()
+	r.syncedGeneration = view.Generation()
 }
 
-// SetEntryCount sets how many entry hosts share the endpoints.
+// SetEntryCount sets the number of entry hosts that share the endpoints.
 func (r *Router) SetEntryCount(entries int) {
 	if r.entries.Swap(int64(entries)) == int64(entries) {
 		return
@@ -204,7 +204,7 @@
 	r.sync(view)
 }
 
-// Endpoints returns the endpoints this entry may choose.
+// Endpoints returns the endpoints that this entry may choose.
 func (r *Router) Endpoints() []endpoint.Info {
 	byID := r.slots()
 	infos := make([]endpoint.Info, 0, len(byID))
@@ -216,36 +216,36 @@
 	return infos
 }
 
-// add puts an endpoint into the group. The slot of the same incarnation is
-// used again: requests under way still hold it, and end there.
-func (g *group) add(info endpoint.Info, before *slot, start load) *slot {
+// add adds an endpoint to the group. The slot of the same incarnation is reused, because requests
+// in flight still refer to it and are completed there.
+func (g *group) add(info endpoint.Info, previous *slot, initial load) *slot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := before
-	if before == nil || before.group != g || before.info.Ref() != info.Ref() {
-		s = &slot{group: g, load: start, hash: xxhash.Sum64String(info.ID)}
+	s := previous
+	if previous == nil || previous.group != g || previous.info.Ref() != info.Ref() {
+		s = &slot{group: g, load: initial, hash: xxhash.Sum64String(info.ID)}
 	}
 	s.info = info
 	g.noteBackoff(s.load.backoff)
 	if s.load.failures >= ejectAfter {
-		g.ejected++
+		g.ejectedCount++
 	}
-	g.limited += countLimited(s.load.bucket)
+	g.limitedCount += countLimited(s.load.bucket)
 	g.slots = append(g.slots, s)
 	return s
 }
 
-// Choose picks an endpoint and notes the request as sent there; ok is false
-// where no endpoint takes work for the target or the query does not accept it.
+// Choose chooses an endpoint and records the request as sent there. The result is false if no
+// endpoint accepts work for the target, or if the query does not accept the choice.
 func (r *Router) Choose(q Query, strategy Strategy, now time.Time) (Choice, bool) {
 	g, byID := r.groupFor(q.Target)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	q.hosts = r.sharers()
+	q.hosts = r.limitHosts()
 	var best *slot
 	var score score
 	if strategy == Expected || strategy == ExpectedStale {
-		q.stale = strategy == ExpectedStale
+		q.reportOnly = strategy == ExpectedStale
 		best, score = r.pickExpected(g, byID, q, now)
 	} else {
 		best = g.pickNaive(q, strategy, now)
@@ -253,41 +253,40 @@
 	if best == nil {
 		return Choice{}, false
 	}
-	uncached := max(q.PromptTokens-score.cached, 0)
-	g.work.add(g.engineTime(uncached, q.AnswerTokens), now)
+	uncached := max(q.PromptTokens-score.cachedTokens, 0)
+	g.demand.add(g.engineTime(uncached, q.AnswerTokens), now)
 	choice := Choice{
-		Endpoint: best.info, Expected: score.total, Wait: score.wait, Queued: score.queued, LeastQueued: score.least,
-		CachedTokens: score.cached, sent: now, uncached: uncached, ahead: score.ahead,
+		Endpoint: best.info, Expected: score.total, Wait: score.wait, Queued: score.queueTime, LeastQueued: score.leastQueueTime,
+		CachedTokens: score.cachedTokens, sentAt: now, uncachedTokens: uncached, aheadTokens: score.aheadTokens,
 	}
 	if q.Accepts != nil && !q.Accepts(choice) {
 		return Choice{}, false
 	}
-	r.send(q, choice, best)
-	r.underWay.Add(1)
+	r.recordChoice(q, choice, best)
+	r.inFlight.Add(1)
 	return choice, true
 }
 
-// send notes a choice as sent. The group's lock is held.
-func (r *Router) send(q Query, c Choice, s *slot) {
+// recordChoice records the request as sent to the chosen endpoint. The group's lock must be held.
+func (r *Router) recordChoice(q Query, c Choice, s *slot) {
 	g := s.group
-	g.noteSent(s, c.sent)
+	g.recordSend(s, c.sentAt)
 	s.load.take()
-	s.load.sentSince++
-	s.load.ownRunning++
-	s.load.ownPrefill += c.uncached
-	g.index.note(q.PrefixHashes, s.info.ID)
-	g.place(q, s.info.ID)
-	if time.Duration(c.uncached)*g.model.Figures().Prefill >= heavyPrefill {
+	s.load.sentSinceReport++
+	s.load.localRunning++
+	s.load.localPrefillTokens += c.uncachedTokens
+	g.prefixes.record(q.PrefixHashes, s.info.ID)
+	g.recordPlacement(q, s.info.ID)
+	if time.Duration(c.uncachedTokens)*g.speed.Figures().Prefill >= urgentPrefill {
 		r.MarkUrgent(s.info.ID)
 	}
 }
 
-// pickExpected returns the candidate with the least expected time. The group's
-// lock is held.
+// pickExpected returns the candidate with the least expected time. The group's lock must be held.
 func (r *Router) pickExpected(g *group, byID map[string]*slot, q Query, now time.Time) (*slot, score) {
 	cachedSlots := g.markCached(q, byID)
 	defer cachedSlots.clear()
-	q.allPenalized = g.allPenalized(now)
+	q.ignorePenalties = g.tooManyPenalized(now)
 	q.mayExplore = g.countChoice()
 	var best *slot
 	var bestScore score
@@ -297,7 +296,7 @@
 			return
 		}
 		sc := r.score(s, q, now)
-		least = min(least, sc.queued)
+		least = min(least, sc.queueTime)
 		if best == nil || sc.total < bestScore.total {
 			best, bestScore = s, sc
 		}
@@ -307,7 +306,7 @@
 		sample = q.SampleSize
 	}
 	if len(g.slots) <= sample {
-		g.each(consider)
+		g.forEachSlot(consider)
 	} else {
 		for _, s := range cachedSlots.slots[:cachedSlots.count] {
 			consider(s)
@@ -317,22 +316,22 @@
 		}
 	}
 	if best == nil {
-		// The sample met only endpoints that are out: look at all before giving up.
-		g.each(consider)
+		// The sample had no usable endpoint: consider all before giving up.
+		g.forEachSlot(consider)
 	}
-	bestScore.least = least
+	bestScore.leastQueueTime = least
 	return best, bestScore
 }
 
-func (g *group) each(visit func(*slot)) {
+func (g *group) forEachSlot(visit func(*slot)) {
 	for _, s := range g.slots {
 		visit(s)
 	}
 }
 
-// usable reports whether a slot may take the request at all. Endpoints that
-// are out for failures stay usable once more than ejectShare of the group is out; one
-// that asked for backoff, or whose limit is used up, is not, whatever else there is.
+// usable reports whether a slot may take the request. Ejected endpoints stay usable once more than
+// maxEjectShare of the group is unavailable. An endpoint that requested a backoff, or whose limit
+// is used up, is never usable.
 func (g *group) usable(s *slot, q Query, now time.Time) bool {
 	if !q.Rule.Allows(&s.info) {
 		return false
@@ -342,14 +341,14 @@
 			return false
 		}
 	}
-	if q.MayWait && !s.load.hasRoomForWaiting(q.stale) {
+	if q.MayWait && !s.load.hasRoomForMayWait(q.reportOnly) {
 		return false
 	}
-	if now.Before(s.load.backoff.own) || !s.load.allows(q.hosts, now) {
+	if now.Before(s.load.backoff.requestedUntil) || !s.load.allows(q.hosts, now) {
 		return false
 	}
 	if now.Before(s.load.ejectedUntil) {
-		return float64(g.out(q.hosts, now)) > ejectShare*float64(len(g.slots))
+		return float64(g.unavailable(q.hosts, now)) > maxEjectShare*float64(len(g.slots))
 	}
 	return true
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -16,7 +16,7 @@
 	"ironhollow/pkg/route"
 )
 
-// TestMain fixes the seed of property tests: the same verdict on each run.
+// TestMain sets a fixed seed for property tests, so that every run has the same result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
@@ -50,9 +50,9 @@
 	return route.Query{Target: target, PromptTokens: 500, AnswerTokens: 100, RiskWeight: 1}
 }
 
-// TestOwnSendsSpreadBeforeTheNextReport sends many requests between two reports.
-// The naive choice by reports alone herds them all to one endpoint.
-func TestOwnSendsSpreadBeforeTheNextReport(t *testing.T) {
+// TestRequestsSpreadBetweenReports sends many requests between two load reports. A choice by
+// reports alone sends them all to one endpoint.
+func TestRequestsSpreadBetweenReports(t *testing.T) {
 	most := func(strategy route.Strategy) int {
 		r, _, _ := newRouter(10)
 		counts := map[string]int{}
@@ -65,15 +65,16 @@
 		return busiest
 	}
 	if got := most(route.Expected); got > 13 {
-		t.Errorf("most requests at one of 10 endpoints: got %d of 100, want 13 at most", got)
+		t.Errorf("most requests at one of 10 endpoints: got %d of 100, want at most 13", got)
 	}
 	if got := most(route.LeastReported); got != 100 {
-		t.Errorf("naive choice: got %d, want the herd of 100 that this test is about", got)
+		t.Errorf("naive choice: got %d requests at one endpoint, want all 100", got)
 	}
 }
 
-// TestPrefixDrawsUntilItsEndpointIsBusy sends prompts with one prefix.
-func TestPrefixDrawsUntilItsEndpointIsBusy(t *testing.T) {
+// TestPrefixIsReusedUntilEndpointIsBusy sends prompts with one prefix: they go to the endpoint
+// that has it cached until that is busy.
+func TestPrefixIsReusedUntilEndpointIsBusy(t *testing.T) {
 	r, _, _ := newRouter(10)
 	q := query()
 	q.PromptTokens = 4000
@@ -90,13 +91,13 @@
 		elsewhere = elsewhere || c.Endpoint.ID != first.Endpoint.ID
 	}
 	if !elsewhere {
-		t.Error("sixty at once: all at the endpoint with the prefix, want some elsewhere")
+		t.Error("60 requests at once: got all at the endpoint with the prefix, want some elsewhere")
 	}
 }
 
-// TestCacheThatForgetsLosesItsTrust has an engine report again and again that
-// nothing was cached.
-func TestCacheThatForgetsLosesItsTrust(t *testing.T) {
+// TestCacheTrustFallsWhenNothingIsCached has an engine report repeatedly that nothing was cached.
+// Guards against an estimate that still counts the prefix as cached there.
+func TestCacheTrustFallsWhenNothingIsCached(t *testing.T) {
 	r, _, _ := newRouter(1)
 	q := query()
 	q.PrefixHashes = route.HashPrefixes(nil, make([]byte, 2000))
@@ -107,13 +108,13 @@
 		r.Done(c, route.Result{TokensReported: true, PromptTokens: 500, CachedTokens: 0}, now.Add(time.Duration(i)*time.Second))
 	}
 	if last > 100 {
-		t.Errorf("tokens reckoned cached: got %d, want few after 30 answers without any", last)
+		t.Errorf("tokens estimated to be cached: got %d, want at most 100 after 30 answers without any", last)
 	}
 }
 
-// TestFailingEndpointsAreLeftAloneButNotAll fails endpoints and looks at where
-// requests go; when most fail, they are used again rather than none.
-func TestFailingEndpointsAreLeftAloneButNotAll(t *testing.T) {
+// TestFailingEndpointsAreEjectedButNotAll makes endpoints fail and checks where requests go. If
+// most endpoints fail, they are used again, so that requests are still served.
+func TestFailingEndpointsAreEjectedButNotAll(t *testing.T) {
 	r, _, _ := newRouter(4)
 	fail := func(id string) {
 		for range 3 {
@@ -131,7 +132,7 @@
 	for range 50 {
 		c, _ := r.Choose(query(), route.Expected, now.Add(time.Second))
 		if c.Endpoint.ID == "e0001" {
-			t.Fatal("a request went to the endpoint that had failed")
+			t.Fatal("got a request at the failed endpoint, want none")
 		}
 	}
 	seen := map[string]bool{}
@@ -140,18 +141,19 @@
 		seen[c.Endpoint.ID] = true
 	}
 	if !seen["e0001"] {
-		t.Error("after its time out: want the endpoint tried again")
+		t.Error("after the ejection: got no request at the endpoint, want it tried again")
 	}
 	for _, id := range []string{"e0000", "e0002", "e0003"} {
 		fail(id)
 	}
 	if _, ok := r.Choose(query(), route.Expected, now.Add(time.Second)); !ok {
-		t.Error("all endpoints had failed: want one chosen rather than none")
+		t.Error("all endpoints failed: got no choice, want one")
 	}
 }
 
-// TestReclaimRiskTurnsLongWorkAway has one data centre reclaimed lately.
-func TestReclaimRiskTurnsLongWorkAway(t *testing.T) {
+// TestLongWorkAvoidsReclaimRisk has hosts of one data centre reclaimed shortly before: long work
+// must go to another data centre.
+func TestLongWorkAvoidsReclaimRisk(t *testing.T) {
 	r, _, estimator := newRouter(8)
 	estimator.SetHosts(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
 	estimator.Reclaimed(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
@@ -161,14 +163,14 @@
 	for range 20 {
 		c, _ := r.Choose(q, route.Expected, now)
 		if c.Endpoint.DataCenter == "dc0" {
-			t.Fatal("long work went to the data centre that is being reclaimed")
+			t.Fatal("got long work in the data centre with recent reclaims, want it elsewhere")
 		}
 		r.Done(c, route.Result{}, now)
 	}
 }
 
-// TestChoiceInvariants draws events and asks what must always hold: no work to
-// an endpoint that leaves or is to be avoided, a choice while any is left.
+// TestChoiceInvariants draws random events and checks two invariants: no request is sent to an
+// endpoint that is leaving or to be avoided, and one is chosen while any is usable.
 func TestChoiceInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(rt, "endpoints")
@@ -201,7 +203,7 @@
 					rt.Fatalf("chosen: got %v with %d usable endpoints", ok, usable)
 				}
 				if ok && (left[c.Endpoint.ID] || c.Endpoint.ID == info(i).ID) {
-					rt.Fatalf("chosen: got %s, which leaves or is to be avoided", c.Endpoint.ID)
+					rt.Fatalf("chosen: got %s, which is leaving or to be avoided", c.Endpoint.ID)
 				}
 				if ok {
 					running = append(running, c)
@@ -211,8 +213,8 @@
 	})
 }
 
-// TestSubsetsCoverEveryEndpoint looks at the planned size: bounded subsets, and
-// no endpoint without entries.
+// TestSubsetsCoverEveryEndpoint checks the planned fleet size: subsets are bounded, and under 1 %
+// of the endpoints have no entry.
 func TestSubsetsCoverEveryEndpoint(t *testing.T) {
 	var infos []endpoint.Info
 	for i := range 1900 {
@@ -235,9 +237,9 @@
 		}
 		most = max(most, users[e.ID])
 	}
-	t.Logf("%d of 1900 endpoints are in nobody's subset; the most entries at one are %d", unused, most)
+	t.Logf("%d of 1900 endpoints are in no subset; the most entries of one endpoint are %d", unused, most)
 	if unused > 19 || most > 20 {
-		t.Errorf("got %d endpoints without entries and %d entries at one, want under 1%% and 20 at most", unused, most)
+		t.Errorf("got %d endpoints without entries and %d entries at one, want at most 19 and 20", unused, most)
 	}
 }
 
@@ -269,11 +271,11 @@
 func BenchmarkChoose1900(b *testing.B)      { benchmarkChoose(b, 1900, 0) }
 func BenchmarkChoose1900Of420(b *testing.B) { benchmarkChoose(b, 1900, 420) }
 
-// Engines that read prompts three times faster than was thought need a third of
-// the time for the same requests.
-func TestWorkFollowsTheSpeedOfTheEngines(t *testing.T) {
+// Engines that prefill three times faster than assumed need a third of the engine time for the
+// same requests.
+func TestDemandFollowsEngineSpeed(t *testing.T) {
 	r, _, _ := newRouter(4)
-	work := func(from time.Time) float64 {
+	demand := func(from time.Time) float64 {
 		for i := range 200 {
 			q := query()
 			q.PromptTokens = 1000 + 37*i
@@ -285,19 +287,19 @@
 		}
 		return r.EngineDemand(target, from.Add(4*time.Second))
 	}
-	prior := newWork(t)
-	learned := work(now)
+	prior := initialDemand(t)
+	learned := demand(now)
 	if learned > 0.5*prior || learned < 0.2*prior {
-		t.Errorf("work: got %.2f endpoints, want about a third of the %.2f that the prior says", learned, prior)
+		t.Errorf("demand: got %.2f endpoints, want about a third of the initial %.2f", learned, prior)
 	}
 	c, _ := r.Choose(query(), route.Expected, now.Add(10*time.Second))
 	if c.Wait < 50*time.Millisecond || c.Wait > 75*time.Millisecond {
-		t.Errorf("expected wait: got %v, want the 60 ms that 500 tokens take", c.Wait)
+		t.Errorf("expected wait: got %v, want about 60 ms for 500 tokens", c.Wait)
 	}
 }
 
-// newWork is the work that the same requests ask for by the prior.
-func newWork(t *testing.T) float64 {
+// initialDemand returns the demand of the same requests by the initial estimates.
+func initialDemand(t *testing.T) float64 {
 	t.Helper()
 	r, _, _ := newRouter(4)
 	for i := range 200 {
@@ -310,8 +312,7 @@
 	return r.EngineDemand(target, now.Add(4*time.Second))
 }
 
-// Of endpoints that are as good, one to which there is a connection is taken; one that is
-// busy is not preferred for it.
+// Of equal endpoints, one to which there is a connection is preferred, but not if it is busy.
 func TestOpenConnectionsArePreferred(t *testing.T) {
 	directory := endpoint.NewDirectory()
 	for i := range 8 {
@@ -334,7 +335,7 @@
 		counts[choice.Endpoint.ID]++
 	}
 	if got := counts["e5"]; got < 1 || got > 4 {
-		t.Errorf("requests to the endpoint with a connection: got %d of 8, want 1 to 4, its places", got)
+		t.Errorf("requests to the endpoint with a connection: got %d of 8, want 1 to 4, its slots", got)
 	}
 	first := route.New(directory, hazard.New(), route.Location{}, 2)
 	if choice, _ := first.Choose(query, route.Expected, now); choice.Endpoint.ID != "e5" {
@@ -342,9 +343,9 @@
 	}
 }
 
-// A host that has nothing under way says so without looking at thousands of endpoints that
-// come and go; one that has, finds it.
-func TestIdleEntryDoesNotFollowEachChange(t *testing.T) {
+// Guards against an entry that processes each of thousands of endpoint changes while it has no
+// requests in flight. An entry with a request in flight must find it.
+func TestIdleEntryIgnoresChanges(t *testing.T) {
 	const endpoints = 3000
 	directory := endpoint.NewDirectory()
 	r := route.New(directory, hazard.New(), route.Location{Node: "h"}, 1)
@@ -352,19 +353,19 @@
 		directory.Merge(endpoint.Info{ID: fmt.Sprint("e", i), Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: "s"})
 	}
 	if got := testing.AllocsPerRun(10, func() { r.LocalLoads() }); got != 0 {
-		t.Errorf("own loads of an idle host: got %.0f allocations, want none", got)
+		t.Errorf("local loads of an idle host: got %.0f allocations, want none", got)
 	}
 	now := time.Now()
 	target := route.Target{Service: "s"}
 	if got := testing.AllocsPerRun(10, func() { r.EngineDemand(target, now) }); got != 0 {
-		t.Errorf("work asked for at an idle host: got %.0f allocations, want none", got)
+		t.Errorf("demand at an idle host: got %.0f allocations, want none", got)
 	}
 	c, ok := r.Choose(route.Query{Target: target, AnswerTokens: 1}, route.Expected, now)
 	if got := len(r.LocalLoads()); !ok || got != 1 {
-		t.Errorf("own loads with a request under way: got %d, want 1", got)
+		t.Errorf("local loads with a request in flight: got %d, want 1", got)
 	}
 	r.Done(c, route.Result{}, now)
 	if got := len(r.LocalLoads()); got != 0 {
-		t.Errorf("own loads after it: got %d, want none", got)
+		t.Errorf("local loads after the request is done: got %d, want none", got)
 	}
 }
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -6,109 +6,111 @@
 	"ironhollow/pkg/hazard"
 )
 
-// score is the sum behind one candidate.
+// score is the estimate for one candidate.
 type score struct {
-	wait, queued, decode, risk, total time.Duration
-	// least is the least queued of all that were looked at; for the best one only.
-	least  time.Duration
-	cached int
-	// ahead is the prompt tokens read before the request's own.
-	ahead int
+	wait, queueTime, decode, risk, total time.Duration
+	// leastQueueTime is the least queueTime of all candidates considered; set for the best one
+	// only.
+	leastQueueTime time.Duration
+	cachedTokens   int
+	// aheadTokens is the number of prompt tokens prefilled before the request's own.
+	aheadTokens int
 }
 
-// MayWaitShare is the part of an endpoint's slots that work that can wait may
-// fill; the rest is for callers who wait, also after a data centre is lost and
-// before anything new is bought.
+// MayWaitShare is the share of an endpoint's slots that work that can wait may fill. The rest is
+// for callers who wait for their answer, also after a data centre is lost and before new capacity
+// is bought.
 const MayWaitShare = 0.6
 
-// hasRoomForWaiting reports whether work that can wait may be sent.
-func (l *load) hasRoomForWaiting(stale bool) bool {
-	return l.waiting == 0 && float64(l.estimate(stale)) < MayWaitShare*float64(l.slots)
+// hasRoomForMayWait reports whether work that can wait may be sent to the endpoint.
+func (l *load) hasRoomForMayWait(reportOnly bool) bool {
+	return l.waiting == 0 && float64(l.estimateRunning(reportOnly)) < MayWaitShare*float64(l.slots)
 }
 
-// estimate is how many requests are thought to run, by the latest report and,
-// unless only that is to count, by what was sent and ended since.
-func (l *load) estimate(stale bool) int {
-	if stale {
+// estimateRunning returns the estimated number of running requests: that of the latest report,
+// corrected by what was sent and completed since unless reportOnly is set.
+func (l *load) estimateRunning(reportOnly bool) int {
+	if reportOnly {
 		return l.running
 	}
-	return max(l.running+l.sentSince-l.endedSince, l.ownRunning)
+	return max(l.running+l.sentSinceReport-l.endedSinceReport, l.localRunning)
 }
 
-// crowdingWeight is by how much a full batch is estimated to slow a request's decoding. It is less
-// than it really does, as requests would go to the emptiest batch and not to the endpoint that
-// has their prompt's shared parts.
+// crowdingWeight is the relative slowdown of a request's decoding that is assumed for a full
+// batch. It is less than the actual slowdown, with which requests would go to the emptiest batch
+// and not to the endpoint that has their shared prefixes cached.
 const crowdingWeight = 0.2
 
-// readWeight is what a prompt token that must be read counts for in addition to the time until it
-// is read: it delays all requests behind it.
-const readWeight = 1
+// prefillWeight is the weight of the prefill time of a request's uncached tokens, in addition to
+// the request's own wait for it: the prefill delays all requests queued behind it.
+const prefillWeight = 1
 
-// homeWeight is what the tokens of a shared part that nobody is known to have read count for at
-// its preferred endpoint, in the choice alone. All hosts compute the same one, so that parts are
-// found again by hosts that have all restarted. More would crowd preferred endpoints, which are
-// not spread as evenly as loads.
+// homeWeight is the weight, in the choice alone, of the prefill time of a shared prefix at its
+// home, if no endpoint is known to have it cached. All hosts compute the same home, so that
+// prefixes are found again after all hosts have restarted. A higher weight would crowd the homes,
+// which are not spread as evenly as the load.
 const homeWeight = 1
 
-// connectWeight is what an endpoint counts for more to which a connection must be opened
-// first: endpoints pay for each, and a host that spreads a request in six seconds over 90
-// of them opens one for most. More would have shared parts of prompts read again for it.
+// connectWeight is the time added for an endpoint to which a connection must be opened first.
+// Endpoints pay for each connection, and a host that spreads one request every six seconds over 90
+// endpoints opens one for most requests. With a higher weight, shared prefixes would be prefilled
+// again elsewhere to save a connection.
 const connectWeight = 5 * time.Millisecond
 
-// score works out the expected time at one endpoint.
+// score computes the expected time at one endpoint.
 func (r *Router) score(s *slot, q Query, now time.Time) score {
 	l := &s.load
-	f := s.group.model.Figures()
-	running := l.estimate(q.stale)
+	f := s.group.speed.Figures()
+	running := l.estimateRunning(q.reportOnly)
 	waiting := l.waiting
 	if running > l.slots {
 		waiting += running - l.slots
 		running = l.slots
 	}
-	cached := int(l.trust * float64(min(s.cached, q.PromptTokens)))
+	cached := int(l.cacheTrust * float64(min(s.cachedTokens, q.PromptTokens)))
 	uncached := q.PromptTokens - cached + q.GeneratedTokens
-	own := f.FirstToken(uncached)
-	wait := own
+	prefillTime := f.FirstToken(uncached)
+	wait := prefillTime
 	if running >= l.slots {
 		wait += l.meanDuration * time.Duration(waiting+1) / time.Duration(max(l.slots, 1))
 	}
-	ahead := l.ahead(f.Prefill, now)
+	ahead := l.prefillAhead(f.Prefill, now)
 	wait += time.Duration(ahead) * f.Prefill
-	queued := wait - own
-	// A fuller batch decodes slower: this also spreads load that fits.
+	queued := wait - prefillTime
+	// A fuller batch decodes more slowly. This also spreads load that fits in one batch.
 	crowding := 1 + crowdingWeight*float64(running)/float64(max(l.slots, 1))
 	decode := time.Duration(float64(q.AnswerTokens) * crowding * float64(f.TokenGap))
-	if s.info.DataCenter != r.home.DataCenter {
-		wait += crossPlaceWeight
+	if s.info.DataCenter != r.location.DataCenter {
+		wait += crossDataCenterWeight
 	}
 	needsConnection := q.Connected != nil && !q.Connected(s.info.Address)
 	if needsConnection {
 		wait += connectWeight
 	}
-	total := wait + decode + readWeight*time.Duration(uncached)*f.Prefill
+	total := wait + decode + prefillWeight*time.Duration(uncached)*f.Prefill
 	total -= homeWeight * time.Duration(min(s.homeTokens, uncached)) * f.Prefill
 	if needsConnection && q.mayExplore && l.isIdle(now) {
 		total -= exploreWeight
 	}
-	if !q.allPenalized {
-		total += max(l.backoff.penalty.Sub(now), 0)
+	if !q.ignorePenalties {
+		total += max(l.backoff.penaltyUntil.Sub(now), 0)
 	}
 	risk := r.riskOf(s, q, total, now)
-	return score{wait: wait, queued: queued, decode: decode, risk: risk, total: total + risk, cached: cached, ahead: ahead}
+	return score{wait: wait, queueTime: queued, decode: decode, risk: risk, total: total + risk, cachedTokens: cached, aheadTokens: ahead}
 }
 
-// riskOf is the work a reclaim would lose times its probability, in time.
+// riskOf returns the expected loss by a reclaim: the lost work, as time, times the probability.
 func (r *Router) riskOf(s *slot, q Query, duration time.Duration, now time.Time) time.Duration {
 	if !s.info.Reclaimable || q.RiskWeight == 0 {
 		return 0
 	}
 	l := &s.load
-	if now.Sub(l.rateAt) > hazardKept || l.rateAt.IsZero() {
-		l.rate = r.hazard.Rate(hazard.Place{DataCenter: s.info.DataCenter, Class: s.info.Class}, now)
-		l.rateAt = now
+	if now.Sub(l.hazardAt) > hazardCacheTime || l.hazardAt.IsZero() {
+		l.hazardPerHour = r.hazard.Rate(hazard.Place{DataCenter: s.info.DataCenter, Class: s.info.Class}, now)
+		l.hazardAt = now
 	}
-	probability := min(1, l.rate*duration.Seconds()/secondsAnHour)
-	// Half the answer is lost on average, and all of the prompt.
-	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.model.Figures().Prefill
+	probability := min(1, l.hazardPerHour*duration.Seconds()/secondsPerHour)
+	// On average half of the answer is lost, and all of the prompt.
+	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.speed.Figures().Prefill
 	return time.Duration(probability * q.RiskWeight * float64(lost))
 }
--- a/pkg/route/subset.go
+++ b/pkg/route/subset.go
@@ -10,19 +10,18 @@
 
 // Parameters of an entry's subset of the endpoints.
 const (
-	// leastSubset is how many endpoints of a target an entry uses at least:
-	// with fewer, one slow endpoint would be felt too much.
-	leastSubset = 24
-	// perEndpoint is how many entries should use each endpoint, so that none is
-	// left out when entries go.
-	perEndpoint = 4
+	// minSubset is the minimum number of endpoints of a target that an entry uses. With fewer, one
+	// slow endpoint would affect too many of its requests.
+	minSubset = 24
+	// entriesPerEndpoint is the number of entries that should use each endpoint, so that none is
+	// unused when entries leave.
+	entriesPerEndpoint = 4
 )
 
-// Subset returns the endpoints that an entry uses, in the order of their ids.
-// A small fleet is used whole. In a large one each entry uses as many of each
-// target as give every endpoint about perEndpoint entries, by rendezvous
-// hashing: load reports then cost each endpoint and entry a bounded amount, and
-// an entry that comes or goes moves few of them.
+// Subset returns the endpoints that an entry uses, sorted by ID. A small fleet is used whole. In a
+// large one, each entry uses so many endpoints of each target that every endpoint has about
+// entriesPerEndpoint entries, selected by rendezvous hashing. This bounds the cost of load reports
+// for each endpoint and entry, and an entry that joins or leaves changes the use of few endpoints.
 func Subset(node string, entries int, infos []endpoint.Info) []endpoint.Info {
 	byTarget := map[Target][]endpoint.Info{}
 	for _, info := range infos {
@@ -33,7 +32,7 @@
 	}
 	var chosen []endpoint.Info
 	for _, list := range byTarget {
-		chosen = append(chosen, top(node, subsetSize(len(list), entries), list)...)
+		chosen = append(chosen, topByWeight(node, subsetSize(len(list), entries), list)...)
 	}
 	sort.Slice(chosen, func(i, j int) bool { return chosen[i].ID < chosen[j].ID })
 	return chosen
@@ -43,10 +42,10 @@
 	if entries <= 0 {
 		return endpoints
 	}
-	return min(endpoints, max(leastSubset, (perEndpoint*endpoints+entries-1)/entries))
+	return min(endpoints, max(minSubset, (entriesPerEndpoint*endpoints+entries-1)/entries))
 }
 
-func top(node string, size int, list []endpoint.Info) []endpoint.Info {
+func topByWeight(node string, size int, list []endpoint.Info) []endpoint.Info {
 	if size >= len(list) {
 		return list
 	}
