--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -132,7 +132,7 @@
 		ClockOffset: offset,
 		Counts:      n.counter.Recent(),
 	}
-	row.Loads = n.loads.Own()
+	row.Loads = n.loads.LocalLoads()
 	row.Demands = n.ownWorks(now)
 	value, err := row.Encode()
 	if err != nil {
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -28,13 +28,13 @@
 	now := n.clock.Now()
 	return gossip.Update{
 		Status: roster.Status{
-			Host: n.host(), Loads: n.loads.Own(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.InTouch(),
+			Host: n.host(), Loads: n.loads.LocalLoads(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.InTouch(),
 			LeaseVersion: n.leases.Version(dutyShard),
 		},
-		Spent:   n.limits.LocalUsage(now),
-		Placed:  n.router.DrainPlacements(),
-		Cases:   n.crashes.Reports(now),
-		Notices: n.notices.Reports(now),
+		TeamUsage:  n.limits.LocalUsage(now),
+		Placements: n.router.DrainPlacements(),
+		Cases:      n.crashes.Reports(now),
+		Notices:    n.notices.Reports(now),
 	}
 }
 
@@ -61,18 +61,18 @@
 		n.view.Roster().ApplyDigest(update.Incarnation, update.Digest, now)
 		return
 	}
-	if len(update.Spent)+len(update.Counts) > 0 && update.Brief {
-		n.limits.ApplyPeer(update.Incarnation, update.Spent, now)
+	if len(update.TeamUsage)+len(update.Counts) > 0 && update.Brief {
+		n.limits.ApplyPeer(update.Incarnation, update.TeamUsage, now)
 		n.view.Roster().ApplyCounts(update.Incarnation, update.Counts)
 		return
 	}
 	if update.Brief {
-		n.loads.ApplyBrief(update.Incarnation, update.Sequence, update.Loads, update.Placed, now)
+		n.loads.ApplyBrief(update.Incarnation, update.Sequence, update.Loads, update.Placements, now)
 		return
 	}
 	n.view.Roster().ApplyStatus(update.Status, now)
-	n.limits.ApplyPeer(update.Incarnation, update.Spent, now)
-	n.loads.ApplyPlacements(update.Placed)
+	n.limits.ApplyPeer(update.Incarnation, update.TeamUsage, now)
+	n.loads.ApplyPlacements(update.Placements)
 	if update.LeaseVersion > 0 {
 		n.leases.Observed(dutyShard, update.LeaseVersion)
 	}
@@ -81,9 +81,9 @@
 // updateOf is what this host sends at once about single endpoints.
 func (n *node) updateOf(endpoints []string) gossip.Update {
 	return gossip.Update{
-		Status:  roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loads.OwnAt(endpoints)},
-		Placed:  n.router.DrainPlacements(),
-		Notices: n.notices.ReportsOf(endpoints, n.clock.Now()),
+		Status:     roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loads.LocalLoadsAt(endpoints)},
+		Placements: n.router.DrainPlacements(),
+		Notices:    n.notices.ReportsOf(endpoints, n.clock.Now()),
 	}
 }
 
@@ -117,7 +117,7 @@
 	n.view.Roster().MergeSelf(n.host(), now)
 	if members := n.view.Roster(); !members.IsHierarchical() || members.InCore(n.settings.Node) || n.router.HasInFlight() {
 		// Others receive no loads.
-		n.loads.Apply(now)
+		n.loads.UpdateRouter(now)
 	}
 	n.countRequests()
 	n.view.Roster().Prune(rowKept)
--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -34,8 +34,8 @@
 	StoreTime time.Duration
 }
 
-// Add appends a page of the same snapshot.
-func (b *Batch) Add(page Batch) {
+// AppendPage appends a page of the same snapshot.
+func (b *Batch) AppendPage(page Batch) {
 	b.Rows = append(b.Rows, page.Rows...)
 	b.StoreTime = page.StoreTime
 }
@@ -46,11 +46,11 @@
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Batch, error)
 }
 
-// Take receives batches in order. It is called from one goroutine.
-type Take func(Batch)
+// BatchHandler receives batches in order. It is called from one goroutine.
+type BatchHandler func(Batch)
 
-// Health is called when the store is lost and when it is back. A nil err is a success.
-type Health func(table string, err error)
+// HealthHandler is called when the store is lost and when it is back. A nil err is a success.
+type HealthHandler func(table string, err error)
 
 // longBatch is the rows from which on a batch may be as long as one answer gets. More wait then,
 // and a follower that pauses before the next call falls behind a busy table.
@@ -58,15 +58,15 @@
 
 // Timing of a follower.
 type Timing struct {
-	// Wait is how long the store holds a call for changes. It bounds how long a
+	// PollTimeout is how long the store holds a call for changes. It bounds how long a
 	// silent cut stays unnoticed.
-	Wait func() time.Duration
-	// Pause is the least time between two calls, so that a table with many
+	PollTimeout func() time.Duration
+	// PollDelay is the least time between two calls, so that a table with many
 	// changes is read in batches.
-	Pause func() time.Duration
-	// Retry is the mean pause after a failure; the actual one is half to one
+	PollDelay func() time.Duration
+	// RetryDelay is the mean pause after a failure; the actual one is half to one
 	// and a half of it, so that nodes do not come back together.
-	Retry time.Duration
+	RetryDelay time.Duration
 }
 
 // Follower follows one table.
@@ -74,12 +74,12 @@
 	source Source
 	table  string
 	timing Timing
-	take   Take
-	health Health
+	take   BatchHandler
+	health HealthHandler
 }
 
 // New returns a follower of a table.
-func New(source Source, table string, timing Timing, take Take, health Health) *Follower {
+func New(source Source, table string, timing Timing, take BatchHandler, health HealthHandler) *Follower {
 	return &Follower{source: source, table: table, timing: timing, take: take, health: health}
 }
 
@@ -97,13 +97,13 @@
 			return
 		}
 		f.health(f.table, err)
-		rest := f.timing.Pause()
+		rest := f.timing.PollDelay()
 		switch {
 		case errors.Is(err, ErrHistoryGone):
 			version = -1
 			rest = 0
 		case err != nil:
-			rest = f.timing.Retry/2 + rand.N(f.timing.Retry)
+			rest = f.timing.RetryDelay/2 + rand.N(f.timing.RetryDelay)
 		default:
 			f.take(batch)
 			version = batch.Version
@@ -119,7 +119,7 @@
 // store is back is to be known at once.
 func (f *Follower) next(ctx context.Context, version int64, failed bool) (Batch, error) {
 	if version >= 0 {
-		wait := f.timing.Wait()
+		wait := f.timing.PollTimeout()
 		if failed {
 			wait = 0
 		}
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -67,7 +67,7 @@
 	var mu sync.Mutex
 	var full []bool
 	failures := 0
-	timing := feed.Timing{Wait: func() time.Duration { return time.Second }, Pause: func() time.Duration { return time.Millisecond }, Retry: time.Millisecond}
+	timing := feed.Timing{PollTimeout: func() time.Duration { return time.Second }, PollDelay: func() time.Duration { return time.Millisecond }, RetryDelay: time.Millisecond}
 	take := func(b feed.Batch) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	every := func(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
-	timing := feed.Timing{Wait: every(0), Pause: every(rest), Retry: time.Millisecond}
+	timing := feed.Timing{PollTimeout: every(0), PollDelay: every(rest), RetryDelay: time.Millisecond}
 	start := time.Now()
 	go feed.New(s, "t", timing, func(feed.Batch) {}, func(string, error) {}).Run(ctx)
 	select {
--- a/pkg/gossip/events.go
+++ b/pkg/gossip/events.go
@@ -60,7 +60,7 @@
 	if m.Subscribes && len(m.Hosts) == 1 && m.Hosts[0].Incarnation == m.Incarnation {
 		return Update{Status: roster.Status{Host: m.digest().Hosts[0]}, Brief: true, Subscribes: true}, nil
 	}
-	update := Update{Brief: true, Cases: m.cases(now), Notices: m.notices(), Spent: decodeSpent(m.Spent), Digest: m.digest()}
+	update := Update{Brief: true, Cases: m.cases(now), Notices: m.notices(), TeamUsage: decodeSpent(m.Spent), Digest: m.digest()}
 	update.Status = roster.Status{Host: roster.Host{Incarnation: m.Incarnation}, Counts: decodeCounts(m.Counts)}
 	return update, nil
 }
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -40,9 +40,9 @@
 // Update is what a host sends.
 type Update struct {
 	roster.Status
-	Spent []limit.TeamUsage
-	// Placed is where prompts were sent since the datagram before.
-	Placed []route.Placement
+	TeamUsage []limit.TeamUsage
+	// Placements is where prompts were sent since the datagram before.
+	Placements []route.Placement
 	// Brief says that Loads are of single endpoints and that nothing else is sent but Rollouts.
 	Brief bool
 	// Rollouts is words and reports of roll-outs, as they were encoded.
@@ -107,10 +107,10 @@
 // Run exchanges until ctx ends; received is called after each round.
 func (e *Exchange) Run(ctx context.Context, received func()) {
 	go e.receive()
-	rounds := Pace{}
+	rounds := RoundScheduler{}
 	for ctx.Err() == nil {
 		audience := e.roster.Recipients(e.self, e.activity, e.now())
-		pause, sendInfrequent := rounds.Of(audience)
+		pause, sendInfrequent := rounds.Next(audience)
 		peers := audience.Frequent
 		if sendInfrequent {
 			peers = slices.Concat(audience.Frequent, audience.Infrequent)
@@ -133,16 +133,16 @@
 	_ = e.conn.Close()
 }
 
-// Pace determines when datagrams go to which recipients.
-type Pace struct {
+// RoundScheduler determines when datagrams go to which recipients.
+type RoundScheduler struct {
 	// untilInfrequent is the time until the next datagrams to infrequent recipients.
 	untilInfrequent time.Duration
 }
 
-// Of returns the pause to the next round and whether infrequent recipients are due in this one.
-func (p *Pace) Of(a roster.Recipients) (pause time.Duration, sendInfrequent bool) {
+// Next returns the pause to the next round and whether infrequent recipients are due in this one.
+func (p *RoundScheduler) Next(a roster.Recipients) (pause time.Duration, sendInfrequent bool) {
 	if !a.Hierarchical {
-		return p.Next(len(a.Frequent), len(a.Infrequent))
+		return p.NextForCounts(len(a.Frequent), len(a.Infrequent))
 	}
 	pause = levelPause
 	if len(a.Frequent) > 0 {
@@ -152,7 +152,7 @@
 }
 
 // infrequent reports whether infrequent recipients are due in a round with a pause after it.
-func (p *Pace) infrequent(pause, infrequentPause time.Duration) bool {
+func (p *RoundScheduler) infrequent(pause, infrequentPause time.Duration) bool {
 	sendInfrequent := p.untilInfrequent <= 0
 	if sendInfrequent {
 		p.untilInfrequent = infrequentPause
@@ -161,9 +161,9 @@
 	return sendInfrequent
 }
 
-// Next returns the pause to the next round and whether infrequent recipients are due in this
+// NextForCounts returns the pause to the next round and whether infrequent recipients are due in this
 // one, for numbers of near and far hosts.
-func (p *Pace) Next(near, far int) (pause time.Duration, sendInfrequent bool) {
+func (p *RoundScheduler) NextForCounts(near, far int) (pause time.Duration, sendInfrequent bool) {
 	infrequentPause := Interval(near + far + 1)
 	pause = Interval(near + 1)
 	if near == 0 {
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -115,10 +115,10 @@
 		{"host without callers", 0, 90, 0, 53},
 		{"small fleet", 8, 0, 300, 0},
 	} {
-		var pace gossip.Pace
+		var pace gossip.RoundScheduler
 		nearSent, farSent := 0, 0
 		for at := time.Duration(0); at < time.Minute; {
-			pause, tellFar := pace.Next(c.near, c.far)
+			pause, tellFar := pace.NextForCounts(c.near, c.far)
 			at += pause
 			if c.near > 0 {
 				nearSent++
@@ -149,13 +149,13 @@
 		Counts:  []roster.RequestCount{{Window: 7, Team: "red", Started: 4}},
 	}
 	placed := []route.Placement{{Endpoint: "e1", PrefixHashes: []uint64{1, 1 << 63}}}
-	run(t, self, members, gossip.Update{Status: want, Placed: placed}, other)
+	run(t, self, members, gossip.Update{Status: want, Placements: placed}, other)
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	if len(other.got) == 0 {
 		t.Fatal("datagrams: got none")
 	}
-	if got := other.got[0].Placed; fmt.Sprint(got) != fmt.Sprint(placed) {
+	if got := other.got[0].Placements; fmt.Sprint(got) != fmt.Sprint(placed) {
 		t.Errorf("placed: got %v, want %v", got, placed)
 	}
 	got := other.got[0].Status
@@ -175,13 +175,13 @@
 	)
 	for _, hosts := range []int{30, 100, 195, 300, 420, 1000} {
 		for _, sharing := range []int{0, near} {
-			pace := gossip.Pace{}
+			pace := gossip.RoundScheduler{}
 			members := roster.New(silence, gossip.Interval)
 			now := time.Unix(1000, 0)
 			sent, heard := 0, now
 			for now.Before(time.Unix(1060, 0)) {
 				far := hosts - 1 - sharing
-				pause, tellFar := pace.Next(sharing, far)
+				pause, tellFar := pace.NextForCounts(sharing, far)
 				if tellFar {
 					sent++
 				}
@@ -312,7 +312,7 @@
 		random := rand.New(rand.NewPCG(1, uint64(size.hosts)))
 		f := quarantine.FingerprintOf("POST", "/x", "red", []byte("crash"))
 		quarantines := make([]*quarantine.Quarantine, size.hosts)
-		paces := make([]gossip.Pace, size.hosts)
+		paces := make([]gossip.RoundScheduler, size.hosts)
 		next := make([]time.Time, size.hosts)
 		for i := range quarantines {
 			quarantines[i] = quarantine.NewQuarantine()
@@ -336,7 +336,7 @@
 				if i >= size.callers {
 					near, far = 0, size.hosts-1
 				}
-				pause, tellFar := paces[i].Next(near, far)
+				pause, tellFar := paces[i].NextForCounts(near, far)
 				next[i] = next[i].Add(pause)
 				told := quarantines[i].Reports(now)
 				for j := range quarantines {
@@ -389,9 +389,9 @@
 		heard, _ := directories[0].Get(id)
 		boards[0].ApplyAnswer(heard, endpoint.Notice{Leaving: true}, start, start)
 		report(boards[0].ReportsOf([]string{id}, start), start)
-		pace := gossip.Pace{}
+		pace := gossip.RoundScheduler{}
 		for now := start; now.Before(start.Add(within)); {
-			pause, _ := pace.Next(size.callers-1, size.hosts-size.callers)
+			pause, _ := pace.NextForCounts(size.callers-1, size.hosts-size.callers)
 			now = now.Add(pause)
 			report(boards[0].Reports(now), now)
 		}
--- a/pkg/gossip/levels_test.go
+++ b/pkg/gossip/levels_test.go
@@ -28,7 +28,7 @@
 type played struct {
 	self     roster.Host
 	members  *roster.Roster
-	pace     gossip.Pace
+	pace     gossip.RoundScheduler
 	next     time.Time
 	sequence int64
 	round    int
@@ -127,7 +127,7 @@
 func (f *playedFleet) sendRound(h *played) {
 	h.members.MergeSelf(h.self, f.now)
 	a := h.members.Recipients(h.self, roster.Activity{}, f.now)
-	pause, sendInfrequent := h.pace.Of(a)
+	pause, sendInfrequent := h.pace.Next(a)
 	h.next = f.now.Add(pause)
 	h.sequence++
 	update := roster.Status{Host: h.self, Sequence: h.sequence}
@@ -323,7 +323,7 @@
 		for _, row := range rows {
 			h.members.Merge(row, f.now)
 		}
-		h.sequence, h.round, h.pace = 0, 0, gossip.Pace{}
+		h.sequence, h.round, h.pace = 0, 0, gossip.RoundScheduler{}
 		h.next = f.now.Add(f.after(time.Second))
 	}
 }
--- a/pkg/gossip/teams.go
+++ b/pkg/gossip/teams.go
@@ -40,8 +40,8 @@
 // pick returns the figures to send in this round.
 func (f *teamFigures) pick(update Update, now time.Time) ([]limit.TeamUsage, []roster.RequestCount) {
 	spent := make([]limit.TeamUsage, 0, maxFigures)
-	f.spent.round(len(update.Spent), now, func(i int) (string, float64) { return update.Spent[i].Team, update.Spent[i].Admitted },
-		func(i int) { spent = append(spent, update.Spent[i]) })
+	f.spent.round(len(update.TeamUsage), now, func(i int) (string, float64) { return update.TeamUsage[i].Team, update.TeamUsage[i].Admitted },
+		func(i int) { spent = append(spent, update.TeamUsage[i]) })
 	counts := make([]roster.RequestCount, 0, maxFigures)
 	f.counts.round(len(update.Counts), now, func(i int) (countKey, int) {
 		c := update.Counts[i]
--- a/pkg/gossip/teams_test.go
+++ b/pkg/gossip/teams_test.go
@@ -26,7 +26,7 @@
 	for i := range teams {
 		team := fmt.Sprintf("team-number-%d", i)
 		told.Counts = append(told.Counts, roster.RequestCount{Window: window, Team: team, Started: i + 1})
-		told.Spent = append(told.Spent, limit.TeamUsage{Team: team, Admitted: float64(i + 1), Synced: true})
+		told.TeamUsage = append(told.TeamUsage, limit.TeamUsage{Team: team, Admitted: float64(i + 1), Synced: true})
 	}
 	spent, counts := map[string]float64{}, map[string]int{}
 	lives := false
@@ -35,7 +35,7 @@
 		defer other.mu.Unlock()
 		for _, got := range other.got {
 			lives = lives || got.Node == self.Node && len(got.Loads) == 1
-			for _, s := range got.Spent {
+			for _, s := range got.TeamUsage {
 				spent[s.Team] = s.Admitted
 			}
 			for _, c := range got.Counts {
--- a/pkg/gossip/urgent.go
+++ b/pkg/gossip/urgent.go
@@ -13,8 +13,8 @@
 // datagrams a second leave a host.
 const urgentPause = time.Second / 600
 
-// UrgentPause is the least time between two brief rounds to a number of hosts.
-func UrgentPause(hosts int) time.Duration { return urgentPause * time.Duration(max(hosts, 1)) }
+// UrgentInterval is the least time between two brief rounds to a number of hosts.
+func UrgentInterval(hosts int) time.Duration { return urgentPause * time.Duration(max(hosts, 1)) }
 
 // SendUrgent sends the state of single endpoints to the hosts that share this one's callers as
 // it changes, until ctx ends; own returns what is under way at them. Between two rounds several
@@ -28,7 +28,7 @@
 			endpoints := drain(urgent, []string{first})
 			near := e.roster.Recipients(e.self, roster.Activity{}, e.now()).Frequent
 			e.sendBrief(own(endpoints), near)
-			pause.For(ctx, UrgentPause(len(near)))
+			pause.For(ctx, UrgentInterval(len(near)))
 		}
 	}
 }
--- a/pkg/gossip/wire.go
+++ b/pkg/gossip/wire.go
@@ -80,9 +80,9 @@
 		Incarnation: update.Incarnation, Node: update.Node, DataCenter: update.DataCenter,
 		Callers: update.CallerAddress, Peers: update.PeerAddress, SinceMS: update.StartedAt.Milliseconds(),
 		InTouchMS: update.StoreReachableFor.Milliseconds(), Leaving: update.Leaving, Sequence: sequence, Millicores: update.Millicores, LeaseVersion: update.LeaseVersion,
-		Brief: update.Brief, Rollouts: update.Rollouts, Spent: encodeSpent(update.Spent), Counts: encodeCounts(update.Counts),
+		Brief: update.Brief, Rollouts: update.Rollouts, Spent: encodeSpent(update.TeamUsage), Counts: encodeCounts(update.Counts),
 	}
-	for _, p := range update.Placed {
+	for _, p := range update.Placements {
 		m.Placed = append(m.Placed, placement{Endpoint: p.Endpoint, Prefix: p.PrefixHashes})
 	}
 	for _, w := range update.Demands {
@@ -128,12 +128,12 @@
 		t.Loads = append(t.Loads, roster.Load{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	for _, p := range m.Placed {
-		t.Placed = append(t.Placed, route.Placement{Endpoint: p.Endpoint, PrefixHashes: p.Prefix})
+		t.Placements = append(t.Placements, route.Placement{Endpoint: p.Endpoint, PrefixHashes: p.Prefix})
 	}
 	for _, w := range m.Works {
 		t.Demands = append(t.Demands, roster.Demand{Service: w.Service, Rate: float64(w.Rate)})
 	}
 	t.Counts = decodeCounts(m.Counts)
-	t.Spent = decodeSpent(m.Spent)
+	t.TeamUsage = decodeSpent(m.Spent)
 	return t
 }
--- a/pkg/lab/host.go
+++ b/pkg/lab/host.go
@@ -26,7 +26,7 @@
 	router        *route.Router
 	members       *roster.Roster
 	loads         *loadsync.Sync
-	pace          gossip.Pace
+	pace          gossip.RoundScheduler
 	sequence      int64
 	// briefAt is when the next brief datagram may leave.
 	briefAt time.Duration
@@ -65,9 +65,9 @@
 
 // round tells all others what is under way here, and takes in what they told.
 func (h *host) round() {
-	pause, _ := h.pace.Next(len(h.play.hosts)-1, 0)
-	h.tell(roster.Status{Host: h.self, Loads: h.loads.Own()}, false)
-	h.loads.Apply(h.play.time())
+	pause, _ := h.pace.NextForCounts(len(h.play.hosts)-1, 0)
+	h.tell(roster.Status{Host: h.self, Loads: h.loads.LocalLoads()}, false)
+	h.loads.UpdateRouter(h.play.time())
 	h.play.after(pause, h.round)
 }
 
@@ -80,12 +80,12 @@
 	h.briefDue = true
 	h.play.after(max(h.briefAt-h.play.line.Now(), 0), func() {
 		h.briefDue = false
-		h.briefAt = h.play.line.Now() + gossip.UrgentPause(len(h.play.hosts)-1)
+		h.briefAt = h.play.line.Now() + gossip.UrgentInterval(len(h.play.hosts)-1)
 		var endpoints []string
 		for len(h.router.Urgent()) > 0 {
 			endpoints = append(endpoints, <-h.router.Urgent())
 		}
-		h.tell(roster.Status{Host: roster.Host{Incarnation: h.self.Incarnation}, Loads: h.loads.OwnAt(endpoints)}, true)
+		h.tell(roster.Status{Host: roster.Host{Incarnation: h.self.Incarnation}, Loads: h.loads.LocalLoadsAt(endpoints)}, true)
 	})
 }
 
--- a/pkg/loadsync/loadsync.go
+++ b/pkg/loadsync/loadsync.go
@@ -25,8 +25,8 @@
 	return &Sync{router: router, members: members, self: self}
 }
 
-// Own returns what this host has under way, by endpoint.
-func (s *Sync) Own() []roster.Load {
+// LocalLoads returns what this host has under way, by endpoint.
+func (s *Sync) LocalLoads() []roster.Load {
 	var loads []roster.Load
 	for _, l := range s.router.LocalLoads() {
 		loads = append(loads, roster.Load{Endpoint: l.Endpoint.ID, Running: l.Running, PrefillTokens: l.PrefillTokens})
@@ -34,8 +34,8 @@
 	return loads
 }
 
-// OwnAt returns what this host has under way at some endpoints.
-func (s *Sync) OwnAt(endpoints []string) []roster.Load {
+// LocalLoadsAt returns what this host has under way at some endpoints.
+func (s *Sync) LocalLoadsAt(endpoints []string) []roster.Load {
 	var loads []roster.Load
 	for _, id := range endpoints {
 		own := s.router.LocalLoad(id)
@@ -63,8 +63,8 @@
 	}
 }
 
-// Apply hands the loads of all other processes to the router.
-func (s *Sync) Apply(now time.Time) {
+// UpdateRouter hands the loads of all other processes to the router.
+func (s *Sync) UpdateRouter(now time.Time) {
 	loads := s.members.Loads(s.self, now)
 	for _, info := range s.router.Endpoints() {
 		s.report(info, loads[info.ID], now)
--- a/pkg/loadsync/loadsync_test.go
+++ b/pkg/loadsync/loadsync_test.go
@@ -43,17 +43,17 @@
 	for _, brief := range []bool{false, true} {
 		a, b := newHost("a"), newHost("b")
 		a.router.Choose(prompt(), route.Expected, now)
-		told := roster.Status{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: 1, Loads: a.loads.Own()}
+		told := roster.Status{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: 1, Loads: a.loads.LocalLoads()}
 		if len(told.Loads) != 1 || told.Loads[0].PrefillTokens != 9000 {
 			t.Fatalf("own loads: got %+v, want 9000 tokens at one endpoint", told.Loads)
 		}
 		if brief {
 			b.members.ApplyStatus(roster.Status{Host: told.Host, Sequence: 1}, now)
-			b.loads.ApplyBrief("a", 2, a.loads.OwnAt([]string{id}), a.router.DrainPlacements(), now)
+			b.loads.ApplyBrief("a", 2, a.loads.LocalLoadsAt([]string{id}), a.router.DrainPlacements(), now)
 		} else {
 			b.members.ApplyStatus(told, now)
 			b.loads.ApplyPlacements(a.router.DrainPlacements())
-			b.loads.Apply(now)
+			b.loads.UpdateRouter(now)
 		}
 		c, ok := b.router.Choose(prompt(), route.Expected, now)
 		if !ok || c.Queued <= 0 {
--- a/pkg/notice/limits_test.go
+++ b/pkg/notice/limits_test.go
@@ -64,7 +64,7 @@
 	hasHeard bool
 	answers  []limitAnswer
 	inbox    []limitReport
-	pace     gossip.Pace
+	pace     gossip.RoundScheduler
 	next     time.Duration
 	// excused is until when its requests do not count: it was restarted or cut off.
 	excused  time.Duration
@@ -150,7 +150,7 @@
 		}
 		f.receive(h)
 		if f.now >= h.next {
-			pause, _ := h.pace.Next(len(f.hosts)-1, 0)
+			pause, _ := h.pace.NextForCounts(len(f.hosts)-1, 0)
 			h.next = f.now + pause
 			f.send(h, h.Reports(f.at()))
 		}
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -172,8 +172,8 @@
 			return other
 		}
 	}
-	start := func(name string, pause func() time.Duration, take feed.Take) {
-		timing := feed.Timing{Wait: either(relayWait, feedWait), Pause: pause, Retry: feedRetry}
+	start := func(name string, pause func() time.Duration, take feed.BatchHandler) {
+		timing := feed.Timing{PollTimeout: either(relayWait, feedWait), PollDelay: pause, RetryDelay: feedRetry}
 		heard := func(batch feed.Batch) {
 			v.clock.Heard(batch.StoreTime)
 			v.noteEra(name, batch)
@@ -191,7 +191,7 @@
 }
 
 // FollowRows follows another table until ctx ends, at the pace of the endpoints'.
-func (v *View) FollowRows(ctx context.Context, source feed.Source, name string, take feed.Take) {
+func (v *View) FollowRows(ctx context.Context, source feed.Source, name string, take feed.BatchHandler) {
 	either := func(relay, other time.Duration) func() time.Duration {
 		return func() time.Duration {
 			if v.IsRelay() {
@@ -200,7 +200,7 @@
 			return other
 		}
 	}
-	timing := feed.Timing{Wait: either(relayWait, feedWait), Pause: either(relayPause, endpointPause), Retry: feedRetry}
+	timing := feed.Timing{PollTimeout: either(relayWait, feedWait), PollDelay: either(relayPause, endpointPause), RetryDelay: feedRetry}
 	feed.New(source, name, timing, take, v.health).Run(ctx)
 }
 
