--- a/pkg/feed/feed.go
+++ b/pkg/feed/feed.go
@@ -1,5 +1,5 @@
-// Package feed follows the rows of a table of the platform's store: a snapshot
-// first, then changes, a snapshot again where the history is gone.
+// Package feed follows the rows of a table in the platform's store: it reads a snapshot, then
+// changes, and reads a snapshot again when the store no longer has the changes that follow.
 package feed
 
 import (
@@ -12,10 +12,10 @@
 	"ironhollow/pkg/pause"
 )
 
-// ErrHistoryGone says that the store no longer has the changes asked for.
-var ErrHistoryGone = errors.New("feed: the store has dropped this history")
+// ErrHistoryGone is returned when the store no longer has the requested changes.
+var ErrHistoryGone = errors.New("feed: the store no longer has the requested changes")
 
-// Row is one row or the removal of one.
+// Row is the current value of a row or its deletion.
 type Row struct {
 	Key     string
 	Value   []byte
@@ -23,14 +23,15 @@
 	Deleted bool
 }
 
-// Batch is what one call brought.
+// Batch is the result of one call to the store.
 type Batch struct {
-	// Full says that rows not listed do not exist.
+	// Full reports whether the batch is a snapshot: rows that are not listed do not exist.
 	Full bool
 	Rows []Row
-	// Version is where the next call goes on.
+	// Version is the version after which the next call reads changes.
 	Version int64
-	// StoreTime is the store's steady clock at the answer, from its own zero.
+	// StoreTime is the store's monotonic clock at the time of the response, relative to its own
+	// zero.
 	StoreTime time.Duration
 }
 
@@ -40,50 +41,51 @@
 	b.StoreTime = page.StoreTime
 }
 
-// Source is a store that can be followed.
+// Source is a store whose tables can be followed.
 type Source interface {
 	Snapshot(ctx context.Context, table string) (Batch, error)
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Batch, error)
 }
 
-// BatchHandler receives batches in order. It is called from one goroutine.
+// BatchHandler handles batches in order. It is called from one goroutine.
 type BatchHandler func(Batch)
 
-// HealthHandler is called when the store is lost and when it is back. A nil err is a success.
+// HealthHandler is called with the result of each call to the store. A nil err is a success.
 type HealthHandler func(table string, err error)
 
-// longBatch is the rows from which on a batch may be as long as one answer gets. More wait then,
-// and a follower that pauses before the next call falls behind a busy table.
-const longBatch = 500
+// longBatchRows is the number of rows from which a batch may have reached the maximum response
+// length. More changes may be waiting then, and a follower that delays the next call falls behind
+// a busy table.
+const longBatchRows = 500
 
-// Timing of a follower.
+// Timing holds the delays and timeouts of a follower.
 type Timing struct {
-	// PollTimeout is how long the store holds a call for changes. It bounds how long a
-	// silent cut stays unnoticed.
+	// PollTimeout is how long the store may hold a call for changes. It bounds the time until a
+	// silently broken connection is detected.
 	PollTimeout func() time.Duration
-	// PollDelay is the least time between two calls, so that a table with many
-	// changes is read in batches.
+	// PollDelay is the delay between a response and the next call, so that the changes of a busy
+	// table are read in batches. There is none after a long batch.
 	PollDelay func() time.Duration
-	// RetryDelay is the mean pause after a failure; the actual one is half to one
-	// and a half of it, so that nodes do not come back together.
+	// RetryDelay is the mean delay after a failure. The actual delay is random, between 0.5 and
+	// 1.5 times this value, so that nodes do not reconnect at the same time.
 	RetryDelay time.Duration
 }
 
 // Follower follows one table.
 type Follower struct {
-	source Source
-	table  string
-	timing Timing
-	take   BatchHandler
-	health HealthHandler
+	source       Source
+	table        string
+	timing       Timing
+	handle       BatchHandler
+	reportHealth HealthHandler
 }
 
 // New returns a follower of a table.
-func New(source Source, table string, timing Timing, take BatchHandler, health HealthHandler) *Follower {
-	return &Follower{source: source, table: table, timing: timing, take: take, health: health}
+func New(source Source, table string, timing Timing, handle BatchHandler, reportHealth HealthHandler) *Follower {
+	return &Follower{source: source, table: table, timing: timing, handle: handle, reportHealth: reportHealth}
 }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	version := int64(-1)
 	failed := false
@@ -96,34 +98,34 @@
 		if ctx.Err() != nil {
 			return
 		}
-		f.health(f.table, err)
-		rest := f.timing.PollDelay()
+		f.reportHealth(f.table, err)
+		delay := f.timing.PollDelay()
 		switch {
 		case errors.Is(err, ErrHistoryGone):
 			version = -1
-			rest = 0
+			delay = 0
 		case err != nil:
-			rest = f.timing.RetryDelay/2 + rand.N(f.timing.RetryDelay)
+			delay = f.timing.RetryDelay/2 + rand.N(f.timing.RetryDelay)
 		default:
-			f.take(batch)
+			f.handle(batch)
 			version = batch.Version
-			if len(batch.Rows) >= longBatch {
-				rest = 0
+			if len(batch.Rows) >= longBatchRows {
+				delay = 0
 			}
 		}
-		pause.For(ctx, rest)
+		pause.For(ctx, delay)
 	}
 }
 
-// next makes one call. After a failure it does not wait for changes: whether the
-// store is back is to be known at once.
+// next makes one call to the store. After a failure it does not wait for changes, so that a
+// recovered store is detected immediately.
 func (f *Follower) next(ctx context.Context, version int64, failed bool) (Batch, error) {
 	if version >= 0 {
-		wait := f.timing.PollTimeout()
+		timeout := f.timing.PollTimeout()
 		if failed {
-			wait = 0
+			timeout = 0
 		}
-		return f.source.Changes(ctx, f.table, version, wait)
+		return f.source.Changes(ctx, f.table, version, timeout)
 	}
 	batch, err := f.source.Snapshot(ctx, f.table)
 	batch.Full = true
--- a/pkg/feed/feed_test.go
+++ b/pkg/feed/feed_test.go
@@ -10,55 +10,56 @@
 	"ironhollow/pkg/feed"
 )
 
-var errDown = errors.New("the store is down")
+var errUnavailable = errors.New("the store is unavailable")
 
-// step is one answer of a scripted store.
-type step struct {
+// response is one scripted response of the store.
+type response struct {
 	batch feed.Batch
 	err   error
 }
 
-// store answers by script and notes how it was asked.
+// store returns scripted responses and records its calls.
 type store struct {
-	mu    sync.Mutex
-	steps []step
-	// asked is the version after which changes were asked for, -1 for snapshots.
-	asked []int64
-	// waits is how long changes were waited for.
-	waits []time.Duration
-	done  chan struct{}
+	mu        sync.Mutex
+	responses []response
+	// requestedAfter holds the version after which each call requested changes, -1 for a
+	// snapshot.
+	requestedAfter []int64
+	// timeouts holds the poll timeouts of the calls for changes.
+	timeouts []time.Duration
+	done     chan struct{}
 }
 
 func (s *store) next(after int64) (feed.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, after)
-	if len(s.steps) == 0 {
+	s.requestedAfter = append(s.requestedAfter, after)
+	if len(s.responses) == 0 {
 		return feed.Batch{Version: after}, nil
 	}
-	answer := s.steps[0]
-	s.steps = s.steps[1:]
-	if len(s.steps) == 0 {
+	r := s.responses[0]
+	s.responses = s.responses[1:]
+	if len(s.responses) == 0 {
 		close(s.done)
 	}
-	return answer.batch, answer.err
+	return r.batch, r.err
 }
 
 func (s *store) Snapshot(context.Context, string) (feed.Batch, error) { return s.next(-1) }
 
-func (s *store) Changes(_ context.Context, _ string, after int64, wait time.Duration) (feed.Batch, error) {
+func (s *store) Changes(_ context.Context, _ string, after int64, timeout time.Duration) (feed.Batch, error) {
 	s.mu.Lock()
-	s.waits = append(s.waits, wait)
+	s.timeouts = append(s.timeouts, timeout)
 	s.mu.Unlock()
 	return s.next(after)
 }
 
-func TestFollowing(t *testing.T) {
-	s := &store{done: make(chan struct{}), steps: []step{
-		{err: errDown},
+func TestFollower(t *testing.T) {
+	s := &store{done: make(chan struct{}), responses: []response{
+		{err: errUnavailable},
 		{batch: feed.Batch{Version: 5, Rows: []feed.Row{{Key: "a", Version: 5}}}},
 		{batch: feed.Batch{Version: 7}},
-		{err: errDown},
+		{err: errUnavailable},
 		{batch: feed.Batch{Version: 8}},
 		{err: feed.ErrHistoryGone},
 		{batch: feed.Batch{Version: 20}},
@@ -68,12 +69,12 @@
 	var full []bool
 	failures := 0
 	timing := feed.Timing{PollTimeout: func() time.Duration { return time.Second }, PollDelay: func() time.Duration { return time.Millisecond }, RetryDelay: time.Millisecond}
-	take := func(b feed.Batch) {
+	handle := func(b feed.Batch) {
 		mu.Lock()
 		defer mu.Unlock()
 		full = append(full, b.Full)
 	}
-	health := func(_ string, err error) {
+	reportHealth := func(_ string, err error) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
@@ -83,7 +84,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	finished := make(chan struct{})
 	go func() {
-		feed.New(s, "t", timing, take, health).Run(ctx)
+		feed.New(s, "t", timing, handle, reportHealth).Run(ctx)
 		close(finished)
 	}()
 	<-s.done
@@ -94,46 +95,46 @@
 	defer mu.Unlock()
 	want := []int64{-1, -1, 5, 7, 7, 8, -1, 20}
 	for i, after := range want {
-		if s.asked[i] != after {
-			t.Errorf("call %d: got after %d, want %d", i, s.asked[i], after)
+		if s.requestedAfter[i] != after {
+			t.Errorf("call %d: got after %d, want %d", i, s.requestedAfter[i], after)
 		}
 	}
-	// The third call for changes comes after a failure.
-	if s.waits[0] != time.Second || s.waits[2] != 0 || s.waits[3] != time.Second {
-		t.Errorf("waits: got %v, want none after a failure", s.waits[:4])
+	// The third call for changes follows a failure.
+	if s.timeouts[0] != time.Second || s.timeouts[2] != 0 || s.timeouts[3] != time.Second {
+		t.Errorf("poll timeouts: got %v, want none after a failure", s.timeouts[:4])
 	}
 	if failures != 3 {
-		t.Errorf("failures told: got %d, want 3", failures)
+		t.Errorf("reported failures: got %d, want 3", failures)
 	}
 	if len(full) < 5 || !full[0] || full[1] || !full[3] || full[4] {
-		t.Errorf("full batches: got %v, want the first and the one after the history was gone", full)
+		t.Errorf("full batches: got %v, want the first and the one after ErrHistoryGone", full)
 	}
 }
 
-// A table of which more has changed than one answer holds is followed without rests until
-// what is left is short.
-func TestBacklogIsReadWithoutRests(t *testing.T) {
+// A table with more changes than fit in one response is read without delays until a response is
+// short.
+func TestBacklogIsReadWithoutDelay(t *testing.T) {
 	const (
 		long  = 500
 		pages = 20
-		rest  = time.Second
+		delay = time.Second
 	)
 	s := &store{done: make(chan struct{})}
 	for i := range pages {
 		rows := make([]feed.Row, long)
-		s.steps = append(s.steps, step{batch: feed.Batch{Version: int64((i + 1) * long), Rows: rows}})
+		s.responses = append(s.responses, response{batch: feed.Batch{Version: int64((i + 1) * long), Rows: rows}})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	every := func(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
-	timing := feed.Timing{PollTimeout: every(0), PollDelay: every(rest), RetryDelay: time.Millisecond}
+	constant := func(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+	timing := feed.Timing{PollTimeout: constant(0), PollDelay: constant(delay), RetryDelay: time.Millisecond}
 	start := time.Now()
 	go feed.New(s, "t", timing, func(feed.Batch) {}, func(string, error) {}).Run(ctx)
 	select {
 	case <-s.done:
-	case <-time.After(pages * rest):
+	case <-time.After(pages * delay):
 	}
-	if got, want := time.Since(start), pages*rest/4; got > want {
-		t.Errorf("%d long answers: got read in %v, want within %v", pages, got, want)
+	if got, want := time.Since(start), pages*delay/4; got > want {
+		t.Errorf("%d long responses: got read in %v, want within %v", pages, got, want)
 	}
 }
