--- a/pkg/loadsync/loadsync.go
+++ b/pkg/loadsync/loadsync.go
@@ -1,6 +1,6 @@
-// Package loadsync copies loads of endpoints between the router and the roster: what this host
-// has under way into its status, and what others sent into the choice of an endpoint. Time is
-// passed in; it does no I/O.
+// Package loadsync copies endpoint loads between the router and the roster: the load of this host
+// into its status, and the loads received from other hosts into the router's choice of an
+// endpoint. Callers pass in the time; the package does no I/O.
 package loadsync
 
 import (
@@ -12,7 +12,7 @@
 	"ironhollow/pkg/route"
 )
 
-// Sync joins one host's router and roster. It is safe for concurrent use.
+// Sync connects the router and the roster of one host. It is safe for concurrent use.
 type Sync struct {
 	router  *route.Router
 	members *roster.Roster
@@ -20,12 +20,12 @@
 	self string
 }
 
-// New returns the join of a process's router and roster.
+// New returns a Sync for a process's router and roster.
 func New(router *route.Router, members *roster.Roster, self string) *Sync {
 	return &Sync{router: router, members: members, self: self}
 }
 
-// LocalLoads returns what this host has under way, by endpoint.
+// LocalLoads returns the load of this host's requests at each endpoint.
 func (s *Sync) LocalLoads() []roster.Load {
 	var loads []roster.Load
 	for _, l := range s.router.LocalLoads() {
@@ -34,45 +34,45 @@
 	return loads
 }
 
-// LocalLoadsAt returns what this host has under way at some endpoints.
+// LocalLoadsAt returns the load of this host's requests at the given endpoints.
 func (s *Sync) LocalLoadsAt(endpoints []string) []roster.Load {
 	var loads []roster.Load
 	for _, id := range endpoints {
-		own := s.router.LocalLoad(id)
-		loads = append(loads, roster.Load{Endpoint: id, Running: own.Running, PrefillTokens: own.PrefillTokens})
+		local := s.router.LocalLoad(id)
+		loads = append(loads, roster.Load{Endpoint: id, Running: local.Running, PrefillTokens: local.PrefillTokens})
 	}
 	return loads
 }
 
-// ApplyBrief applies what another process sends about single endpoints between its full
-// datagrams.
-func (s *Sync) ApplyBrief(incarnation string, sequence int64, loads []roster.Load, placed []route.Placement, now time.Time) {
+// ApplyBrief applies the loads and placements that another process sends about single endpoints
+// between its full datagrams.
+func (s *Sync) ApplyBrief(incarnation string, sequence int64, loads []roster.Load, placements []route.Placement, now time.Time) {
 	s.members.ApplyLoads(incarnation, sequence, loads, now)
-	s.ApplyPlacements(placed)
+	s.ApplyPlacements(placements)
 	for _, l := range loads {
 		if info, ok := s.router.Lookup(l.Endpoint); ok {
-			s.report(info, s.members.Load(s.self, l.Endpoint, now), now)
+			s.reportLoad(info, s.members.Load(s.self, l.Endpoint, now), now)
 		}
 	}
 }
 
-// ApplyPlacements applies where another process sent prompts.
-func (s *Sync) ApplyPlacements(placed []route.Placement) {
-	for _, p := range placed {
+// ApplyPlacements applies the endpoints to which another process sent prompts.
+func (s *Sync) ApplyPlacements(placements []route.Placement) {
+	for _, p := range placements {
 		s.router.ApplyPlacement(p)
 	}
 }
 
-// UpdateRouter hands the loads of all other processes to the router.
+// UpdateRouter passes the loads of all other processes to the router.
 func (s *Sync) UpdateRouter(now time.Time) {
 	loads := s.members.Loads(s.self, now)
 	for _, info := range s.router.Endpoints() {
-		s.report(info, loads[info.ID], now)
+		s.reportLoad(info, loads[info.ID], now)
 	}
 }
 
-// report hands the load of one endpoint to the router.
-func (s *Sync) report(info endpoint.Info, others roster.Load, now time.Time) {
+// reportLoad passes the load of one endpoint to the router.
+func (s *Sync) reportLoad(info endpoint.Info, others roster.Load, now time.Time) {
 	s.router.ApplyReport(info.Ref(), engine.Report{
 		Sequence:     now.UnixMilli(),
 		Running:      others.Running + s.router.LocalLoad(info.ID).Running,
--- a/pkg/loadsync/loadsync_test.go
+++ b/pkg/loadsync/loadsync_test.go
@@ -15,7 +15,7 @@
 
 const id = "e1"
 
-// host is one host with an endpoint that all know.
+// host is a host that knows one endpoint, the same as the other hosts.
 type host struct {
 	router  *route.Router
 	members *roster.Roster
@@ -37,21 +37,21 @@
 	}
 }
 
-// What one host has under way is queued before what another sends: by a full
-// datagram, and at once by a brief one.
-func TestLoadsReachTheOtherHost(t *testing.T) {
+// The load of one host is counted as queued in the choice of another: after a full update, and
+// immediately after a brief one.
+func TestLoadsReachOtherHost(t *testing.T) {
 	for _, brief := range []bool{false, true} {
 		a, b := newHost("a"), newHost("b")
 		a.router.Choose(prompt(), route.Expected, now)
-		told := roster.Status{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: 1, Loads: a.loads.LocalLoads()}
-		if len(told.Loads) != 1 || told.Loads[0].PrefillTokens != 9000 {
-			t.Fatalf("own loads: got %+v, want 9000 tokens at one endpoint", told.Loads)
+		status := roster.Status{Host: roster.Host{Incarnation: "a", Node: "a"}, Sequence: 1, Loads: a.loads.LocalLoads()}
+		if len(status.Loads) != 1 || status.Loads[0].PrefillTokens != 9000 {
+			t.Fatalf("local loads: got %+v, want 9000 tokens at one endpoint", status.Loads)
 		}
 		if brief {
-			b.members.ApplyStatus(roster.Status{Host: told.Host, Sequence: 1}, now)
+			b.members.ApplyStatus(roster.Status{Host: status.Host, Sequence: 1}, now)
 			b.loads.ApplyBrief("a", 2, a.loads.LocalLoadsAt([]string{id}), a.router.DrainPlacements(), now)
 		} else {
-			b.members.ApplyStatus(told, now)
+			b.members.ApplyStatus(status, now)
 			b.loads.ApplyPlacements(a.router.DrainPlacements())
 			b.loads.UpdateRouter(now)
 		}
@@ -60,7 +60,7 @@
 			t.Errorf("brief %v: got %v queued before the second host's prompt, want some", brief, c.Queued)
 		}
 		if got, want := c.CachedTokens, 8000; got != want {
-			t.Errorf("brief %v: got %d tokens reckoned cached, want %d", brief, got, want)
+			t.Errorf("brief %v: got %d cached tokens, want %d", brief, got, want)
 		}
 	}
 }
