--- a/pkg/gossip/digest.go
+++ b/pkg/gossip/digest.go
@@ -9,15 +9,15 @@
 	"ironhollow/pkg/roster"
 )
 
-// levelPause is the time between two datagrams up and down the levels of a large fleet: a
-// host is held for gone after 3.2 s, within which one datagram may be lost.
-const levelPause = time.Second
+// levelInterval is the interval between datagrams to and from aggregators in a large fleet. A
+// host is considered dead after 3.2 s of silence, so that one lost datagram is tolerated.
+const levelInterval = time.Second
 
-// mostSharing bounds what is taken for the number of hosts: pauses grow with it.
-const maxSharing = 100_000
+// maxHostCount bounds the host count read from a datagram, because send intervals grow with it.
+const maxHostCount = 100_000
 
-// toldAlive is a roster.Alive.
-type wireAlive struct {
+// wireLiveHost encodes a roster.LiveHost.
+type wireLiveHost struct {
 	_          struct{} `cbor:",toarray"`
 	Hash       uint32
 	AgeMS      int64
@@ -25,89 +25,91 @@
 	Advertised bool
 }
 
-// toldHost is a roster.Host.
+// wireHost encodes a roster.Host.
 type wireHost struct {
-	_           struct{} `cbor:",toarray"`
-	Incarnation string
-	Node        string
-	DataCenter  string
-	Callers     string
-	Peers       string
-	SinceMS     int64
-	Millicores  int
-	Leaving     bool
+	_             struct{} `cbor:",toarray"`
+	Incarnation   string
+	Node          string
+	DataCenter    string
+	CallerAddress string
+	PeerAddress   string
+	StartedAtMS   int64
+	Millicores    int
+	Leaving       bool
 }
 
-func (m *eventMessage) addDigest(p roster.Digest) {
-	m.Requests = float32(p.RequestRate)
-	m.Sharing = p.HostCount
-	for _, a := range p.LiveHosts {
-		m.Alive = append(m.Alive, wireAlive{Hash: a.Hash, AgeMS: a.Age.Milliseconds(), Leaving: a.Leaving, Advertised: a.Advertised})
+func (m *mapMessage) addDigest(d roster.Digest) {
+	m.RequestRate = float32(d.RequestRate)
+	m.HostCount = d.HostCount
+	for _, live := range d.LiveHosts {
+		m.LiveHosts = append(m.LiveHosts, wireLiveHost{Hash: live.Hash, AgeMS: live.Age.Milliseconds(), Leaving: live.Leaving, Advertised: live.Advertised})
 	}
-	for _, h := range p.Hosts {
+	for _, h := range d.Hosts {
 		m.Hosts = append(m.Hosts, wireHost{
-			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, Callers: h.CallerAddress, Peers: h.PeerAddress,
-			SinceMS: h.StartedAt.Milliseconds(), Millicores: h.Millicores, Leaving: h.Leaving,
+			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress,
+			StartedAtMS: h.StartedAt.Milliseconds(), Millicores: h.Millicores, Leaving: h.Leaving,
 		})
 	}
 }
 
-func (m eventMessage) digest() roster.Digest {
-	p := roster.Digest{HostCount: min(max(m.Sharing, 0), maxSharing)}
-	if requests := float64(m.Requests); requests > 0 && !math.IsInf(requests, 0) {
-		p.RequestRate = requests
+func (m mapMessage) digest() roster.Digest {
+	d := roster.Digest{HostCount: min(max(m.HostCount, 0), maxHostCount)}
+	if rate := float64(m.RequestRate); rate > 0 && !math.IsInf(rate, 0) {
+		d.RequestRate = rate
 	}
-	for _, a := range m.Alive {
-		p.LiveHosts = append(p.LiveHosts, roster.LiveHost{Hash: a.Hash, Age: time.Duration(min(max(a.AgeMS, 0), oldest.Milliseconds())) * time.Millisecond, Leaving: a.Leaving, Advertised: a.Advertised})
+	for _, live := range m.LiveHosts {
+		d.LiveHosts = append(d.LiveHosts, roster.LiveHost{Hash: live.Hash, Age: time.Duration(min(max(live.AgeMS, 0), maxAge.Milliseconds())) * time.Millisecond, Leaving: live.Leaving, Advertised: live.Advertised})
 	}
 	for _, h := range m.Hosts {
-		p.Hosts = append(p.Hosts, roster.Host{
-			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, CallerAddress: h.Callers, PeerAddress: h.Peers,
-			StartedAt: time.Duration(h.SinceMS) * time.Millisecond, Millicores: h.Millicores, Leaving: h.Leaving,
+		d.Hosts = append(d.Hosts, roster.Host{
+			Incarnation: h.Incarnation, Node: h.Node, DataCenter: h.DataCenter, CallerAddress: h.CallerAddress, PeerAddress: h.PeerAddress,
+			StartedAt: time.Duration(h.StartedAtMS) * time.Millisecond, Millicores: h.Millicores, Leaving: h.Leaving,
 		})
 	}
-	return p
+	return d
 }
 
-// subscribe subscribes to aggregators, and sends them what this host serves, if anything.
+// subscribe subscribes to the digests of aggregators and sends them this host's state: the full
+// update if the host serves callers, otherwise only its cases and notices.
 func (e *Exchange) subscribe(peers []string) {
-	update := e.own()
-	e.noteActivity(update)
-	m := eventMessage{Incarnation: update.Incarnation, Subscribes: true}
+	update := e.localUpdate()
+	e.recordActivity(update)
+	m := mapMessage{Incarnation: update.Incarnation, Subscribes: true}
 	m.addDigest(roster.Digest{Hosts: []roster.Host{update.Host}})
-	e.sendEvent(m, peers)
+	e.sendMapMessage(m, peers)
 	if e.activity.ServesCallers {
 		e.sendUpdate(update, peers)
 	} else {
-		e.sendEvents(update, peers)
+		e.sendCasesAndNotices(update, peers)
 	}
 }
 
-// noteActivity keeps what this host does, as far as its recipients depend on it.
-func (e *Exchange) noteActivity(update Update) {
+// recordActivity stores the part of this host's activity that determines its recipients.
+func (e *Exchange) recordActivity(update Update) {
 	e.activity = roster.Activity{ServesCallers: len(update.Loads)+len(update.Counts) > 0, HoldsDuties: update.LeaseVersion > 0}
 }
 
-// sendDigests sends the core's digests to the subscribers, and the subscribers' to the core.
-func (e *Exchange) sendDigests(a roster.Recipients) {
-	e.digests++
+// sendDigests sends the core's digests to the subscribers, and the digests of this data centre's
+// hosts to the core.
+func (e *Exchange) sendDigests(recipients roster.Recipients) {
+	e.digestRounds++
 	now := e.now()
-	for _, p := range e.roster.CoreDigests(e.self, e.digests, now) {
-		e.sendDigest(p, a.Subscribers)
+	for _, digest := range e.roster.CoreDigests(e.self, e.digestRounds, now) {
+		e.sendDigest(digest, recipients.Subscribers)
 	}
-	for _, p := range e.roster.DataCenterDigests(e.self, e.digests, now) {
-		e.sendDigest(p, a.Frequent)
+	for _, digest := range e.roster.DataCenterDigests(e.self, e.digestRounds, now) {
+		e.sendDigest(digest, recipients.Frequent)
 	}
 }
 
-// sendDigest sends a digest, without hosts that do not fit: later digests have them.
-func (e *Exchange) sendDigest(p roster.Digest, peers []string) {
+// sendDigest sends a digest without the hosts that do not fit; later digests contain them.
+func (e *Exchange) sendDigest(digest roster.Digest, peers []string) {
 	if len(peers) == 0 {
 		return
 	}
 	for {
-		m := eventMessage{Incarnation: e.self.Incarnation}
-		m.addDigest(p)
+		m := mapMessage{Incarnation: e.self.Incarnation}
+		m.addDigest(digest)
 		data, err := cbor.Marshal(m)
 		switch {
 		case err != nil:
@@ -116,10 +118,10 @@
 		case len(data) <= maxBytes:
 			e.write(data, peers)
 			return
-		case len(p.Hosts) > 0:
-			p.Hosts = p.Hosts[:len(p.Hosts)-1]
+		case len(digest.Hosts) > 0:
+			digest.Hosts = digest.Hosts[:len(digest.Hosts)-1]
 		default:
-			p.LiveHosts = p.LiveHosts[:len(p.LiveHosts)*3/4]
+			digest.LiveHosts = digest.LiveHosts[:len(digest.LiveHosts)*3/4]
 		}
 	}
 }
--- a/pkg/gossip/fuzz_test.go
+++ b/pkg/gossip/fuzz_test.go
@@ -13,8 +13,8 @@
 	"ironhollow/pkg/roster"
 )
 
-// Any datagram is decoded or dropped, and its figures are within bounds that the roster can work
-// with; the next datagram is received all the same.
+// FuzzDatagram checks that any datagram is decoded or dropped, that decoded values are within
+// bounds that the roster can handle, and that the next datagram is still received.
 func FuzzDatagram(f *testing.F) {
 	forged := []any{
 		map[int]any{1: "a", 9: math.Inf(1), 11: math.MaxInt64},
@@ -40,20 +40,20 @@
 		}
 		members := roster.New(silence, gossip.Interval)
 		var mu sync.Mutex
-		heard := map[string]bool{}
-		take := func(told gossip.Update) {
+		received := map[string]bool{}
+		handle := func(update gossip.Update) {
 			mu.Lock()
 			defer mu.Unlock()
-			heard[told.Incarnation] = true
-			members.ApplyDigest(told.Incarnation, told.Digest, time.Now())
-			members.ApplyCounts(told.Incarnation, told.Counts)
+			received[update.Incarnation] = true
+			members.ApplyDigest(update.Incarnation, update.Digest, time.Now())
+			members.ApplyCounts(update.Incarnation, update.Counts)
 			members.AdvertisedHosts()
-			if told.Digest.HostCount < 0 || roster.ScaleInterval(time.Second, members.Sharing()) <= 0 {
-				t.Errorf("hosts: got %d told, %d known, want a number to pace by", told.Digest.HostCount, members.Sharing())
+			if update.Digest.HostCount < 0 || roster.ScaleInterval(time.Second, members.Sharing()) <= 0 {
+				t.Errorf("host count: got %d received, %d known, want one that gives a positive interval", update.Digest.HostCount, members.Sharing())
 			}
 		}
 		address := freeAddress(t)
-		e, err := gossip.Listen(address, roster.Host{Incarnation: "self"}, members, func() gossip.Update { return gossip.Update{} }, take, time.Now, quiet())
+		e, err := gossip.Listen(address, roster.Host{Incarnation: "self"}, members, func() gossip.Update { return gossip.Update{} }, handle, time.Now, discardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -63,23 +63,23 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = conn.Close() }()
-		sound, err := cbor.Marshal(map[int]any{1: "sound"})
+		valid, err := cbor.Marshal(map[int]any{1: "sound"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for deadline := time.Now().Add(arrivalTime); ; time.Sleep(time.Millisecond) {
-			for _, datagram := range [][]byte{data, sound} {
-				// A datagram of no bytes may not be sent.
+			for _, datagram := range [][]byte{data, valid} {
+				// Sending an empty datagram may fail.
 				_, _ = conn.Write(datagram)
 			}
 			mu.Lock()
-			isHeard := heard["sound"]
+			isReceived := received["sound"]
 			mu.Unlock()
-			if isHeard {
+			if isReceived {
 				return
 			}
 			if time.Now().After(deadline) {
-				t.Fatalf("datagram after %x: got not heard, want heard", data)
+				t.Fatalf("datagram after %x: next datagram not received, want received", data)
 			}
 		}
 	})
--- a/pkg/gossip/gossip.go
+++ b/pkg/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip sends the other hosts several times a second what this one has under way at each
-// endpoint and has admitted of each team, over UDP with CBOR. A lost or late datagram costs a worse
-// choice, never a wrong answer, so that nothing is repeated or confirmed; rows in the store have
-// the same a while later.
+// Package gossip sends the running requests per endpoint and the admitted usage per team of this
+// host to the other hosts several times a second, as CBOR over UDP. Datagrams are not
+// acknowledged or retransmitted: a lost or late one makes a choice worse but never an answer
+// wrong, and the rows in the store hold the same data some time later.
 package gossip
 
 import (
@@ -25,105 +25,108 @@
 // Parameters of the exchange.
 const (
 	// interval is the time between two datagrams to each host that shares callers, in fleets of
-	// up to smallFleet; it grows with larger ones, so that a host's work does not.
+	// up to smallFleet hosts. It grows with the number of hosts in larger fleets, which keeps the
+	// work per host constant.
 	interval   = 200 * time.Millisecond
 	smallFleet = 32
-	// mostBytes bounds a datagram: below the usual size of a packet's data.
+	// maxBytes bounds a datagram, below the usual payload size of a packet.
 	maxBytes = 1400
 )
 
-// Interval returns the time between two datagrams to a host in a fleet of a size.
+// Interval returns the time between two datagrams to a host in a fleet of the given size.
 func Interval(hosts int) time.Duration {
 	return interval * time.Duration(max(hosts, smallFleet)) / smallFleet
 }
 
-// Update is what a host sends.
+// Update is the state that a host sends.
 type Update struct {
 	roster.Status
 	TeamUsage []limit.TeamUsage
-	// Placements is where prompts were sent since the datagram before.
+	// Placements holds the prompts sent to endpoints since the previous datagram.
 	Placements []route.Placement
-	// Brief says that Loads are of single endpoints and that nothing else is sent but Rollouts.
+	// Brief reports whether the update covers only single endpoints, roll-outs or other parts of
+	// the status, not the whole status.
 	Brief bool
-	// Rollouts is words and reports of roll-outs, as they were encoded.
+	// Rollouts holds encoded roll-out directives and reports.
 	Rollouts []byte
-	// Cases is of requests under which endpoints have ended, Notices what endpoints have
-	// said of themselves. Each go in a datagram of their own, with nothing else but the
-	// host's incarnation. So do Spent and Counts where there are many; it is Brief then.
+	// Cases holds requests during which endpoints crashed, Notices what endpoints reported about
+	// themselves. Each is sent in its own datagram, with only the host's incarnation. So are
+	// TeamUsage and Counts when there are many teams; the received Update is then Brief.
 	Cases   []quarantine.Case
 	Notices []notice.Report
-	// Digest is an aggregator's, in a datagram of its own as well.
+	// Digest is sent by an aggregator, also in its own datagram.
 	Digest roster.Digest
-	// Subscribes says that the sender subscribes to digests; nothing else is sent then.
+	// Subscribes reports whether the sender subscribes to digests; nothing else is sent then.
 	Subscribes bool
 }
 
-// Handler receives what another process sends.
+// Handler handles the updates received from other processes.
 type Handler func(update Update)
 
-// Exchange sends and receives. It is safe for concurrent use.
+// Exchange sends and receives updates. It is safe for concurrent use.
 type Exchange struct {
 	conn *net.UDPConn
 	self roster.Host
-	// sequence is of the last datagram.
-	sequence atomic.Int64
-	roster   *roster.Roster
-	own      func() Update
-	handle   Handler
-	now      func() time.Time
-	log      *log.Logger
-	// teams chooses the figures of teams for a round, where not all fit.
-	teams *teamFigures
-	// digests counts the rounds of digests, activity is what this host last sent of its own. Run
-	// alone uses them.
-	digests  int
-	activity roster.Activity
+	// sequence is the number of the last datagram.
+	sequence    atomic.Int64
+	roster      *roster.Roster
+	localUpdate func() Update
+	handle      Handler
+	now         func() time.Time
+	log         *log.Logger
+	// teamStats selects the team statistics to send in a round when they do not all fit.
+	teamStats *teamStatsSelector
+	// digestRounds counts the rounds in which digests were sent; activity is this host's activity
+	// in the last update. Only Run uses them.
+	digestRounds int
+	activity     roster.Activity
 }
 
-// Listen opens the port of the exchange. own returns what this host sends, now is the clock of
-// its times.
-func Listen(address string, self roster.Host, members *roster.Roster, own func() Update, take Handler, now func() time.Time, logger *log.Logger) (*Exchange, error) {
-	at, err := net.ResolveUDPAddr("udp4", address)
+// Listen opens the UDP socket of the exchange. localUpdate returns the state to send, now returns
+// the current time.
+func Listen(address string, self roster.Host, members *roster.Roster, localUpdate func() Update, handler Handler, now func() time.Time, logger *log.Logger) (*Exchange, error) {
+	udpAddress, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	conn, err := net.ListenUDP("udp4", at)
+	conn, err := net.ListenUDP("udp4", udpAddress)
 	if err != nil {
 		return nil, fmt.Errorf("gossip: %w", err)
 	}
-	return &Exchange{conn: conn, self: self, roster: members, own: own, handle: take, now: now, log: logger, teams: newTeamFigures()}, nil
+	return &Exchange{conn: conn, self: self, roster: members, localUpdate: localUpdate, handle: handler, now: now, log: logger, teamStats: newTeamStatsSelector()}, nil
 }
 
 const (
-	// infrequentRounds is how many times less often datagrams go to hosts that do not share this
-	// one's callers, or to all while this one has none: they need to know that it is alive.
+	// infrequentRounds is the factor by which datagrams are less frequent to hosts that do not
+	// share this one's callers, or to all hosts while this one has no callers: they only need to
+	// know that it is alive.
 	infrequentRounds = 2
-	// maxInfrequentPause bounds the time between two datagrams of a host that has callers to the
-	// infrequent recipients, which give its address to callers and hold it for gone after the
-	// silence, within which one datagram may be lost.
-	maxInfrequentPause = 1400 * time.Millisecond
+	// maxInfrequentInterval bounds the interval of datagrams from a host that has callers to the
+	// infrequent recipients. They advertise its address to callers and consider it dead after the
+	// silence period, within which one datagram may be lost.
+	maxInfrequentInterval = 1400 * time.Millisecond
 )
 
-// Run exchanges until ctx ends; received is called after each round.
-func (e *Exchange) Run(ctx context.Context, received func()) {
+// Run sends and receives until ctx ends, and calls afterRound after each round.
+func (e *Exchange) Run(ctx context.Context, afterRound func()) {
 	go e.receive()
-	rounds := RoundScheduler{}
+	scheduler := RoundScheduler{}
 	for ctx.Err() == nil {
-		audience := e.roster.Recipients(e.self, e.activity, e.now())
-		pause, sendInfrequent := rounds.Next(audience)
-		peers := audience.Frequent
+		recipients := e.roster.Recipients(e.self, e.activity, e.now())
+		delay, sendInfrequent := scheduler.Next(recipients)
+		peers := recipients.Frequent
 		if sendInfrequent {
-			peers = slices.Concat(audience.Frequent, audience.Infrequent)
+			peers = slices.Concat(recipients.Frequent, recipients.Infrequent)
 		}
 		e.send(peers)
-		if sendInfrequent && len(audience.Aggregators) > 0 {
-			e.subscribe(audience.Aggregators)
+		if sendInfrequent && len(recipients.Aggregators) > 0 {
+			e.subscribe(recipients.Aggregators)
 		}
-		if sendInfrequent && audience.HasSubscribers() {
-			e.sendDigests(audience)
+		if sendInfrequent && recipients.HasSubscribers() {
+			e.sendDigests(recipients)
 		}
-		received()
-		timer := time.NewTimer(pause)
+		afterRound()
+		timer := time.NewTimer(delay)
 		select {
 		case <-ctx.Done():
 			timer.Stop()
@@ -133,80 +136,83 @@
 	_ = e.conn.Close()
 }
 
-// RoundScheduler determines when datagrams go to which recipients.
+// RoundScheduler determines when datagrams are sent to which recipients.
 type RoundScheduler struct {
 	// untilInfrequent is the time until the next datagrams to infrequent recipients.
 	untilInfrequent time.Duration
 }
 
-// Next returns the pause to the next round and whether infrequent recipients are due in this one.
-func (p *RoundScheduler) Next(a roster.Recipients) (pause time.Duration, sendInfrequent bool) {
-	if !a.Hierarchical {
-		return p.NextForCounts(len(a.Frequent), len(a.Infrequent))
+// Next returns the delay until the next round and whether infrequent recipients are due in this
+// one.
+func (s *RoundScheduler) Next(recipients roster.Recipients) (delay time.Duration, sendInfrequent bool) {
+	if !recipients.Hierarchical {
+		return s.NextForCounts(len(recipients.Frequent), len(recipients.Infrequent))
 	}
-	pause = levelPause
-	if len(a.Frequent) > 0 {
-		pause = min(Interval(len(a.Frequent)+1), levelPause)
+	delay = levelInterval
+	if len(recipients.Frequent) > 0 {
+		delay = min(Interval(len(recipients.Frequent)+1), levelInterval)
 	}
-	return pause, p.infrequent(pause, levelPause)
+	return delay, s.infrequentDue(delay, levelInterval)
 }
 
-// infrequent reports whether infrequent recipients are due in a round with a pause after it.
-func (p *RoundScheduler) infrequent(pause, infrequentPause time.Duration) bool {
-	sendInfrequent := p.untilInfrequent <= 0
+// infrequentDue reports whether infrequent recipients are due in a round, and counts down the
+// delay after it.
+func (s *RoundScheduler) infrequentDue(delay, infrequentInterval time.Duration) bool {
+	sendInfrequent := s.untilInfrequent <= 0
 	if sendInfrequent {
-		p.untilInfrequent = infrequentPause
+		s.untilInfrequent = infrequentInterval
 	}
-	p.untilInfrequent -= pause
+	s.untilInfrequent -= delay
 	return sendInfrequent
 }
 
-// NextForCounts returns the pause to the next round and whether infrequent recipients are due in this
-// one, for numbers of near and far hosts.
-func (p *RoundScheduler) NextForCounts(near, far int) (pause time.Duration, sendInfrequent bool) {
-	infrequentPause := Interval(near + far + 1)
-	pause = Interval(near + 1)
-	if near == 0 {
-		pause = infrequentPause
+// NextForCounts returns the delay until the next round and whether infrequent recipients are due
+// in this one, for the given numbers of frequent and infrequent recipients.
+func (s *RoundScheduler) NextForCounts(frequent, infrequent int) (delay time.Duration, sendInfrequent bool) {
+	infrequentInterval := Interval(frequent + infrequent + 1)
+	delay = Interval(frequent + 1)
+	if frequent == 0 {
+		delay = infrequentInterval
 	}
-	if far > 0 {
-		infrequentPause *= infrequentRounds
+	if infrequent > 0 {
+		infrequentInterval *= infrequentRounds
 	}
-	if near > 0 {
-		infrequentPause = min(infrequentPause, maxInfrequentPause)
+	if frequent > 0 {
+		infrequentInterval = min(infrequentInterval, maxInfrequentInterval)
 	}
-	return pause, p.infrequent(pause, infrequentPause)
+	return delay, s.infrequentDue(delay, infrequentInterval)
 }
 
 func (e *Exchange) send(peers []string) {
 	if len(peers) == 0 {
-		// What is sent once, as placements, must not be lost for want of a recipient.
+		// Data that is sent only once, such as placements, must not be consumed without a
+		// recipient.
 		return
 	}
-	update := e.own()
-	e.noteActivity(update)
+	update := e.localUpdate()
+	e.recordActivity(update)
 	e.sendUpdate(update, peers)
 }
 
 func (e *Exchange) sendUpdate(update Update, peers []string) {
-	data, whole, err := encode(update, e.sequence.Add(1))
+	data, teamsFit, err := encode(update, e.sequence.Add(1))
 	if err != nil {
 		e.log.Error().Err(err).Msg("failed to encode update")
 		return
 	}
 	e.write(data, peers)
-	if !whole {
-		e.sendTeams(update, peers)
+	if !teamsFit {
+		e.sendTeamStats(update, peers)
 	}
-	e.sendEvents(update, peers)
+	e.sendCasesAndNotices(update, peers)
 }
 
-// sendTeams sends the figures of teams that did not fit the datagram of loads.
-func (e *Exchange) sendTeams(update Update, peers []string) {
-	spent, counts := e.teams.pick(update, e.now())
-	messages, err := teamMessages(e.self.Incarnation, spent, counts)
+// sendTeamStats sends the team statistics that did not fit in the status datagram.
+func (e *Exchange) sendTeamStats(update Update, peers []string) {
+	usage, counts := e.teamStats.pick(update, e.now())
+	messages, err := teamMessages(e.self.Incarnation, usage, counts)
 	if err != nil {
-		e.log.Error().Err(err).Msg("failed to encode figures of teams")
+		e.log.Error().Err(err).Msg("failed to encode team statistics")
 		return
 	}
 	for _, data := range messages {
@@ -214,22 +220,22 @@
 	}
 }
 
-// sendEvents sends what goes in datagrams of their own, if there is any: cases and notices
-// apart, as both together may not fit one.
-func (e *Exchange) sendEvents(update Update, peers []string) {
+// sendCasesAndNotices sends cases and notices, if any, in separate datagrams because both
+// together may not fit in one.
+func (e *Exchange) sendCasesAndNotices(update Update, peers []string) {
 	if len(update.Cases) > 0 {
-		m := eventMessage{Incarnation: e.self.Incarnation}
+		m := mapMessage{Incarnation: e.self.Incarnation}
 		m.addCases(update.Cases, e.now())
-		e.sendEvent(m, peers)
+		e.sendMapMessage(m, peers)
 	}
 	if len(update.Notices) > 0 {
-		m := eventMessage{Incarnation: e.self.Incarnation}
+		m := mapMessage{Incarnation: e.self.Incarnation}
 		m.addNotices(update.Notices)
-		e.sendEvent(m, peers)
+		e.sendMapMessage(m, peers)
 	}
 }
 
-func (e *Exchange) sendEvent(m eventMessage, peers []string) {
+func (e *Exchange) sendMapMessage(m mapMessage, peers []string) {
 	data, err := m.encode()
 	if err != nil {
 		e.log.Error().Err(err).Msg("failed to encode cases or notices")
@@ -240,13 +246,13 @@
 
 func (e *Exchange) write(data []byte, peers []string) {
 	for _, address := range peers {
-		to, err := net.ResolveUDPAddr("udp4", address)
+		udpAddress, err := net.ResolveUDPAddr("udp4", address)
 		if err != nil {
-			e.log.Debug().Err(err).Str("peer", address).Msg("unusable address of a host")
+			e.log.Debug().Err(err).Str("peer", address).Msg("failed to resolve peer address")
 			continue
 		}
-		if _, err := e.conn.WriteToUDP(data, to); err != nil {
-			// A host that is gone; its row says so soon.
+		if _, err := e.conn.WriteToUDP(data, udpAddress); err != nil {
+			// The host is probably gone; its row will show that soon.
 			e.log.Debug().Err(err).Str("peer", address).Msg("failed to send datagram")
 		}
 	}
@@ -257,11 +263,11 @@
 	for {
 		n, _, err := e.conn.ReadFromUDP(buffer)
 		if err != nil {
-			// The socket is closed at the end of the process's life only.
+			// The socket is closed only when the process exits.
 			e.log.Debug().Err(err).Msg("stopped receiving datagrams")
 			return
 		}
-		update, err := decode(buffer[:n], e.now())
+		update, err := decodeDatagram(buffer[:n], e.now())
 		if err != nil {
 			e.log.Debug().Err(err).Msg("failed to decode datagram")
 			continue
@@ -270,12 +276,12 @@
 	}
 }
 
-// decode reads a datagram of either kind.
-func decode(data []byte, now time.Time) (Update, error) {
-	if isEvents(data) {
-		return decodeEvents(data, now)
+// decodeDatagram decodes a datagram of either kind.
+func decodeDatagram(data []byte, now time.Time) (Update, error) {
+	if isMapMessage(data) {
+		return decodeMapMessage(data, now)
 	}
-	var m message
+	var m statusMessage
 	if err := cbor.Unmarshal(data, &m); err != nil {
 		return Update{}, err
 	}
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -26,11 +26,11 @@
 
 const (
 	silence = 3 * time.Second
-	// arrivalTime bounds the wait for a datagram on the loopback of a busy machine.
+	// arrivalTime bounds the wait for a datagram on the loopback interface of a busy machine.
 	arrivalTime = 10 * time.Second
 )
 
-// listener is a host that only counts the datagrams that come.
+// listener is a host that only records the received updates.
 type listener struct {
 	host roster.Host
 	mu   sync.Mutex
@@ -43,7 +43,7 @@
 	return len(l.got)
 }
 
-// freeAddress returns an address of this machine that is free for datagrams.
+// freeAddress returns a local address with a free UDP port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -54,19 +54,19 @@
 	return conn.LocalAddr().String()
 }
 
-func quiet() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
+func discardLogger() *log.Logger { return &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}} }
 
-// listen opens a host that sends nothing.
+// listen starts a host that sends nothing.
 func listen(t *testing.T, host roster.Host) *listener {
 	t.Helper()
 	l := &listener{host: host}
 	l.host.PeerAddress = freeAddress(t)
-	take := func(told gossip.Update) {
+	handle := func(update gossip.Update) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.got = append(l.got, told)
+		l.got = append(l.got, update)
 	}
-	e, err := gossip.Listen(l.host.PeerAddress, l.host, roster.New(silence, gossip.Interval), func() gossip.Update { return gossip.Update{} }, take, time.Now, quiet())
+	e, err := gossip.Listen(l.host.PeerAddress, l.host, roster.New(silence, gossip.Interval), func() gossip.Update { return gossip.Update{} }, handle, time.Now, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,16 +76,16 @@
 	return l
 }
 
-// run runs the exchange of a host with an update until it has arrived.
-func run(t *testing.T, self roster.Host, members *roster.Roster, told gossip.Update, to *listener) {
+// run runs the exchange of a host with an update until the listener has received it.
+func run(t *testing.T, self roster.Host, members *roster.Roster, update gossip.Update, to *listener) {
 	t.Helper()
-	runUntil(t, self, members, told, func() bool { return to.count() > 0 })
+	runUntil(t, self, members, update, func() bool { return to.count() > 0 })
 }
 
-// runUntil runs the exchange of a host with an update until that is done.
-func runUntil(t *testing.T, self roster.Host, members *roster.Roster, told gossip.Update, done func() bool) {
+// runUntil runs the exchange of a host with an update until done returns true.
+func runUntil(t *testing.T, self roster.Host, members *roster.Roster, update gossip.Update, done func() bool) {
 	t.Helper()
-	e, err := gossip.Listen(freeAddress(t), self, members, func() gossip.Update { return told }, func(gossip.Update) {}, time.Now, quiet())
+	e, err := gossip.Listen(freeAddress(t), self, members, func() gossip.Update { return update }, func(gossip.Update) {}, time.Now, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,39 +103,39 @@
 	return roster.Host{Incarnation: name, Node: name, DataCenter: fmt.Sprint("dc", i%4), CallerAddress: name, Millicores: millicores}
 }
 
-// In a large fleet those that share the callers are sent datagrams five times a second, all
-// others about once; in a small one there are no others.
-func TestNearHostsGetMoreDatagrams(t *testing.T) {
+// In a large fleet, hosts that share the callers receive datagrams five times a second, all
+// others about once. In a small fleet all hosts share the callers.
+func TestFrequentRecipientsGetMoreDatagrams(t *testing.T) {
 	for _, c := range []struct {
-		what              string
-		near, far         int
-		nearSent, farSent int
+		name                         string
+		frequent, infrequent         int
+		frequentSent, infrequentSent int
 	}{
 		{"host with callers", 10, 80, 300, 53},
 		{"host without callers", 0, 90, 0, 53},
 		{"small fleet", 8, 0, 300, 0},
 	} {
-		var pace gossip.RoundScheduler
-		nearSent, farSent := 0, 0
+		var scheduler gossip.RoundScheduler
+		frequentSent, infrequentSent := 0, 0
 		for at := time.Duration(0); at < time.Minute; {
-			pause, tellFar := pace.NextForCounts(c.near, c.far)
-			at += pause
-			if c.near > 0 {
-				nearSent++
+			delay, sendInfrequent := scheduler.NextForCounts(c.frequent, c.infrequent)
+			at += delay
+			if c.frequent > 0 {
+				frequentSent++
 			}
-			if tellFar && c.far > 0 {
-				farSent++
+			if sendInfrequent && c.infrequent > 0 {
+				infrequentSent++
 			}
 		}
-		if nearSent != c.nearSent || farSent < c.farSent-3 || farSent > c.farSent+3 {
-			t.Errorf("%s, rounds in a minute: got %d to the near and %d to the far, want %d and about %d",
-				c.what, nearSent, farSent, c.nearSent, c.farSent)
+		if frequentSent != c.frequentSent || infrequentSent < c.infrequentSent-3 || infrequentSent > c.infrequentSent+3 {
+			t.Errorf("%s, rounds in a minute: got %d to frequent and %d to infrequent recipients, want %d and about %d",
+				c.name, frequentSent, infrequentSent, c.frequentSent, c.infrequentSent)
 		}
 	}
 }
 
-// What a host sends arrives unchanged.
-func TestUpdateArrivesWhole(t *testing.T) {
+// An update is received unchanged.
+func TestUpdateArrivesUnchanged(t *testing.T) {
 	now := time.Now()
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
@@ -148,67 +148,67 @@
 		Demands: []roster.Demand{{Service: "svc", Rate: 0.5}},
 		Counts:  []roster.RequestCount{{Window: 7, Team: "red", Started: 4}},
 	}
-	placed := []route.Placement{{Endpoint: "e1", PrefixHashes: []uint64{1, 1 << 63}}}
-	run(t, self, members, gossip.Update{Status: want, Placements: placed}, other)
+	placements := []route.Placement{{Endpoint: "e1", PrefixHashes: []uint64{1, 1 << 63}}}
+	run(t, self, members, gossip.Update{Status: want, Placements: placements}, other)
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	if len(other.got) == 0 {
 		t.Fatal("datagrams: got none")
 	}
-	if got := other.got[0].Placements; fmt.Sprint(got) != fmt.Sprint(placed) {
-		t.Errorf("placed: got %v, want %v", got, placed)
+	if got := other.got[0].Placements; fmt.Sprint(got) != fmt.Sprint(placements) {
+		t.Errorf("placements: got %v, want %v", got, placements)
 	}
 	got := other.got[0].Status
 	want.Sequence = got.Sequence
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("told: got %+v, want %+v", got, want)
+		t.Errorf("status: got %+v, want %+v", got, want)
 	}
 }
 
-// At every size of fleet a host stays known though one datagram of each is lost, also
-// those without callers, whose datagrams come rarely; and one that has callers and
-// dies is gone after 3.2 s everywhere.
+// In fleets of every size a host stays known when one of its datagrams is lost, including hosts
+// without callers, which send less often. A host with callers that dies is removed everywhere
+// after 3.2 s.
 func TestHostsStayKnownAtEverySize(t *testing.T) {
 	const (
-		silence = 3200 * time.Millisecond
-		near    = 18
+		silence       = 3200 * time.Millisecond
+		frequentCount = 18
 	)
 	for _, hosts := range []int{30, 100, 195, 300, 420, 1000} {
-		for _, sharing := range []int{0, near} {
-			pace := gossip.RoundScheduler{}
+		for _, frequent := range []int{0, frequentCount} {
+			scheduler := gossip.RoundScheduler{}
 			members := roster.New(silence, gossip.Interval)
 			now := time.Unix(1000, 0)
-			sent, heard := 0, now
+			sent, receivedAt := 0, now
 			for now.Before(time.Unix(1060, 0)) {
-				far := hosts - 1 - sharing
-				pause, tellFar := pace.NextForCounts(sharing, far)
-				if tellFar {
+				infrequent := hosts - 1 - frequent
+				delay, sendInfrequent := scheduler.NextForCounts(frequent, infrequent)
+				if sendInfrequent {
 					sent++
 				}
-				// The fourth and then each tenth datagram is lost; others keep talking.
-				if tellFar && sent%10 != 4 {
+				// The fourth datagram and then every tenth is lost. The other hosts keep sending.
+				if sendInfrequent && sent%10 != 4 {
 					members.ApplyStatus(roster.Status{Host: roster.Host{Incarnation: "a", Node: "a", DataCenter: "dc"}, Sequence: int64(sent)}, now)
-					heard = now
+					receivedAt = now
 				}
 				members.NoteStoreResponse(now)
 				if got := members.DataCenters(); len(got) != 1 && sent > 2 {
-					t.Fatalf("%d hosts, %d near: not known %v after its last datagram", hosts, sharing, now.Sub(heard))
+					t.Fatalf("%d hosts, %d frequent recipients: host not known %v after its last datagram", hosts, frequent, now.Sub(receivedAt))
 				}
-				now = now.Add(pause)
+				now = now.Add(delay)
 			}
-			if sharing == 0 {
+			if frequent == 0 {
 				continue
 			}
-			members.NoteStoreResponse(heard.Add(silence + 10*time.Millisecond))
+			members.NoteStoreResponse(receivedAt.Add(silence + 10*time.Millisecond))
 			if got := members.DataCenters(); len(got) != 0 {
-				t.Errorf("%d hosts, %d near: still known after %v", hosts, sharing, silence)
+				t.Errorf("%d hosts, %d frequent recipients: host still known after %v", hosts, frequent, silence)
 			}
 		}
 	}
 }
 
-// Cases of requests under which endpoints ended arrive in a datagram of their own, with their
-// times as ages, also at hosts of another version.
+// Cases of requests during which endpoints crashed are received in a separate datagram, with
+// times sent as ages, also by hosts of another version.
 func TestCasesArrive(t *testing.T) {
 	now := time.Now()
 	other := listen(t, host(1, 400))
@@ -216,8 +216,8 @@
 	members.NoteStoreResponse(now)
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, now)
 	f := quarantine.FingerprintOf("POST", "/x", "red", []byte("body"))
-	ends := []quarantine.Crash{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
-	cases := []quarantine.Case{{Fingerprint: f, Crashes: ends}, {Fingerprint: f, LastSuccess: now.Add(-time.Second)}, {Fingerprint: f, Crashes: ends[1:]}}
+	crashes := []quarantine.Crash{{Endpoint: "e1", At: now.Add(-time.Hour)}, {Endpoint: "e2", At: now.Add(-2 * time.Second)}}
+	cases := []quarantine.Case{{Fingerprint: f, Crashes: crashes}, {Fingerprint: f, LastSuccess: now.Add(-time.Second)}, {Fingerprint: f, Crashes: crashes[1:]}}
 	self := host(0, 800)
 	run(t, self, members, gossip.Update{Status: roster.Status{Host: self}, Cases: cases}, other)
 	for other.count() < 2 {
@@ -226,27 +226,27 @@
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	if loads := other.got[0]; loads.Brief || loads.Node == "" {
-		t.Errorf("first datagram: got %+v, want what a host always tells", loads)
+		t.Errorf("first datagram: got %+v, want a full update", loads)
 	}
 	got := other.got[1].Cases
 	if len(got) != 3 || got[0].Fingerprint != f || len(got[0].Crashes) != 2 || !got[0].LastSuccess.IsZero() {
 		t.Fatalf("cases: got %+v, want %+v", got, cases)
 	}
-	near := func(a, b time.Time) bool { return a.Sub(b).Abs() < arrivalTime }
-	for i, end := range got[0].Crashes {
-		if end.Endpoint != ends[i].Endpoint || !near(end.At, ends[i].At) {
-			t.Errorf("end: got %+v, want %+v", end, ends[i])
+	isClose := func(a, b time.Time) bool { return a.Sub(b).Abs() < arrivalTime }
+	for i, crash := range got[0].Crashes {
+		if crash.Endpoint != crashes[i].Endpoint || !isClose(crash.At, crashes[i].At) {
+			t.Errorf("crash: got %+v, want %+v", crash, crashes[i])
 		}
 	}
-	if single := got[2]; single.Fingerprint != f || len(single.Crashes) != 1 || single.Crashes[0].Endpoint != "e2" || !near(single.Crashes[0].At, ends[1].At) {
-		t.Errorf("case of one end: got %+v, want %+v", single, cases[2])
+	if single := got[2]; single.Fingerprint != f || len(single.Crashes) != 1 || single.Crashes[0].Endpoint != "e2" || !isClose(single.Crashes[0].At, crashes[1].At) {
+		t.Errorf("case of one crash: got %+v, want %+v", single, cases[2])
 	}
-	if !near(got[1].LastSuccess, cases[1].LastSuccess) || len(got[1].Crashes) != 0 {
-		t.Errorf("whole answer: got %+v, want %+v", got[1], cases[1])
+	if !isClose(got[1].LastSuccess, cases[1].LastSuccess) || len(got[1].Crashes) != 0 {
+		t.Errorf("case with a complete answer: got %+v, want %+v", got[1], cases[1])
 	}
 }
 
-// Notices arrive in datagrams of their own; absurd figures do no harm.
+// Notices are received in separate datagrams; out-of-range values do no harm.
 func TestNoticesArrive(t *testing.T) {
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
@@ -256,9 +256,9 @@
 		{Endpoint: "e1", Born: 1_800_000_000_000, Notice: endpoint.Notice{Leaving: true}},
 		{Endpoint: "e2", Notice: endpoint.Notice{Backoff: 1500 * time.Millisecond}},
 	}
-	absurd := []notice.Report{{Endpoint: "e3", Notice: endpoint.Notice{Backoff: -time.Hour}}, {Endpoint: "e4", Notice: endpoint.Notice{Backoff: math.MaxInt64}}}
+	invalid := []notice.Report{{Endpoint: "e3", Notice: endpoint.Notice{Backoff: -time.Hour}}, {Endpoint: "e4", Notice: endpoint.Notice{Backoff: math.MaxInt64}}}
 	self := host(0, 800)
-	run(t, self, members, gossip.Update{Status: roster.Status{Host: self}, Notices: append(notices, absurd...)}, other)
+	run(t, self, members, gossip.Update{Status: roster.Status{Host: self}, Notices: append(notices, invalid...)}, other)
 	for other.count() < 2 {
 		time.Sleep(time.Millisecond)
 	}
@@ -271,21 +271,21 @@
 	}
 }
 
-// Many notices of endpoints with long ids, together with cases, arrive as far as a datagram
-// holds them: what does not fit does not take the others with it.
+// Of many notices of endpoints with long IDs, sent together with cases, as many arrive as fit in
+// a datagram. Those that do not fit affect neither the other notices nor the cases.
 func TestManyNoticesFit(t *testing.T) {
 	other := listen(t, host(1, 400))
 	members := roster.New(silence, gossip.Interval)
 	members.NoteStoreResponse(time.Now())
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, time.Now())
-	told := gossip.Update{Status: roster.Status{Host: host(0, 800)}}
+	update := gossip.Update{Status: roster.Status{Host: host(0, 800)}}
 	for i := range 30 {
 		f := quarantine.FingerprintOf("POST", fmt.Sprintf("/%d", i), "red", nil)
-		told.Cases = append(told.Cases, quarantine.Case{Fingerprint: f, Crashes: []quarantine.Crash{{Endpoint: "e1", At: time.Now()}}})
+		update.Cases = append(update.Cases, quarantine.Case{Fingerprint: f, Crashes: []quarantine.Crash{{Endpoint: "e1", At: time.Now()}}})
 		id := fmt.Sprintf("%s%d", strings.Repeat("x", 100), i)
-		told.Notices = append(told.Notices, notice.Report{Endpoint: id, Notice: endpoint.Notice{Leaving: true}})
+		update.Notices = append(update.Notices, notice.Report{Endpoint: id, Notice: endpoint.Notice{Leaving: true}})
 	}
-	run(t, told.Host, members, told, other)
+	run(t, update.Host, members, update, other)
 	for other.count() < 3 {
 		time.Sleep(time.Millisecond)
 	}
@@ -295,78 +295,78 @@
 		t.Errorf("cases: got %d, want %d", got, want)
 	}
 	if got, least := len(other.got[2].Notices), 5; got < least {
-		t.Errorf("notices: got %d, want %d or more of 30", got, least)
+		t.Errorf("notices: got %d, want at least %d of 30", got, least)
 	}
 }
 
-// In fleets of every size, with one datagram in ten lost, a request is held back at each
-// host within the 3 s that the users allow from the third end on, though three hosts have
-// seen an end each and hundreds of others broke off with it.
+// In fleets of every size, with one datagram in ten lost, every host quarantines a request within
+// the required 3 s of the third crash, even if three hosts have seen one crash each, and
+// 30 other requests failed in each crash.
 func TestHeldBackEverywhereInTime(t *testing.T) {
 	const (
-		within = 3 * time.Second
-		beside = 30
+		maxDelay     = 3 * time.Second
+		otherCrashes = 30
 	)
 	for _, size := range []struct{ hosts, callers int }{{9, 9}, {30, 9}, {91, 22}, {195, 48}, {420, 64}} {
 		start := time.Unix(1_000_000, 0)
 		random := rand.New(rand.NewPCG(1, uint64(size.hosts)))
 		f := quarantine.FingerprintOf("POST", "/x", "red", []byte("crash"))
 		quarantines := make([]*quarantine.Quarantine, size.hosts)
-		paces := make([]gossip.RoundScheduler, size.hosts)
+		schedulers := make([]gossip.RoundScheduler, size.hosts)
 		next := make([]time.Time, size.hosts)
 		for i := range quarantines {
 			quarantines[i] = quarantine.NewQuarantine()
 			next[i] = start.Add(time.Duration(random.Int64N(int64(time.Second))))
 		}
-		third := start.Add(3 * time.Second)
+		thirdCrash := start.Add(3 * time.Second)
 		for i := range 3 {
-			at := third.Add(time.Duration(i-2) * 200 * time.Millisecond)
-			end := quarantine.Crash{Endpoint: fmt.Sprint("e", i), At: at}
-			for j := range beside {
-				quarantines[i].RecordCrash(quarantine.FingerprintOf("POST", "/y", "red", []byte(fmt.Sprint(i, j))), end, at)
+			at := thirdCrash.Add(time.Duration(i-2) * 200 * time.Millisecond)
+			crash := quarantine.Crash{Endpoint: fmt.Sprint("e", i), At: at}
+			for j := range otherCrashes {
+				quarantines[i].RecordCrash(quarantine.FingerprintOf("POST", "/y", "red", []byte(fmt.Sprint(i, j))), crash, at)
 			}
-			quarantines[i].RecordCrash(f, end, at)
+			quarantines[i].RecordCrash(f, crash, at)
 		}
-		for now := start; now.Before(third.Add(within)); now = now.Add(10 * time.Millisecond) {
+		for now := start; now.Before(thirdCrash.Add(maxDelay)); now = now.Add(10 * time.Millisecond) {
 			for i := range quarantines {
 				if now.Before(next[i]) {
 					continue
 				}
-				near, far := size.callers-1, size.hosts-size.callers
+				frequent, infrequent := size.callers-1, size.hosts-size.callers
 				if i >= size.callers {
-					near, far = 0, size.hosts-1
+					frequent, infrequent = 0, size.hosts-1
 				}
-				pause, tellFar := paces[i].NextForCounts(near, far)
-				next[i] = next[i].Add(pause)
-				told := quarantines[i].Reports(now)
+				delay, sendInfrequent := schedulers[i].NextForCounts(frequent, infrequent)
+				next[i] = next[i].Add(delay)
+				reports := quarantines[i].Reports(now)
 				for j := range quarantines {
-					isNear := i < size.callers && j < size.callers
-					if j != i && (isNear || tellFar) && random.IntN(10) > 0 && !now.Before(third) {
-						quarantines[j].Merge(told, now)
+					isFrequent := i < size.callers && j < size.callers
+					if j != i && (isFrequent || sendInfrequent) && random.IntN(10) > 0 && !now.Before(thirdCrash) {
+						quarantines[j].Merge(reports, now)
 					}
 				}
 			}
 		}
-		without := 0
+		missing := 0
 		for _, q := range quarantines {
-			if _, held := q.Quarantined(f, third.Add(within)); !held {
-				without++
+			if _, isQuarantined := q.Quarantined(f, thirdCrash.Add(maxDelay)); !isQuarantined {
+				missing++
 			}
 		}
-		if without > 0 {
-			t.Errorf("%d hosts, %d with callers: got %d that do not hold the request back after %v, want none", size.hosts, size.callers, without, within)
+		if missing > 0 {
+			t.Errorf("%d hosts, %d with callers: got %d that do not quarantine the request after %v, want none", size.hosts, size.callers, missing, maxDelay)
 		}
 	}
 }
 
-// In fleets of every size, with one datagram in ten lost, each host that has callers knows
-// that an endpoint leaves within the 2 s that the users allow from the answer that said so
-// to one of them. By the row alone, which an endpoint can't write while the store is away,
-// none of them does.
+// In fleets of every size, with one datagram in ten lost, each host that has callers knows that
+// an endpoint is leaving within the required 2 s of the response that reported it to one of them.
+// With only the row, which an endpoint can't write while the store is unavailable, none of them
+// would know.
 func TestLeavingIsKnownWhereCallersAre(t *testing.T) {
 	const (
-		within = 2 * time.Second
-		id     = "e1"
+		maxDelay = 2 * time.Second
+		id       = "e1"
 	)
 	for _, size := range []struct{ hosts, callers int }{{9, 9}, {30, 9}, {91, 22}, {195, 48}, {420, 64}} {
 		start := time.Unix(1_000_000, 0)
@@ -379,30 +379,30 @@
 			router := route.New(directories[i], hazard.New(), route.Location{}, 1)
 			boards[i] = notice.New(directories[i], router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
 		}
-		report := func(told []notice.Report, now time.Time) {
+		report := func(reports []notice.Report, now time.Time) {
 			for _, other := range boards[1:] {
 				if random.IntN(10) > 0 {
-					other.ApplyReports(told, now)
+					other.ApplyReports(reports, now)
 				}
 			}
 		}
-		heard, _ := directories[0].Get(id)
-		boards[0].ApplyAnswer(heard, endpoint.Notice{Leaving: true}, start, start)
+		leavingInfo, _ := directories[0].Get(id)
+		boards[0].ApplyAnswer(leavingInfo, endpoint.Notice{Leaving: true}, start, start)
 		report(boards[0].ReportsOf([]string{id}, start), start)
-		pace := gossip.RoundScheduler{}
-		for now := start; now.Before(start.Add(within)); {
-			pause, _ := pace.NextForCounts(size.callers-1, size.hosts-size.callers)
-			now = now.Add(pause)
+		scheduler := gossip.RoundScheduler{}
+		for now := start; now.Before(start.Add(maxDelay)); {
+			delay, _ := scheduler.NextForCounts(size.callers-1, size.hosts-size.callers)
+			now = now.Add(delay)
 			report(boards[0].Reports(now), now)
 		}
-		without := 0
+		missing := 0
 		for _, d := range directories {
 			if info, _ := d.Get(id); info.AcceptsWork() {
-				without++
+				missing++
 			}
 		}
-		if without > 0 {
-			t.Errorf("%d hosts, %d with callers: got %d that choose the endpoint after %v, want none", size.hosts, size.callers, without, within)
+		if missing > 0 {
+			t.Errorf("%d hosts, %d with callers: got %d that choose the endpoint after %v, want none", size.hosts, size.callers, missing, maxDelay)
 		}
 	}
 }
--- a/pkg/gossip/levels_test.go
+++ b/pkg/gossip/levels_test.go
@@ -12,61 +12,63 @@
 	"ironhollow/pkg/roster"
 )
 
-// fleetHosts is the size of the fleet that is played: go test ./pkg/gossip -run Levels -args -hosts 985
-var fleetHosts = flag.Int("hosts", 200, "hosts of the fleet played in virtual time")
+// fleetHosts is the size of the simulated fleet. To set it:
+// go test ./pkg/gossip -run Levels -args -hosts 985
+var fleetHosts = flag.Int("hosts", 200, "number of hosts of the fleet simulated in virtual time")
 
-// relaysEach is how many hosts of a data centre read rows often as relays, as shipped.
-const relaysEach = 1
+// relaysPerDataCenter is the number of hosts in a data centre that read rows often as relays, as
+// in production.
+const relaysPerDataCenter = 1
 
-// small is the processor share of most hosts, in thousandths of a core.
-const small = 192
+// smallMillicores is the CPU share of most hosts, in thousandths of a core.
+const smallMillicores = 192
 
-// playedSilence is how long a host may go unseen, as shipped.
-const playedSilence = 3200 * time.Millisecond
+// simSilence is how long a host may stay silent, as in production.
+const simSilence = 3200 * time.Millisecond
 
-// played is one host of a fleet in virtual time: the shipped roster and pace.
-type played struct {
-	self     roster.Host
-	members  *roster.Roster
-	pace     gossip.RoundScheduler
-	next     time.Time
-	sequence int64
-	round    int
-	dead     bool
-	// receivedAt is when it last got a datagram, sent how many it sent.
+// simHost is one host of a fleet in virtual time. It uses the production roster and scheduler.
+type simHost struct {
+	self      roster.Host
+	members   *roster.Roster
+	scheduler gossip.RoundScheduler
+	next      time.Time
+	sequence  int64
+	round     int
+	dead      bool
+	// receivedAt is the time of the last received datagram, sent the number of sent ones.
 	receivedAt time.Time
 	sent       int
 }
 
-// playedFleet is hosts in six data centres, one in sixteen of them eight times as large as
-// the others, whose datagrams are lost one in ten.
-type playedFleet struct {
-	hosts  []*played
-	at     map[string]*played
-	now    time.Time
-	rowsAt time.Time
-	random *rand.Rand
+// simFleet is a fleet in six data centres where one host in sixteen has about eight times the CPU
+// share of the others, and one datagram in ten is lost.
+type simFleet struct {
+	hosts      []*simHost
+	byAddress  map[string]*simHost
+	now        time.Time
+	rowsReadAt time.Time
+	random     *rand.Rand
 }
 
-func newPlayedFleet(size int, seed uint64) *playedFleet {
+func newSimFleet(size int, seed uint64) *simFleet {
 	const dataCenters, largeEach = 6, 16
-	f := &playedFleet{at: map[string]*played{}, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, uint64(size)))}
+	f := &simFleet{byAddress: map[string]*simHost{}, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(seed, uint64(size)))}
 	for i := range size {
 		name := fmt.Sprintf("h%04d", i)
-		h := &played{self: roster.Host{Incarnation: name + ".1", Node: name, DataCenter: fmt.Sprint("dc", i%dataCenters), CallerAddress: name, PeerAddress: name + ":1", Millicores: small}}
+		h := &simHost{self: roster.Host{Incarnation: name + ".1", Node: name, DataCenter: fmt.Sprint("dc", i%dataCenters), CallerAddress: name, PeerAddress: name + ":1", Millicores: smallMillicores}}
 		if i/dataCenters%largeEach == 0 {
 			h.self.Millicores = 1600
 		}
-		h.members = roster.New(playedSilence, gossip.Interval)
-		h.next = f.now.Add(f.after(time.Second))
+		h.members = roster.New(simSilence, gossip.Interval)
+		h.next = f.now.Add(f.randomDelay(time.Second))
 		f.hosts = append(f.hosts, h)
-		f.at[h.self.PeerAddress] = h
+		f.byAddress[h.self.PeerAddress] = h
 	}
 	for _, h := range f.hosts {
 		h.members.NoteStoreResponse(f.now)
 		for _, other := range f.hosts {
-			// The small ones write no rows.
-			if other == h || other.self.Millicores > small {
+			// Small hosts write no rows.
+			if other == h || other.self.Millicores > smallMillicores {
 				h.members.Merge(roster.Row{Host: other.self, Sequence: 1}, f.now)
 			}
 		}
@@ -74,16 +76,16 @@
 	return f
 }
 
-func (f *playedFleet) after(most time.Duration) time.Duration {
-	return time.Duration(f.random.Int64N(int64(most)))
+func (f *simFleet) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(f.random.Int64N(int64(limit)))
 }
 
-// play passes time.
-func (f *playedFleet) play(length time.Duration) {
+// advance advances the virtual time.
+func (f *simFleet) advance(length time.Duration) {
 	const (
-		step       = 20 * time.Millisecond
-		rowsPause  = 2800 * time.Millisecond
-		rowsLately = time.Second
+		step         = 20 * time.Millisecond
+		rowsInterval = 2800 * time.Millisecond
+		rowAge       = time.Second
 	)
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(step) {
 		for _, h := range f.hosts {
@@ -91,22 +93,22 @@
 				f.sendRound(h)
 			}
 		}
-		if f.now.Sub(f.rowsAt) >= rowsPause {
-			f.rowsAt = f.now
-			f.readRows(rowsLately)
+		if f.now.Sub(f.rowsReadAt) >= rowsInterval {
+			f.rowsReadAt = f.now
+			f.readRows(rowAge)
 		}
 	}
 }
 
-// readRows has the hosts that read the store's rows often read those of the core: aggregators,
-// and the relays of each data centre by their own ranking.
-func (f *playedFleet) readRows(age time.Duration) {
-	var readers, writers []*played
+// readRows merges the core's rows into the hosts that read the store often: aggregators, and the
+// relays of each data centre by their own ranking.
+func (f *simFleet) readRows(age time.Duration) {
+	var readers, writers []*simHost
 	for _, h := range f.hosts {
 		if h.dead {
 			continue
 		}
-		relays := h.members.Relays(h.self.DataCenter, relaysEach)
+		relays := h.members.Relays(h.self.DataCenter, relaysPerDataCenter)
 		isRelay := len(relays) == 0 || slices.ContainsFunc(relays, func(r roster.Host) bool { return r.Node == h.self.Node })
 		if isRelay || h.members.Recipients(h.self, roster.Activity{}, f.now).HasSubscribers() {
 			readers = append(readers, h)
@@ -123,51 +125,51 @@
 	}
 }
 
-// sendRound plays one round of a host: its datagrams to its recipients.
-func (f *playedFleet) sendRound(h *played) {
+// sendRound simulates one round of a host: it sends datagrams to the host's recipients.
+func (f *simFleet) sendRound(h *simHost) {
 	h.members.MergeSelf(h.self, f.now)
-	a := h.members.Recipients(h.self, roster.Activity{}, f.now)
-	pause, sendInfrequent := h.pace.Next(a)
-	h.next = f.now.Add(pause)
+	recipients := h.members.Recipients(h.self, roster.Activity{}, f.now)
+	delay, sendInfrequent := h.scheduler.Next(recipients)
+	h.next = f.now.Add(delay)
 	h.sequence++
 	update := roster.Status{Host: h.self, Sequence: h.sequence}
-	peers := append([]string(nil), a.Frequent...)
+	peers := append([]string(nil), recipients.Frequent...)
 	if sendInfrequent {
-		peers = append(peers, a.Infrequent...)
+		peers = append(peers, recipients.Infrequent...)
 	}
-	// Each datagram draws a random number: a fixed order makes a run repeatable by its seed.
+	// Each datagram draws a random number, so a fixed order makes a run repeatable by its seed.
 	slices.Sort(peers)
 	if sendInfrequent {
-		f.send(h, a.Aggregators, func(other *played) { other.members.Subscribe(h.self, f.now) })
+		f.send(h, recipients.Aggregators, func(other *simHost) { other.members.Subscribe(h.self, f.now) })
 	}
-	f.send(h, peers, func(other *played) { other.members.ApplyStatus(update, f.now) })
-	if !a.HasSubscribers() || !sendInfrequent {
+	f.send(h, peers, func(other *simHost) { other.members.ApplyStatus(update, f.now) })
+	if !recipients.HasSubscribers() || !sendInfrequent {
 		return
 	}
 	h.round++
 	for _, core := range h.members.CoreDigests(h.self, h.round, f.now) {
-		f.send(h, a.Subscribers, func(other *played) { other.members.ApplyDigest(h.self.Incarnation, core, f.now) })
+		f.send(h, recipients.Subscribers, func(other *simHost) { other.members.ApplyDigest(h.self.Incarnation, core, f.now) })
 	}
 	for _, others := range h.members.DataCenterDigests(h.self, h.round, f.now) {
-		f.send(h, a.Frequent, func(other *played) { other.members.ApplyDigest(h.self.Incarnation, others, f.now) })
+		f.send(h, recipients.Frequent, func(other *simHost) { other.members.ApplyDigest(h.self.Incarnation, others, f.now) })
 	}
 }
 
-func (f *playedFleet) send(from *played, peers []string, receive func(*played)) {
+func (f *simFleet) send(from *simHost, peers []string, receive func(*simHost)) {
 	from.sent += len(peers)
 	for _, peer := range peers {
-		if other := f.at[peer]; !other.dead && f.random.IntN(10) > 0 {
+		if other := f.byAddress[peer]; !other.dead && f.random.IntN(10) > 0 {
 			receive(other)
 			other.receivedAt = f.now
 		}
 	}
 }
 
-// kill kills the hosts for which it holds, and returns how many.
-func (f *playedFleet) kill(which func(*played) bool) int {
+// kill kills the matching hosts and returns their number.
+func (f *simFleet) kill(matches func(*simHost) bool) int {
 	killed := 0
 	for _, h := range f.hosts {
-		if !h.dead && which(h) {
+		if !h.dead && matches(h) {
 			h.dead = true
 			killed++
 		}
@@ -175,16 +177,16 @@
 	return killed
 }
 
-// wrong returns how many live hosts advertise a dead host, or none in a data centre that has
-// hosts.
-func (f *playedFleet) wrong() int {
+// countMisadvertising returns the number of live hosts that advertise a dead host, or no host of
+// a data centre that has live hosts.
+func (f *simFleet) countMisadvertising() int {
 	dataCenters := map[string]bool{}
 	for _, h := range f.hosts {
 		if !h.dead {
 			dataCenters[h.self.DataCenter] = true
 		}
 	}
-	wrong := 0
+	count := 0
 	for _, h := range f.hosts {
 		if h.dead {
 			continue
@@ -193,17 +195,18 @@
 		advertisesDead := false
 		for _, e := range h.members.AdvertisedHosts() {
 			centres[e.DataCenter] = true
-			advertisesDead = advertisesDead || f.at[e.CallerAddress+":1"].dead
+			advertisesDead = advertisesDead || f.byAddress[e.CallerAddress+":1"].dead
 		}
 		if advertisesDead || len(centres) < len(dataCenters) {
-			wrong++
+			count++
 		}
 	}
-	return wrong
+	return count
 }
 
-// apart returns how many live hosts advertise others than most do.
-func (f *playedFleet) apart() int {
+// countDisagreeing returns the number of live hosts that do not advertise the most common set of
+// hosts.
+func (f *simFleet) countDisagreeing() int {
 	lists := map[string]int{}
 	most, all := 0, 0
 	for _, h := range f.hosts {
@@ -218,23 +221,25 @@
 	return all - most
 }
 
-// unseen returns how many live hosts have received no datagram within a time.
-func (f *playedFleet) unseen(within time.Duration) int {
-	unseen := 0
+// countIsolated returns the number of live hosts that have received no datagram within a
+// duration.
+func (f *simFleet) countIsolated(within time.Duration) int {
+	count := 0
 	for _, h := range f.hosts {
 		if !h.dead && f.now.Sub(h.receivedAt) > within {
-			unseen++
+			count++
 		}
 	}
-	return unseen
+	return count
 }
 
-// rate returns the datagrams a second that hosts send in a time: the mean and the most.
-func (f *playedFleet) rate(length time.Duration) (mean, most float64) {
+// sendRate advances the time and returns the mean and the maximum datagrams per second sent by a
+// host.
+func (f *simFleet) sendRate(length time.Duration) (mean, most float64) {
 	for _, h := range f.hosts {
 		h.sent = 0
 	}
-	f.play(length)
+	f.advance(length)
 	all := 0
 	for _, h := range f.hosts {
 		all += h.sent
@@ -243,72 +248,73 @@
 	return float64(all) / length.Seconds() / float64(len(f.hosts)), most
 }
 
-// In a large fleet a host sends a bounded number of datagrams, aggregators too, and no dead host
-// is advertised for longer than the silence and two rounds of a level, one of which may be lost.
-func TestLevels(t *testing.T) { playLevels(t, *fleetHosts) }
+// In a large fleet a host, including an aggregator, sends a bounded number of datagrams, and a
+// dead host is advertised for at most the silence period and two rounds of a level, one of which
+// may be lost.
+func TestLevels(t *testing.T) { checkLevels(t, *fleetHosts) }
 
-// The same with half as many hosts again.
-func TestLevelsOf300Hosts(t *testing.T) { playLevels(t, 300) }
+// The same with 300 hosts, half as many again as the default.
+func TestLevelsOf300Hosts(t *testing.T) { checkLevels(t, 300) }
 
-func playLevels(t *testing.T, hosts int) {
+func checkLevels(t *testing.T, hosts int) {
 	t.Helper()
 	const (
-		// known is the silence and two rounds of a level.
-		known = playedSilence + 2*time.Second
-		// reformed is how long hosts take to find other aggregators: two subscriptions that are not
-		// answered, and two rounds.
-		reformed = 2500*time.Millisecond + 2*time.Second
-		// recovered is how long a fleet may take that has lost its whole core: of the users'
-		// 18 s there must be some left for the callers.
+		// detected is the silence period and two rounds of a level.
+		detected = simSilence + 2*time.Second
+		// reassigned is how long hosts take to find other aggregators: two unanswered
+		// subscriptions and two rounds.
+		reassigned = 2500*time.Millisecond + 2*time.Second
+		// recovered is how long a fleet may take to recover from the loss of its whole core. It
+		// leaves callers a part of the required 18 s.
 		recovered = 12 * time.Second
-		// budget is datagrams a second of 0.3 KB that 5 KB/s hold.
+		// budget is the number of datagrams of 0.3 KB per second that fit in 5 KB/s.
 		budget = 16
 	)
-	// Callers ask three hosts for addresses: one in fifty may have lost all datagrams of
-	// two rounds.
-	few := hosts / 50
-	f := newPlayedFleet(hosts, 1)
-	f.play(6 * time.Second)
-	mean, most := f.rate(5 * time.Second)
-	t.Logf("%d hosts: %.1f datagrams a second a host, %.0f at most", hosts, mean, most)
+	// Callers ask three hosts for addresses, so that one host in fifty may have lost all
+	// datagrams of two rounds.
+	tolerated := hosts / 50
+	f := newSimFleet(hosts, 1)
+	f.advance(6 * time.Second)
+	mean, most := f.sendRate(5 * time.Second)
+	t.Logf("%d hosts: %.1f datagrams per second and host, at most %.0f", hosts, mean, most)
 	if mean > budget {
-		t.Errorf("datagrams a second of a host: got %.1f, want %d at most", mean, budget)
+		t.Errorf("datagrams per second of a host: got %.1f, want at most %d", mean, budget)
 	}
-	if got, apart := f.wrong(), f.apart(); got > 0 || apart > few {
-		t.Errorf("quiet fleet: got %d hosts that advertise wrongly and %d otherwise than most, want none and %d at most", got, apart, few)
+	if got, disagreeing := f.countMisadvertising(), f.countDisagreeing(); got > 0 || disagreeing > tolerated {
+		t.Errorf("fleet without losses: got %d hosts that advertise wrong hosts and %d a different set than most, want none and at most %d", got, disagreeing, tolerated)
 	}
 	aggregators := 0
-	killed := f.kill(func(h *played) bool {
-		isAggregator := h.self.DataCenter == "dc0" && h.members.InCore(h.self.Node) && h.self.Millicores > small && aggregators < 2
+	killed := f.kill(func(h *simHost) bool {
+		isAggregator := h.self.DataCenter == "dc0" && h.members.InCore(h.self.Node) && h.self.Millicores > smallMillicores && aggregators < 2
 		if isAggregator {
 			aggregators++
 		}
 		return isAggregator
 	})
-	f.play(known)
-	if got := f.wrong(); got > few {
-		t.Errorf("%v after %d aggregators of a data centre were killed: got %d hosts that advertise wrongly, want %d at most", known, killed, got, few)
+	f.advance(detected)
+	if got := f.countMisadvertising(); got > tolerated {
+		t.Errorf("%v after %d aggregators of a data centre were killed: got %d hosts that advertise wrong hosts, want at most %d", detected, killed, got, tolerated)
 	}
-	f.play(reformed)
-	if got := f.apart(); got > few {
-		t.Errorf("%v after that: got %d hosts that advertise others than most, want %d at most", reformed, got, few)
+	f.advance(reassigned)
+	if got := f.countDisagreeing(); got > tolerated {
+		t.Errorf("%v after that: got %d hosts that advertise a different set than most, want at most %d", reassigned, got, tolerated)
 	}
-	if got := f.unseen(known); got > few {
-		t.Errorf("after the aggregators of a data centre: got %d hosts that receive nothing, want %d at most", got, few)
+	if got := f.countIsolated(detected); got > tolerated {
+		t.Errorf("after the loss of aggregators of a data centre: got %d hosts that receive nothing, want at most %d", got, tolerated)
 	}
-	killed = f.kill(func(h *played) bool { return h.self.Millicores > small || h.members.InCore(h.self.Node) })
-	f.play(recovered)
-	if got := f.wrong(); got > few {
-		t.Errorf("%v after the whole core of %d hosts was killed: got %d that advertise wrongly, want %d at most", recovered, killed, got, few)
+	killed = f.kill(func(h *simHost) bool { return h.self.Millicores > smallMillicores || h.members.InCore(h.self.Node) })
+	f.advance(recovered)
+	if got := f.countMisadvertising(); got > tolerated {
+		t.Errorf("%v after the whole core of %d hosts was killed: got %d that advertise wrong hosts, want at most %d", recovered, killed, got, tolerated)
 	}
-	if got := f.unseen(known); got > few {
-		t.Errorf("after the whole core: got %d hosts that receive nothing, want %d at most", got, few)
+	if got := f.countIsolated(detected); got > tolerated {
+		t.Errorf("after the loss of the whole core: got %d hosts that receive nothing, want at most %d", got, tolerated)
 	}
 }
 
-// restartAll restarts all hosts with new incarnations and unknown start times. Each has read the rows
-// that the core wrote before the restart.
-func (f *playedFleet) restartAll() {
+// restartAll restarts all hosts with new incarnations and unknown start times. Each host has read
+// the rows that the core wrote before the restart.
+func (f *simFleet) restartAll() {
 	var rows []roster.Row
 	for _, h := range f.hosts {
 		if h.members.InCore(h.self.Node) {
@@ -318,23 +324,23 @@
 	for _, h := range f.hosts {
 		h.self.Incarnation += "+"
 		h.self.StartedAt = 0
-		h.members = roster.New(playedSilence, gossip.Interval)
+		h.members = roster.New(simSilence, gossip.Interval)
 		h.members.NoteStoreResponse(f.now)
 		for _, row := range rows {
 			h.members.Merge(row, f.now)
 		}
-		h.sequence, h.round, h.pace = 0, 0, gossip.RoundScheduler{}
-		h.next = f.now.Add(f.after(time.Second))
+		h.sequence, h.round, h.scheduler = 0, 0, gossip.RoundScheduler{}
+		h.next = f.now.Add(f.randomDelay(time.Second))
 	}
 }
 
 // isStandby reports whether the host ranks itself among the standbys.
-func (h *played) isStandby() bool {
+func (h *simHost) isStandby() bool {
 	return slices.ContainsFunc(h.members.Standbys(), func(s roster.Host) bool { return s.Node == h.self.Node })
 }
 
-// standbys returns how many live hosts rank themselves among the standbys.
-func (f *playedFleet) standbys() int {
+// countStandbys returns the number of live hosts that rank themselves among the standbys.
+func (f *simFleet) countStandbys() int {
 	count := 0
 	for _, h := range f.hosts {
 		if !h.dead && h.isStandby() {
@@ -344,81 +350,83 @@
 	return count
 }
 
-// Guards against most hosts ranking themselves as standbys after a restart of the whole fleet, as each
-// standby polls the lease in the store, and against lost standbys not being replaced.
-func TestFewHostsStandByAfterRestartOfAll(t *testing.T) {
+// Guards against most hosts ranking themselves as standbys after a restart of the whole fleet, as
+// each standby polls the lease in the store, and against lost standbys not being replaced.
+func TestFewStandbysAfterFullRestart(t *testing.T) {
 	const (
-		settled = 4 * time.Second
-		watched = 20 * time.Second
-		// replaced is how long lost standbys take to be replaced: the silence, a digest and two rounds.
-		replaced = playedSilence + 4*time.Second
+		settleTime   = 4 * time.Second
+		observedTime = 20 * time.Second
+		// replaceTime is how long lost standbys take to be replaced: the silence period, a digest
+		// and two rounds.
+		replaceTime = simSilence + 4*time.Second
 	)
 	// Up to 2% of the hosts may have an outdated ranking.
 	maxStandbys := max(6, *fleetHosts/50)
-	f := newPlayedFleet(*fleetHosts, 1)
-	f.play(10 * time.Second)
-	if got := f.standbys(); got == 0 || got > maxStandbys {
-		t.Errorf("quiet fleet: got %d standbys, want 1 to %d", got, maxStandbys)
+	f := newSimFleet(*fleetHosts, 1)
+	f.advance(10 * time.Second)
+	if got := f.countStandbys(); got == 0 || got > maxStandbys {
+		t.Errorf("fleet without losses: got %d standbys, want 1 to %d", got, maxStandbys)
 	}
 	f.restartAll()
-	f.play(time.Second)
+	f.advance(time.Second)
 	for _, h := range f.hosts {
-		h.self.StartedAt = time.Minute + f.after(2*time.Second).Truncate(time.Second)
+		h.self.StartedAt = time.Minute + f.randomDelay(2*time.Second).Truncate(time.Second)
 	}
-	f.play(settled - time.Second)
+	f.advance(settleTime - time.Second)
 	highest, lowest := 0, len(f.hosts)
-	for end := f.now.Add(watched); f.now.Before(end); {
-		f.play(500 * time.Millisecond)
-		got := f.standbys()
+	for end := f.now.Add(observedTime); f.now.Before(end); {
+		f.advance(500 * time.Millisecond)
+		got := f.countStandbys()
 		highest, lowest = max(highest, got), min(lowest, got)
 	}
 	t.Logf("%d hosts: %d to %d standbys after the restart", len(f.hosts), lowest, highest)
 	if highest > maxStandbys || lowest == 0 {
-		t.Errorf("%v after the restart and later: got %d to %d standbys, want 1 to %d", settled, lowest, highest, maxStandbys)
+		t.Errorf("%v after the restart and later: got %d to %d standbys, want 1 to %d", settleTime, lowest, highest, maxStandbys)
 	}
-	f.kill(func(h *played) bool { return h.isStandby() })
-	f.play(replaced)
-	if got := f.standbys(); got == 0 || got > maxStandbys {
-		t.Errorf("%v after the standbys were killed: got %d standbys, want 1 to %d", replaced, got, maxStandbys)
+	f.kill(func(h *simHost) bool { return h.isStandby() })
+	f.advance(replaceTime)
+	if got := f.countStandbys(); got == 0 || got > maxStandbys {
+		t.Errorf("%v after the standbys were killed: got %d standbys, want 1 to %d", replaceTime, got, maxStandbys)
 	}
 }
 
-// Guards against hosts that again and again leave live aggregators for lost ones, so that the
-// advertised hosts change every few seconds.
-func TestHostsAgreeAfterLosses(t *testing.T) { playLosses(t, 1, 2, 3, 4) }
+// Guards against hosts that repeatedly switch from live aggregators back to lost ones, which
+// makes the advertised hosts change every few seconds.
+func TestHostsAgreeAfterLosses(t *testing.T) { checkLosses(t, 1, 2, 3, 4) }
 
 // Guards against hosts disagreeing on whether the fleet has levels after it has shrunk below the
 // size from which levels are used.
-func TestHostsAgreeNearLevelThreshold(t *testing.T) { playLosses(t, 12) }
+func TestHostsAgreeNearLevelThreshold(t *testing.T) { checkLosses(t, 12) }
 
-// Guards against more than 2% of the hosts advertising a different set than the others for some seconds.
-func TestFewHostsAdvertiseAnotherSet(t *testing.T) { playLosses(t, 29, 30) }
+// Guards against more than 2% of the hosts advertising a different set than the others for some
+// seconds.
+func TestFewHostsAdvertiseAnotherSet(t *testing.T) { checkLosses(t, 29, 30) }
 
-func playLosses(t *testing.T, seeds ...uint64) {
+func checkLosses(t *testing.T, seeds ...uint64) {
 	t.Helper()
 	const (
-		agreed  = 25 * time.Second
-		watched = 25 * time.Second
+		settleTime   = 25 * time.Second
+		observedTime = 25 * time.Second
 	)
 	for _, seed := range seeds {
-		f := newPlayedFleet(*fleetHosts, seed)
-		f.play(10 * time.Second)
-		for _, which := range []func(*played) bool{
-			func(h *played) bool { return h.self.DataCenter == "dc1" },
-			func(*played) bool { return f.random.IntN(3) == 0 },
-			func(h *played) bool { return h.members.InCore(h.self.Node) },
+		f := newSimFleet(*fleetHosts, seed)
+		f.advance(10 * time.Second)
+		for _, matches := range []func(*simHost) bool{
+			func(h *simHost) bool { return h.self.DataCenter == "dc1" },
+			func(*simHost) bool { return f.random.IntN(3) == 0 },
+			func(h *simHost) bool { return h.members.InCore(h.self.Node) },
 		} {
-			f.kill(which)
-			f.play(16 * time.Second)
+			f.kill(matches)
+			f.advance(16 * time.Second)
 		}
-		f.play(agreed - 16*time.Second)
+		f.advance(settleTime - 16*time.Second)
 		worst := 0
-		for end := f.now.Add(watched); f.now.Before(end); {
-			f.play(time.Second)
-			worst = max(worst, f.apart())
+		for end := f.now.Add(observedTime); f.now.Before(end); {
+			f.advance(time.Second)
+			worst = max(worst, f.countDisagreeing())
 		}
-		if few := *fleetHosts / 50; worst > few {
-			t.Errorf("seed %d, from %v after the last loss: got up to %d hosts that advertise a different set than most, want at most %d", seed, agreed, worst, few)
+		if tolerated := *fleetHosts / 50; worst > tolerated {
+			t.Errorf("seed %d, from %v after the last loss: got up to %d hosts that advertise a different set than most, want at most %d", seed, settleTime, worst, tolerated)
 		}
 	}
 }
--- a/pkg/gossip/teams.go
+++ b/pkg/gossip/teams.go
@@ -9,106 +9,108 @@
 	"ironhollow/pkg/roster"
 )
 
-// Parameters of figures of teams that do not fit one datagram.
+// Parameters for team statistics that do not fit in one datagram.
 const (
-	// repeatFor is how long a changed figure is sent in each round: several datagrams in a row may
-	// be lost.
-	repeatFor = 1500 * time.Millisecond
-	// inTurn is how many unchanged figures are sent in a round after the changed ones: new hosts
-	// have none.
-	inTurn = 12
-	// maxFigures bounds the figures of a kind in a round.
-	maxFigures = 160
+	// resendDuration is how long a changed value is sent in each round, as several consecutive
+	// datagrams may be lost.
+	resendDuration = 1500 * time.Millisecond
+	// maxUnchanged is the number of unchanged values sent in a round after the changed ones, for
+	// new hosts that have none.
+	maxUnchanged = 12
+	// maxPerRound bounds the values of each kind sent in a round.
+	maxPerRound = 160
 )
 
-// teamFigures chooses which limits and counts are sent in a round. One goroutine uses it.
-type teamFigures struct {
-	spent  turns[string, float64]
-	counts turns[countKey, int]
+// teamStatsSelector selects the team usage and request counts to send in a round. It is not safe
+// for concurrent use.
+type teamStatsSelector struct {
+	usage  rotation[string, float64]
+	counts rotation[countKey, int]
 }
 
-// countKey names a count.
+// countKey identifies a request count.
 type countKey struct {
 	window int64
 	team   string
 }
 
-func newTeamFigures() *teamFigures {
-	return &teamFigures{spent: newTurns[string, float64](), counts: newTurns[countKey, int]()}
+func newTeamStatsSelector() *teamStatsSelector {
+	return &teamStatsSelector{usage: newRotation[string, float64](), counts: newRotation[countKey, int]()}
 }
 
-// pick returns the figures to send in this round.
-func (f *teamFigures) pick(update Update, now time.Time) ([]limit.TeamUsage, []roster.RequestCount) {
-	spent := make([]limit.TeamUsage, 0, maxFigures)
-	f.spent.round(len(update.TeamUsage), now, func(i int) (string, float64) { return update.TeamUsage[i].Team, update.TeamUsage[i].Admitted },
-		func(i int) { spent = append(spent, update.TeamUsage[i]) })
-	counts := make([]roster.RequestCount, 0, maxFigures)
-	f.counts.round(len(update.Counts), now, func(i int) (countKey, int) {
+// pick returns the values to send in this round.
+func (s *teamStatsSelector) pick(update Update, now time.Time) ([]limit.TeamUsage, []roster.RequestCount) {
+	usage := make([]limit.TeamUsage, 0, maxPerRound)
+	s.usage.selectRound(len(update.TeamUsage), now, func(i int) (string, float64) { return update.TeamUsage[i].Team, update.TeamUsage[i].Admitted },
+		func(i int) { usage = append(usage, update.TeamUsage[i]) })
+	counts := make([]roster.RequestCount, 0, maxPerRound)
+	s.counts.selectRound(len(update.Counts), now, func(i int) (countKey, int) {
 		c := update.Counts[i]
 		return countKey{c.Window, c.Team}, c.Started
 	}, func(i int) { counts = append(counts, update.Counts[i]) })
-	return spent, counts
+	return usage, counts
 }
 
-// turns chooses among named figures: those that changed recently, and some others in turn.
-type turns[K comparable, V comparable] struct {
-	known map[K]figure[V]
-	// next is where the turn among the unchanged goes on.
+// rotation selects keyed values: those that changed recently, and some of the others in turn.
+type rotation[K comparable, V comparable] struct {
+	tracked map[K]trackedValue[V]
+	// next is the index from which unchanged values are sent next.
 	next int
 }
 
-// figure is one as it was last seen.
-type figure[V comparable] struct {
+// trackedValue is a value and the time of its last change.
+type trackedValue[V comparable] struct {
 	value     V
 	changedAt time.Time
 }
 
-func newTurns[K comparable, V comparable]() turns[K, V] {
-	return turns[K, V]{known: map[K]figure[V]{}}
+func newRotation[K comparable, V comparable]() rotation[K, V] {
+	return rotation[K, V]{tracked: map[K]trackedValue[V]{}}
 }
 
-// round calls send for those of count figures that are sent in a round. The changed ones come
-// first, from where the turn is, so that no bound leaves out the same for ever.
-func (t *turns[K, V]) round(count int, now time.Time, at func(int) (K, V), send func(int)) {
+// selectRound calls send for those of count values that are sent in this round: all changed ones
+// and up to maxUnchanged others, at most maxPerRound in all. It starts at the rotation's next
+// index, so that the bound does not always skip the same values.
+func (r *rotation[K, V]) selectRound(count int, now time.Time, at func(int) (K, V), send func(int)) {
 	if count == 0 {
 		return
 	}
-	first := t.next % count
-	known := make(map[K]figure[V], count)
+	first := r.next % count
+	tracked := make(map[K]trackedValue[V], count)
 	sent, unchanged := 0, 0
 	for step := range count {
 		i := (first + step) % count
 		key, value := at(i)
-		seen, ok := t.known[key]
-		if !ok || seen.value != value {
-			seen = figure[V]{value, now}
+		current, ok := r.tracked[key]
+		if !ok || current.value != value {
+			current = trackedValue[V]{value, now}
 		}
-		known[key] = seen
-		isChanged := now.Sub(seen.changedAt) < repeatFor
+		tracked[key] = current
+		isChanged := now.Sub(current.changedAt) < resendDuration
 		switch {
-		case sent >= maxFigures || !isChanged && unchanged >= inTurn:
+		case sent >= maxPerRound || !isChanged && unchanged >= maxUnchanged:
 			continue
 		case !isChanged:
 			unchanged++
-			t.next = i + 1
+			r.next = i + 1
 		}
 		sent++
 		send(i)
 	}
-	t.known = known
+	r.tracked = tracked
 	if unchanged == 0 {
-		t.next = first + maxFigures
+		r.next = first + maxPerRound
 	}
 }
 
-// teamMessages encodes figures of teams into as many datagrams as they need.
-func teamMessages(incarnation string, spent []limit.TeamUsage, counts []roster.RequestCount) ([][]byte, error) {
-	p := packer{incarnation: incarnation, message: eventMessage{Incarnation: incarnation}}
-	for _, s := range encodeSpent(spent) {
-		p.add(s, func(m *eventMessage) { m.Spent = append(m.Spent, s) })
+// teamMessages encodes team statistics into as many datagrams as needed.
+func teamMessages(incarnation string, usage []limit.TeamUsage, counts []roster.RequestCount) ([][]byte, error) {
+	p := packer{incarnation: incarnation, message: mapMessage{Incarnation: incarnation}}
+	for _, u := range encodeTeamUsage(usage) {
+		p.add(u, func(m *mapMessage) { m.TeamUsage = append(m.TeamUsage, u) })
 	}
 	for _, c := range encodeCounts(counts) {
-		p.add(c, func(m *eventMessage) { m.Counts = append(m.Counts, c) })
+		p.add(c, func(m *mapMessage) { m.Counts = append(m.Counts, c) })
 	}
 	p.flush()
 	return p.messages, p.err
@@ -117,32 +119,32 @@
 // packer fills datagrams one after the other.
 type packer struct {
 	incarnation string
-	message     eventMessage
-	// size is of the message's items, in bytes.
+	message     mapMessage
+	// size is the encoded size of the message's items in bytes.
 	size     int
 	messages [][]byte
 	err      error
 }
 
-// headBytes is what a datagram holds at most besides its items: an incarnation and the heads of
-// lists.
-const headBytes = 200
+// maxHeaderBytes bounds the size of a datagram without its items: an incarnation and list
+// headers.
+const maxHeaderBytes = 200
 
-// add puts an item into the message, or into the next one where it has no room.
-func (p *packer) add(item any, put func(*eventMessage)) {
+// add adds an item to the message, or to the next one if it does not fit.
+func (p *packer) add(item any, appendTo func(*mapMessage)) {
 	encoded, err := cbor.Marshal(item)
 	if err != nil {
 		p.err = err
 		return
 	}
-	if p.size+len(encoded) > maxBytes-headBytes {
+	if p.size+len(encoded) > maxBytes-maxHeaderBytes {
 		p.flush()
 	}
 	p.size += len(encoded)
-	put(&p.message)
+	appendTo(&p.message)
 }
 
-// flush ends a message that holds something.
+// flush encodes the message if it has items, and starts the next one.
 func (p *packer) flush() {
 	if p.size == 0 {
 		return
@@ -152,38 +154,38 @@
 		p.err = err
 	}
 	p.messages = append(p.messages, data)
-	p.message = eventMessage{Incarnation: p.incarnation}
+	p.message = mapMessage{Incarnation: p.incarnation}
 	p.size = 0
 }
 
-func encodeSpent(list []limit.TeamUsage) []spent {
-	encoded := make([]spent, 0, len(list))
-	for _, l := range list {
-		encoded = append(encoded, spent{Team: l.Team, Admitted: int64(l.Admitted), Asked: float32(l.RequestedRate), Held: int64(l.Available), Settled: l.Synced})
+func encodeTeamUsage(list []limit.TeamUsage) []wireTeamUsage {
+	encoded := make([]wireTeamUsage, 0, len(list))
+	for _, u := range list {
+		encoded = append(encoded, wireTeamUsage{Team: u.Team, Admitted: int64(u.Admitted), RequestedRate: float32(u.RequestedRate), Available: int64(u.Available), Synced: u.Synced})
 	}
 	return encoded
 }
 
-func decodeSpent(list []spent) []limit.TeamUsage {
+func decodeTeamUsage(list []wireTeamUsage) []limit.TeamUsage {
 	var decoded []limit.TeamUsage
-	for _, l := range list {
-		decoded = append(decoded, limit.TeamUsage{Team: l.Team, Admitted: float64(l.Admitted), RequestedRate: float64(l.Asked), Available: float64(l.Held), Synced: l.Settled})
+	for _, u := range list {
+		decoded = append(decoded, limit.TeamUsage{Team: u.Team, Admitted: float64(u.Admitted), RequestedRate: float64(u.RequestedRate), Available: float64(u.Available), Synced: u.Synced})
 	}
 	return decoded
 }
 
-func encodeCounts(list []roster.RequestCount) []count {
-	encoded := make([]count, 0, len(list))
+func encodeCounts(list []roster.RequestCount) []wireRequestCount {
+	encoded := make([]wireRequestCount, 0, len(list))
 	for _, c := range list {
-		encoded = append(encoded, count{Window: c.Window, Team: c.Team, Begun: c.Started})
+		encoded = append(encoded, wireRequestCount{Window: c.Window, Team: c.Team, Started: c.Started})
 	}
 	return encoded
 }
 
-func decodeCounts(list []count) []roster.RequestCount {
+func decodeCounts(list []wireRequestCount) []roster.RequestCount {
 	var decoded []roster.RequestCount
 	for _, c := range list {
-		decoded = append(decoded, roster.RequestCount{Window: c.Window, Team: c.Team, Started: c.Begun})
+		decoded = append(decoded, roster.RequestCount{Window: c.Window, Team: c.Team, Started: c.Started})
 	}
 	return decoded
 }
--- a/pkg/gossip/urgent.go
+++ b/pkg/gossip/urgent.go
@@ -9,31 +9,34 @@
 	"ironhollow/pkg/roster"
 )
 
-// urgentPause is the least time between two brief rounds for each recipient: at most 600 brief
-// datagrams a second leave a host.
-const urgentPause = time.Second / 600
+// urgentIntervalPerPeer is the minimum interval between two brief rounds for each recipient. It
+// limits a host to 600 brief datagrams per second.
+const urgentIntervalPerPeer = time.Second / 600
 
-// UrgentInterval is the least time between two brief rounds to a number of hosts.
-func UrgentInterval(hosts int) time.Duration { return urgentPause * time.Duration(max(hosts, 1)) }
+// UrgentInterval returns the minimum interval between two brief rounds to a number of hosts.
+func UrgentInterval(hosts int) time.Duration {
+	return urgentIntervalPerPeer * time.Duration(max(hosts, 1))
+}
 
-// SendUrgent sends the state of single endpoints to the hosts that share this one's callers as
-// it changes, until ctx ends; own returns what is under way at them. Between two rounds several
-// hosts would choose the endpoint whose queue one of them has just filled.
-func (e *Exchange) SendUrgent(ctx context.Context, urgent <-chan string, own func(endpoints []string) Update) {
+// SendUrgent sends load changes of single endpoints to the hosts that share this one's callers as
+// they occur, until ctx ends. updateFor returns the current load of the given endpoints. Otherwise,
+// between two full rounds, several hosts would choose an endpoint whose queue one of them has
+// just filled.
+func (e *Exchange) SendUrgent(ctx context.Context, urgent <-chan string, updateFor func(endpoints []string) Update) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-urgent:
 			endpoints := drain(urgent, []string{first})
-			near := e.roster.Recipients(e.self, roster.Activity{}, e.now()).Frequent
-			e.sendBrief(own(endpoints), near)
-			pause.For(ctx, UrgentInterval(len(near)))
+			peers := e.roster.Recipients(e.self, roster.Activity{}, e.now()).Frequent
+			e.sendBrief(updateFor(endpoints), peers)
+			pause.For(ctx, UrgentInterval(len(peers)))
 		}
 	}
 }
 
-// drain adds what waits in a channel, each once.
+// drain appends the endpoints waiting in a channel, without duplicates.
 func drain(urgent <-chan string, endpoints []string) []string {
 	for {
 		select {
@@ -47,13 +50,13 @@
 	}
 }
 
-// SendRollouts sends words or reports of roll-outs at once: to one host, or to all that are
-// known where to is empty.
+// SendRollouts sends roll-out directives or reports immediately: to one host, or to all known
+// hosts if the address is empty.
 func (e *Exchange) SendRollouts(data []byte, to string) {
 	peers := []string{to}
 	if to == "" {
-		near, far := e.roster.PeerAddresses(e.self)
-		peers = append(near, far...)
+		frequent, infrequent := e.roster.PeerAddresses(e.self)
+		peers = append(frequent, infrequent...)
 	}
 	host := roster.Host{Incarnation: e.self.Incarnation, PeerAddress: e.self.PeerAddress}
 	e.sendBrief(Update{Status: roster.Status{Host: host}, Rollouts: data}, peers)
@@ -67,5 +70,5 @@
 		return
 	}
 	e.write(data, peers)
-	e.sendEvents(update, peers)
+	e.sendCasesAndNotices(update, peers)
 }
--- a/pkg/gossip/urgent_test.go
+++ b/pkg/gossip/urgent_test.go
@@ -9,8 +9,8 @@
 	"ironhollow/pkg/roster"
 )
 
-// Endpoints that come together are sent in one brief datagram, each once, long before the next
-// full round.
+// Endpoints that change at the same time are sent in one brief datagram, without duplicates, long
+// before the next full round.
 func TestSingleEndpointsAreSentAtOnce(t *testing.T) {
 	other := listen(t, roster.Host{Incarnation: "other", Node: "other"})
 	self := roster.Host{Incarnation: "self", Node: "self"}
@@ -18,7 +18,7 @@
 	members.NoteStoreResponse(time.Now())
 	members.Merge(roster.Row{Host: self, Sequence: 1}, time.Now())
 	members.Merge(roster.Row{Host: other.host, Sequence: 1}, time.Now())
-	e, err := gossip.Listen(freeAddress(t), self, members, func() gossip.Update { return gossip.Update{} }, func(gossip.Update) {}, time.Now, quiet())
+	e, err := gossip.Listen(freeAddress(t), self, members, func() gossip.Update { return gossip.Update{} }, func(gossip.Update) {}, time.Now, discardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,11 +29,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), arrivalTime)
 	defer cancel()
 	go e.SendUrgent(ctx, urgent, func(endpoints []string) gossip.Update {
-		told := gossip.Update{}
+		update := gossip.Update{}
 		for _, id := range endpoints {
-			told.Loads = append(told.Loads, roster.Load{Endpoint: id, PrefillTokens: 7})
+			update.Loads = append(update.Loads, roster.Load{Endpoint: id, PrefillTokens: 7})
 		}
-		return told
+		return update
 	})
 	for other.count() == 0 && ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
@@ -41,6 +41,6 @@
 	other.mu.Lock()
 	defer other.mu.Unlock()
 	if len(other.got) != 1 || !other.got[0].Brief || len(other.got[0].Loads) != 2 {
-		t.Errorf("datagrams: got %+v, want one brief one of e1 and e2", other.got)
+		t.Errorf("datagrams: got %+v, want a single brief one with e1 and e2", other.got)
 	}
 }
