--- a/pkg/gossip/digest.go
+++ b/pkg/gossip/digest.go
@@ -16,7 +16,7 @@
 // mostSharing bounds what is taken for the number of hosts: pauses grow with it.
 const maxSharing = 100_000
 
-// toldAlive is a roster.Alive.
+// toldAlive is a roster.LiveHost.
 type wireAlive struct {
 	_          struct{} `cbor:",toarray"`
 	Hash       uint32
--- a/pkg/roster/advertised.go
+++ b/pkg/roster/advertised.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// AdvertisedHost is an entry host that serves.
+// AdvertisedHost is an entry host whose address is given to callers.
 type AdvertisedHost struct {
 	Node, DataCenter, CallerAddress string
 }
 
-// Parameters of the hosts that are advertised to callers. In a large fleet a few take all
-// callers: they reuse connections to endpoints before these time out, and few hosts have to
-// agree on loads and limits.
+// Parameters of the set of hosts that are advertised to callers. In a large fleet a few hosts serve
+// all callers: they reuse connections to endpoints before these time out, and only a few hosts have
+// to agree on loads and limits.
 const (
-	// smallFleet is the number of hosts below which all are advertised.
-	smallFleet = 24
-	// advertisedPart is the part of the fleet's cores that is advertised at most.
-	advertisedPart = 0.25
-	// leastAdvertised is the cores that are advertised at least, in thousandths of a core, where
-	// advertisedPart of the fleet's is more: each further host exchanges loads, limits and
-	// placements with all others.
-	leastAdvertised = 24_000
-	// requestWork is what one request a second takes, in thousandths of a core, with a reserve
-	// for hosts that run several times slower.
-	requestWork = 10
-	// advertisedStep is by how much the cores grow with the requests at a time, so that hosts with
-	// slightly different counts advertise the same hosts.
-	advertisedStep = 1.5
-	// advertisedEach is how many hosts of a data centre are advertised at least.
-	advertisedEach = 2
-	// advertisedShare is the part of bounds on all hosts together that the advertised ones have; the
-	// others serve callers with old answers.
-	advertisedShare = 0.8
+	// advertiseAllBelow is the number of hosts below which all are advertised.
+	advertiseAllBelow = 24
+	// maxAdvertisedFraction is the largest fraction of the fleet's cores that is advertised.
+	maxAdvertisedFraction = 0.25
+	// minAdvertisedMillicores is the minimum of advertised cores, in thousandths of a core, unless
+	// maxAdvertisedFraction of the fleet is less. It is kept low because each further host
+	// exchanges loads, limits and placements with all others.
+	minAdvertisedMillicores = 24_000
+	// millicoresPerRequest is what one request per second needs, in thousandths of a core, with a
+	// reserve for hosts that run several times slower.
+	millicoresPerRequest = 10
+	// advertisedGrowthFactor is the factor between the steps in which the advertised cores grow
+	// with the request rate. Steps let hosts with slightly different rates advertise the same
+	// hosts.
+	advertisedGrowthFactor = 1.5
+	// minAdvertisedPerDataCenter is the minimum number of advertised hosts per data centre.
+	minAdvertisedPerDataCenter = 2
+	// advertisedLimitShare is the fraction of a fleet-wide limit that all advertised hosts have
+	// together. The other hosts have the rest, as they still serve callers with outdated addresses.
+	advertisedLimitShare = 0.8
 )
 
-// AdvertisedHosts returns the advertised hosts, by name.
+// AdvertisedHosts returns the advertised hosts, sorted by name.
 func (r *Roster) AdvertisedHosts() []AdvertisedHost {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,14 +57,14 @@
 	return slices.ContainsFunc(r.advertised(), func(m *member) bool { return m.row.Node == node })
 }
 
-// Advertised returns how many hosts are advertised, at least 1.
+// Advertised returns the number of advertised hosts, at least 1.
 func (r *Roster) Advertised() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return max(len(r.advertised()), 1)
 }
 
-// LimitShare returns the part of a bound on all hosts together that a host may use.
+// LimitShare returns the fraction of a fleet-wide limit that a host may use.
 func (r *Roster) LimitShare(node string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,93 +74,95 @@
 	case others <= 0:
 		return 1 / float64(max(len(advertised), 1))
 	case slices.ContainsFunc(advertised, func(m *member) bool { return m.row.Node == node }):
-		return advertisedShare / float64(len(advertised))
+		return advertisedLimitShare / float64(len(advertised))
 	default:
-		return (1 - advertisedShare) / float64(others)
+		return (1 - advertisedLimitShare) / float64(others)
 	}
 }
 
-// rankedFor is how long the advertised hosts are kept: they are asked for with each request.
-const rankedFor = 100 * time.Millisecond
+// cacheTTL is how long results derived from the members are cached. The advertised hosts, for
+// example, are needed for each request.
+const cacheTTL = 100 * time.Millisecond
 
-// advertised returns the hosts that are advertised to callers. The lock is held.
+// advertised returns the hosts that are advertised to callers. The caller must hold r.mu.
 func (r *Roster) advertised() []*member {
-	if r.advertisedHosts == nil || r.seenAt.Sub(r.rankedAt) >= rankedFor {
-		r.advertisedHosts, r.rankedAt = r.rank(), r.seenAt
-		r.coreOf = nil
+	if r.advertisedHosts == nil || r.lastReceivedAt.Sub(r.rankedAt) >= cacheTTL {
+		r.advertisedHosts, r.rankedAt = r.selectAdvertised(), r.lastReceivedAt
+		r.coreByNode = nil
 	}
 	return r.advertisedHosts
 }
 
-// rank picks the hosts to advertise: all of a small fleet, the largest of each data centre and
-// of all of a large one. The lock is held.
-func (r *Roster) rank() []*member {
+// selectAdvertised selects the hosts to advertise: all hosts of a small fleet, and in a large fleet
+// the largest hosts of each data centre and of the whole fleet. The caller must hold r.mu.
+func (r *Roster) selectAdvertised() []*member {
 	if advertised := r.advertisedByDigest(); len(advertised) > 0 {
 		return advertised
 	}
 	var ranked []*member
-	all := 0
+	totalMillicores := 0
 	for _, m := range r.live() {
-		// A host that was not seen for the silence is not advertised, however rarely it sends:
-		// callers must not be sent to a host that has ended.
-		silence := r.silence
-		if m.aliveAt.After(m.statusAt) {
-			silence += digestDelay
+		// A host that was not seen for silenceTimeout is not advertised, however rarely it sends:
+		// callers must not be sent to a host that has stopped.
+		timeout := r.silenceTimeout
+		if m.peerSeenAt.After(m.statusAt) {
+			timeout += maxDigestDelay
 		}
-		if !m.row.Leaving && r.seenAt.Sub(m.seenAt()) <= silence {
+		if !m.row.Leaving && r.lastReceivedAt.Sub(m.seenAt()) <= timeout {
 			ranked = append(ranked, m)
-			all += m.size()
+			totalMillicores += m.size()
 		}
 	}
-	if len(ranked) < smallFleet {
+	if len(ranked) < advertiseAllBelow {
 		return ranked
 	}
 	slices.SortFunc(ranked, compareSize)
 	var advertised []*member
-	each := map[string]int{}
-	sum := 0
+	perDataCenter := map[string]int{}
+	selectedMillicores := 0
 	for _, m := range ranked {
-		if each[m.row.DataCenter] < advertisedEach {
-			each[m.row.DataCenter]++
-			sum += m.size()
+		if perDataCenter[m.row.DataCenter] < minAdvertisedPerDataCenter {
+			perDataCenter[m.row.DataCenter]++
+			selectedMillicores += m.size()
 			advertised = append(advertised, m)
 		}
 	}
-	wanted := min(advertisedPart*float64(all), r.wanted())
+	targetMillicores := min(maxAdvertisedFraction*float64(totalMillicores), r.requiredMillicores())
 	for _, m := range ranked {
-		if float64(sum) >= wanted {
+		if float64(selectedMillicores) >= targetMillicores {
 			break
 		}
 		if !slices.Contains(advertised, m) {
-			sum += m.size()
+			selectedMillicores += m.size()
 			advertised = append(advertised, m)
 		}
 	}
 	return advertised
 }
 
-// wanted is the cores that the requests ask for, in thousandths. The lock is held.
-func (r *Roster) wanted() float64 {
-	cores := float64(leastAdvertised)
-	for cores < requestWork*r.requests {
-		cores *= advertisedStep
+// requiredMillicores returns the cores that the request rate requires, in thousandths of a core.
+// The caller must hold r.mu.
+func (r *Roster) requiredMillicores() float64 {
+	millicores := float64(minAdvertisedMillicores)
+	for millicores < millicoresPerRequest*r.requestRate {
+		millicores *= advertisedGrowthFactor
 	}
-	return cores
+	return millicores
 }
 
-// SetRequestRate sets how many requests a second recently began over all hosts.
+// SetRequestRate sets the number of requests per second that recently started on all hosts.
 func (r *Roster) SetRequestRate(rate float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.requests = rate
+	r.requestRate = rate
 }
 
-// standbys is how many hosts watch the lease of the duties: two may be lost at
-// once.
-const standbys = 3
+// standbyCount is the number of hosts that watch the lease of the duties: two may be lost at once.
+const standbyCount = 3
 
-// Standbys returns the hosts that watch the lease of the duties: those that have served for
-// longest and so have received the others' counts, preferably without callers.
+// Standbys returns the hosts that watch the lease of the duties. They are the hosts that have run
+// longest and so have received the others' counts; of equally old hosts, those that are not
+// advertised come first.
 func (r *Roster) Standbys() []Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +173,7 @@
 	return hosts
 }
 
-// standbys is Standbys for a caller that holds the lock.
+// standbys implements Standbys. The caller must hold r.mu.
 func (r *Roster) standbys() []*member {
 	advertised := map[*member]bool{}
 	for _, m := range r.advertised() {
@@ -180,22 +183,22 @@
 	compare := func(a, b *member) int {
 		return cmp.Or(compareBool(a.row.StartedAt == 0, b.row.StartedAt == 0), cmp.Compare(a.row.StartedAt, b.row.StartedAt), compareBool(advertised[a], advertised[b]), cmp.Compare(a.row.Node, b.row.Node))
 	}
-	var first []*member
+	var oldest []*member
 	outsideCore := r.isOutsideCore()
 	for _, m := range r.live() {
 		if m.row.Leaving || outsideCore && m.row.Incarnation == r.selfIncarnation {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(first, m, compare)
-		if at < standbys {
-			first = slices.Insert(first, at, m)
-			first = first[:min(standbys, len(first))]
+		index, _ := slices.BinarySearchFunc(oldest, m, compare)
+		if index < standbyCount {
+			oldest = slices.Insert(oldest, index, m)
+			oldest = oldest[:min(standbyCount, len(oldest))]
 		}
 	}
-	return first
+	return oldest
 }
 
-// compareBool puts false first.
+// compareBool orders false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -207,46 +210,46 @@
 	}
 }
 
-// PeerAddresses returns the addresses for datagrams of the other hosts, also of silent ones: a new
-// process may answer there. Near are those that share the callers with this host or keep what
-// it counts, far all others.
-func (r *Roster) PeerAddresses(self Host) (near, far []string) {
+// PeerAddresses returns the datagram addresses of the other hosts, including silent ones, where a
+// new process may respond. The frequent addresses are those of hosts that, like this one, are
+// advertised or standbys; all others are infrequent.
+func (r *Roster) PeerAddresses(self Host) (frequent, infrequent []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.peers(self)
+	return r.peerAddresses(self)
 }
 
-// peers is Peers for a caller that holds the lock.
-func (r *Roster) peers(self Host) (near, far []string) {
-	group := map[string]bool{}
+// peerAddresses implements PeerAddresses. The caller must hold r.mu.
+func (r *Roster) peerAddresses(self Host) (frequent, infrequent []string) {
+	frequentNodes := map[string]bool{}
 	for _, m := range append(r.standbys(), r.advertised()...) {
-		group[m.row.Node] = true
+		frequentNodes[m.row.Node] = true
 	}
-	for _, m := range r.sharing() {
+	for _, m := range r.possibleHosts() {
 		if m.row.Incarnation == self.Incarnation || m.row.PeerAddress == "" {
 			continue
 		}
-		if group[self.Node] && group[m.row.Node] {
-			near = append(near, m.row.PeerAddress)
+		if frequentNodes[self.Node] && frequentNodes[m.row.Node] {
+			frequent = append(frequent, m.row.PeerAddress)
 			continue
 		}
-		far = append(far, m.row.PeerAddress)
+		infrequent = append(infrequent, m.row.PeerAddress)
 	}
-	return near, far
+	return frequent, infrequent
 }
 
-// compareSize puts the largest hosts first.
+// compareSize orders members like compareHosts.
 func compareSize(a, b *member) int { return compareHosts(a.row.Host, b.row.Host) }
 
-// compareHosts is compareSize of hosts.
+// compareHosts orders hosts from the largest to the smallest, and hosts of equal size by name.
 func compareHosts(a, b Host) int {
 	return cmp.Or(cmp.Compare(b.size(), a.size()), cmp.Compare(a.Node, b.Node))
 }
 
 func compareNames(a, b *member) int { return cmp.Compare(a.row.Node, b.row.Node) }
 
-// size is the process's processor share in thousandths of a core; hosts of
-// unknown size count alike.
+// size returns the process's processor share in thousandths of a core. Hosts whose share is unknown
+// count as one core.
 func (h Host) size() int {
 	if h.Millicores <= 0 {
 		return 1000
@@ -256,20 +259,20 @@
 
 func (m *member) size() int { return m.row.size() }
 
-// Relays returns the hosts of a data centre that follow the store for the others:
-// the largest few.
-func (r *Roster) Relays(dataCenter string, most int) []Host {
+// Relays returns the hosts of a data centre that read the store for the others: the largest ones,
+// maxCount at most.
+func (r *Roster) Relays(dataCenter string, maxCount int) []Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ranked := r.largest(dataCenter)
 	var hosts []Host
-	for _, m := range ranked[:min(most, len(ranked))] {
+	for _, m := range ranked[:min(maxCount, len(ranked))] {
 		hosts = append(hosts, m.row.Host)
 	}
 	return hosts
 }
 
-// DataCenters returns the data centres that have hosts, by name.
+// DataCenters returns the data centres that have live hosts, sorted by name.
 func (r *Roster) DataCenters() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/roster/digest.go
+++ b/pkg/roster/digest.go
@@ -7,14 +7,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// LiveHost says that a process is alive, in few bytes.
+// LiveHost reports in a few bytes that a process is alive.
 type LiveHost struct {
-	// Hash is of its incarnation.
+	// Hash is the hash of its incarnation.
 	Hash uint32
-	// Age is how long ago it was last seen.
+	// Age is the time since it was last seen.
 	Age     time.Duration
 	Leaving bool
-	// Advertised says that callers are given its address.
+	// Advertised reports whether callers are given its address.
 	Advertised bool
 }
 
@@ -23,46 +23,47 @@
 
 // Digest is the part of the membership that an aggregator sends.
 type Digest struct {
-	// LiveHosts are processes that it has seen.
+	// LiveHosts are the processes that it has seen recently.
 	LiveHosts []LiveHost
-	// Hosts are some of them in full, for receivers that do not know them.
+	// Hosts describes some hosts in full, for receivers that do not know them.
 	Hosts []Host
-	// RequestRate is how many a second recently began over all hosts, 0 for not known.
+	// RequestRate is the number of requests per second that recently started on all hosts, 0 if
+	// unknown.
 	RequestRate float64
-	// HostCount is how many hosts may serve, 0 for not known.
+	// HostCount is the number of hosts that may serve, 0 if unknown.
 	HostCount int
 }
 
-// Parameters of digests.
+// Limits of a digest.
 const (
-	// maxAlive and maxHosts bound a digest to what a datagram holds.
-	maxAlive = 90
-	maxHosts = 6
+	// maxLiveHosts and maxFullHosts keep a digest small enough for one datagram.
+	maxLiveHosts = 90
+	maxFullHosts = 6
 )
 
-// CoreDigests returns what an aggregator sends its subscribers in a round: the core, and some
-// others of the data centre, from which they choose the next aggregators if both are lost.
+// CoreDigests returns what an aggregator sends its subscribers in a round: the core, and some other
+// hosts of its data centre, from which they choose the next aggregators if both aggregators are lost.
 func (r *Roster) CoreDigests(self Host, round int, now time.Time) []Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	core := r.core()
 	advertised := r.advertised()
-	members := append(sorted(core), r.candidates(self, core, round)...)
+	members := append(sortedByName(core), r.candidates(self, core, round)...)
 	var list []Digest
-	for chunk := range slices.Chunk(members, maxAlive) {
-		// The candidates come last: others in each round, so that they go in full.
-		hosts := append(inTurn(chunk, round, maxHosts/2), hostsOf(chunk[max(len(chunk)-maxHosts/2, 0):])...)
-		p := Digest{RequestRate: r.requests, HostCount: r.shared(), Hosts: hosts}
+	for chunk := range slices.Chunk(members, maxLiveHosts) {
+		// The candidates are the last members and change in each round. They are described in full.
+		hosts := append(rotatingHosts(chunk, round, maxFullHosts/2), hostsOf(chunk[max(len(chunk)-maxFullHosts/2, 0):])...)
+		digest := Digest{RequestRate: r.requestRate, HostCount: r.hostCount(), Hosts: hosts}
 		for _, m := range chunk {
-			p.LiveHosts = appendAlive(p.LiveHosts, m, now, r.silence, slices.Contains(advertised, m))
+			digest.LiveHosts = appendLiveHost(digest.LiveHosts, m, now, r.silenceTimeout, slices.Contains(advertised, m))
 		}
-		list = append(list, p)
+		list = append(list, digest)
 	}
 	return list
 }
 
-// candidates returns hosts of a host's data centre that are not of the core: the largest,
-// and in turn some of the rest, as all of the largest may be lost. The lock is held.
+// candidates returns hosts of a host's data centre outside the core: the largest ones and, in
+// rotation, some of the rest, as all of the largest may be lost. The caller must hold r.mu.
 func (r *Roster) candidates(self Host, core map[string]*member, round int) []*member {
 	var others []*member
 	for _, m := range r.largest(self.DataCenter) {
@@ -70,8 +71,8 @@
 			others = append(others, m)
 		}
 	}
-	const half = aggregatorsSought / 2
-	if len(others) <= aggregatorsSought {
+	const half = fallbackAggregators / 2
+	if len(others) <= fallbackAggregators {
 		return others
 	}
 	list := slices.Clone(others[:half])
@@ -83,42 +84,42 @@
 }
 
 // DataCenterDigests returns what an aggregator sends the core: the hosts of its data centre that
-// send it datagrams, those in the core too, which other data centres may not know yet.
+// send it datagrams. Hosts of the core are included, as other data centres may not know them yet.
 func (r *Roster) DataCenterDigests(self Host, round int, now time.Time) []Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var followers []*member
+	var senders []*member
 	for _, m := range r.largest(self.DataCenter) {
 		if m.row.Node != self.Node && (now.Sub(m.subscribedAt) < subscriptionTTL || now.Sub(m.statusAt) < subscriptionTTL) {
-			followers = append(followers, m)
+			senders = append(senders, m)
 		}
 	}
 	var list []Digest
-	for chunk := range slices.Chunk(followers, maxAlive) {
-		p := Digest{}
+	for chunk := range slices.Chunk(senders, maxLiveHosts) {
+		digest := Digest{}
 		for _, m := range chunk {
-			p.LiveHosts = appendAlive(p.LiveHosts, m, now, r.silence, false)
+			digest.LiveHosts = appendLiveHost(digest.LiveHosts, m, now, r.silenceTimeout, false)
 		}
-		p.Hosts = inTurn(chunk, round, maxHosts)
-		list = append(list, p)
+		digest.Hosts = rotatingHosts(chunk, round, maxFullHosts)
+		list = append(list, digest)
 	}
 	return list
 }
 
-// appendAlive adds a process that was seen within a time.
-func appendAlive(list []LiveHost, m *member, now time.Time, within time.Duration, advertised bool) []LiveHost {
+// appendLiveHost appends a process to the list if it was seen within maxAge.
+func appendLiveHost(list []LiveHost, m *member, now time.Time, maxAge time.Duration, advertised bool) []LiveHost {
 	age := max(now.Sub(m.seenAt()), 0)
-	if age > within {
+	if age > maxAge {
 		return list
 	}
 	return append(list, LiveHost{Hash: hashOf(m.row.Incarnation), Age: age, Leaving: m.row.Leaving, Advertised: advertised})
 }
 
-// inTurn returns some of the members, others in each round.
-func inTurn(members []*member, round, most int) []Host {
+// rotatingHosts returns maxCount hosts at most, different ones in each round.
+func rotatingHosts(members []*member, round, maxCount int) []Host {
 	var hosts []Host
-	for i := range min(most, len(members)) {
-		hosts = append(hosts, members[(round*most+i)%len(members)].row.Host)
+	for i := range min(maxCount, len(members)) {
+		hosts = append(hosts, members[(round*maxCount+i)%len(members)].row.Host)
 	}
 	return hosts
 }
@@ -131,8 +132,8 @@
 	return hosts
 }
 
-// sorted returns members by the names of their hosts.
-func sorted(members map[string]*member) []*member {
+// sortedByName returns members sorted by the names of their hosts.
+func sortedByName(members map[string]*member) []*member {
 	list := make([]*member, 0, len(members))
 	for _, m := range members {
 		list = append(list, m)
@@ -141,7 +142,7 @@
 	return list
 }
 
-// Subscribe notes that a host subscribes to this one's digests.
+// Subscribe records that a host subscribes to this host's digests.
 func (r *Roster) Subscribe(host Host, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -151,58 +152,58 @@
 		r.add(m)
 	}
 	if host.Leaving {
-		r.leave(m)
+		r.markLeaving(m)
 	}
 	m.subscribedAt = now
-	m.seenByPeer(now)
-	r.seenAt = now
+	m.noteSeenByPeer(now)
+	r.lastReceivedAt = now
 }
 
-// ApplyDigest applies an aggregator's digest.
-func (r *Roster) ApplyDigest(aggregator string, p Digest, now time.Time) {
+// ApplyDigest applies a digest that the process with the incarnation aggregator has sent.
+func (r *Roster) ApplyDigest(aggregator string, digest Digest, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m, ok := r.members[aggregator]; ok {
 		m.digestAt = now
 	}
-	for _, host := range p.Hosts {
+	for _, host := range digest.Hosts {
 		m, ok := r.members[host.Incarnation]
 		if ok {
-			r.setUnknownSince(m, host.StartedAt)
+			r.setMissingStartTime(m, host.StartedAt)
 		} else if host.Incarnation != "" && host.Node != "" {
 			r.add(&member{row: Row{Host: host}})
 		}
 	}
-	for _, alive := range p.LiveHosts {
-		m, ok := r.members[r.byHash[alive.Hash]]
+	for _, live := range digest.LiveHosts {
+		m, ok := r.members[r.byHash[live.Hash]]
 		if !ok {
 			continue
 		}
-		if alive.Leaving {
-			r.leave(m)
+		if live.Leaving {
+			r.markLeaving(m)
 		}
-		if alive.Advertised {
+		if live.Advertised {
 			m.advertisedAt, r.advertisedAt = now, now
-			r.changed()
+			r.invalidateCaches()
 		}
-		m.seenByPeer(now.Add(-alive.Age))
+		m.noteSeenByPeer(now.Add(-live.Age))
 	}
-	if p.RequestRate > 0 {
-		r.requests = p.RequestRate
+	if digest.RequestRate > 0 {
+		r.requestRate = digest.RequestRate
 	}
-	if p.HostCount > 0 {
-		r.reportedSharing, r.sharingAt = p.HostCount, now
+	if digest.HostCount > 0 {
+		r.reportedHostCount, r.reportedHostCountAt = digest.HostCount, now
 	}
-	r.seenAt, r.digestAt = now, now
+	r.lastReceivedAt, r.digestAt = now, now
 }
 
-// seenByPeer notes when another host last saw the process.
-func (m *member) seenByPeer(at time.Time) {
-	if !at.After(m.aliveAt) {
+// noteSeenByPeer records when another host last saw the process.
+func (m *member) noteSeenByPeer(at time.Time) {
+	if !at.After(m.peerSeenAt) {
 		return
 	}
-	if !m.aliveAt.IsZero() {
-		m.aliveGap = at.Sub(m.aliveAt)
+	if !m.peerSeenAt.IsZero() {
+		m.peerSeenInterval = at.Sub(m.peerSeenAt)
 	}
-	m.aliveAt = at
+	m.peerSeenAt = at
 }
--- a/pkg/roster/levels.go
+++ b/pkg/roster/levels.go
@@ -7,132 +7,138 @@
 )
 
 // In a large fleet hosts do not all exchange datagrams, as their number would grow with the
-// square of the fleet. The core does: the advertised hosts, the standbys for the duties, and
-// the aggregators, the largest hosts of each data centre. Every other host subscribes to the
-// aggregators of its data centre: it sends them heartbeats and receives membership digests.
+// square of the fleet. Only the hosts of the core do: the advertised hosts, the standbys for the
+// duties, and the aggregators, which are the largest hosts of each data centre. Every other host
+// subscribes to the aggregators of its data centre: it sends them heartbeats and receives
+// membership digests.
 
-// Parameters of levels.
+// Parameters of the hierarchy.
 const (
-	// leveledFleet is the number of hosts from which on there are levels.
-	leveledFleet = 128
-	// leveledKept is how long a fleet keeps its levels after so many hosts were last known:
-	// after the loss of the core hosts know few others for a while.
-	leveledKept = time.Minute
-	// aggregatorsEach is how many aggregators a data centre has: one may be lost.
-	aggregatorsEach = 2
-	// aggregatorsSought is how many hosts are asked where none has answered: many may be gone.
-	aggregatorsSought = 8
-	// answerTimeout is how long an aggregator may leave a subscription unanswered.
-	answerTimeout = 2500 * time.Millisecond
-	// skipTime is how long an aggregator that did not answer is skipped.
-	skipTime = 10 * time.Second
-	// subscriptionTTL is how long an aggregator keeps sending digests to a host that subscribed.
+	// minHierarchicalFleet is the number of hosts from which on a fleet is hierarchical.
+	minHierarchicalFleet = 128
+	// hierarchyTTL is how long a fleet stays hierarchical after it was last known to have that many
+	// hosts. After the loss of the core, hosts know few others for a while.
+	hierarchyTTL = time.Minute
+	// aggregatorsPerDataCenter is the number of aggregators of a data centre: one may be lost.
+	aggregatorsPerDataCenter = 2
+	// fallbackAggregators is the number of hosts to subscribe to when no digests are received, as
+	// many hosts may be gone. Aggregators also include that many candidates in their digests.
+	fallbackAggregators = 8
+	// responseTimeout is how long an aggregator may take to respond to a subscription.
+	responseTimeout = 2500 * time.Millisecond
+	// skipDuration is how long an aggregator that did not respond is skipped.
+	skipDuration = 10 * time.Second
+	// subscriptionTTL is how long an aggregator sends digests to a host after its last
+	// subscription.
 	subscriptionTTL = 4 * time.Second
-	// sharingTTL is how long the number of hosts in a digest is used.
-	sharingTTL = 15 * time.Second
-	// digestDelay is how much older a digest may be than a datagram of the host itself.
-	digestDelay = 2 * time.Second
-	// advertisedTTL is how long the advertised hosts of a digest are used: two rounds.
+	// hostCountTTL is how long the number of hosts from a digest is used.
+	hostCountTTL = 15 * time.Second
+	// maxDigestDelay is how much older a digest's information may be than a datagram of the host
+	// itself.
+	maxDigestDelay = 2 * time.Second
+	// advertisedTTL is how long the advertised hosts of a digest are used: two rounds of digests.
 	advertisedTTL = 2200 * time.Millisecond
 )
 
-// Recipients are the hosts to which a host sends datagrams, by address.
+// Recipients are the addresses to which a host sends datagrams.
 type Recipients struct {
-	// Frequent are sent one in every round, Infrequent in few.
+	// Frequent hosts receive a datagram in every round, Infrequent ones in few rounds.
 	Frequent, Infrequent []string
-	// Subscribers are sent digests alone, in few rounds.
+	// Subscribers receive only digests, in few rounds.
 	Subscribers []string
-	// Hierarchical says that Frequent and Infrequent are of one level and not the whole fleet.
+	// Hierarchical reports whether Frequent and Infrequent are hosts of one level rather than of
+	// the whole fleet.
 	Hierarchical bool
-	// Aggregators are those to which this host subscribes, in few rounds.
+	// Aggregators are the hosts to which this host subscribes, in few rounds.
 	Aggregators []string
 }
 
 // Activity is what a host does that determines its recipients.
 type Activity struct {
-	// ServesCallers says that it has recently served callers: one that is not of the core sends what
-	// it admitted and counted to all of the core.
+	// ServesCallers reports whether the host has recently served callers. Such a host
+	// sends its admissions and counts to all of the core, also if it is not in the core itself.
 	ServesCallers bool
-	// HoldsDuties says that it holds the lease of the duties: it receives all counts.
+	// HoldsDuties reports whether the host holds the lease of the duties, whose holder receives all
+	// counts.
 	HoldsDuties bool
 }
 
-// Recipients returns the hosts to which a host sends datagrams now.
-func (r *Roster) Recipients(self Host, does Activity, now time.Time) Recipients {
+// Recipients returns the addresses to which a host currently sends datagrams.
+func (r *Roster) Recipients(self Host, activity Activity, now time.Time) Recipients {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.isLeveled() {
-		near, far := r.peers(self)
-		return Recipients{Frequent: near, Infrequent: far}
+	if !r.isHierarchical() {
+		frequent, infrequent := r.peerAddresses(self)
+		return Recipients{Frequent: frequent, Infrequent: infrequent}
 	}
 	core := r.core()
 	subscribers := r.subscribers(self, core, now)
-	a := Recipients{Hierarchical: true}
+	recipients := Recipients{Hierarchical: true}
 	for _, m := range subscribers {
 		if m.row.DataCenter == self.DataCenter {
-			a.Subscribers = append(a.Subscribers, m.row.PeerAddress)
+			recipients.Subscribers = append(recipients.Subscribers, m.row.PeerAddress)
 		}
 		if !m.statusAt.IsZero() && now.Sub(m.statusAt) < subscriptionTTL {
-			// It serves, as it sends more than subscriptions.
-			a.Infrequent = append(a.Infrequent, m.row.PeerAddress)
+			// It sends more than subscriptions, so it serves callers.
+			recipients.Infrequent = append(recipients.Infrequent, m.row.PeerAddress)
 		}
 	}
-	r.noteAggregates(self, len(a.Subscribers) > 0)
+	r.setAggregating(self, len(recipients.Subscribers) > 0)
 	_, isCore := core[self.Node]
-	for _, m := range sorted(core) {
+	for _, m := range sortedByName(core) {
 		if m.row.Node != self.Node && m.row.PeerAddress != "" {
-			a.Frequent = append(a.Frequent, m.row.PeerAddress)
+			recipients.Frequent = append(recipients.Frequent, m.row.PeerAddress)
 		}
 	}
-	receives := isCore || len(a.Subscribers) > 0 || self.Leaving || does.HoldsDuties
+	receivesDigests := isCore || len(recipients.Subscribers) > 0 || self.Leaving || activity.HoldsDuties
 	if r.digestAt.IsZero() {
 		r.digestAt = now
 	}
-	if receives && now.Sub(r.digestAt) <= answerTimeout {
-		return a
+	if receivesDigests && now.Sub(r.digestAt) <= responseTimeout {
+		return recipients
 	}
-	// A host that ranks itself in the core and receives no digest is not in it for the others,
-	// though some with the same view may send it datagrams.
-	a.Aggregators = r.aggregatorsOf(self, now)
-	if receives {
-		return a
+	// A host that ranks itself in the core but receives no digests is not in the core of the other
+	// hosts, though some with the same view may send it datagrams.
+	recipients.Aggregators = r.aggregatorsOf(self, now)
+	if receivesDigests {
+		return recipients
 	}
-	if does.ServesCallers {
-		a.Aggregators = slices.Compact(slices.Sorted(slices.Values(append(a.Aggregators, a.Frequent...))))
+	if activity.ServesCallers {
+		recipients.Aggregators = slices.Compact(slices.Sorted(slices.Values(append(recipients.Aggregators, recipients.Frequent...))))
 	}
-	return Recipients{Hierarchical: true, Aggregators: a.Aggregators}
+	return Recipients{Hierarchical: true, Aggregators: recipients.Aggregators}
 }
 
 // HasSubscribers reports whether the host has subscribers.
-func (a Recipients) HasSubscribers() bool { return len(a.Subscribers) > 0 }
+func (r Recipients) HasSubscribers() bool { return len(r.Subscribers) > 0 }
 
-// noteAggregates notes whether this host aggregates, which changes its ranking. The lock is
-// held.
-func (r *Roster) noteAggregates(self Host, aggregates bool) {
-	as := ""
+// setAggregating records whether this host is an aggregator, which changes how it ranks hosts. The
+// caller must hold r.mu.
+func (r *Roster) setAggregating(self Host, aggregates bool) {
+	name := ""
 	if aggregates {
-		as = self.Node
+		name = self.Node
 	}
-	if as != r.aggregatesAs {
-		r.aggregatesAs = as
-		r.changed()
+	if name != r.aggregatorName {
+		r.aggregatorName = name
+		r.invalidateCaches()
 	}
 }
 
-// isLeveled reports whether the fleet has levels. The lock is held.
-func (r *Roster) isLeveled() bool {
-	if r.shared() >= leveledFleet {
-		r.leveledAt = r.seenAt
+// isHierarchical implements IsHierarchical. The caller must hold r.mu.
+func (r *Roster) isHierarchical() bool {
+	if r.hostCount() >= minHierarchicalFleet {
+		r.hierarchicalAt = r.lastReceivedAt
 		return true
 	}
-	return !r.leveledAt.IsZero() && r.seenAt.Sub(r.leveledAt) < leveledKept
+	return !r.hierarchicalAt.IsZero() && r.lastReceivedAt.Sub(r.hierarchicalAt) < hierarchyTTL
 }
 
-// IsHierarchical reports whether the fleet is so large that it has levels.
+// IsHierarchical reports whether the fleet is large enough for a hierarchy, or recently was.
 func (r *Roster) IsHierarchical() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.isLeveled()
+	return r.isHierarchical()
 }
 
 // InCore reports whether a host is in the core, whose hosts all exchange datagrams.
@@ -140,24 +146,25 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.core()[node]
-	return ok || node == r.aggregatesAs
+	return ok || node == r.aggregatorName
 }
 
-// CoreSize returns how many hosts the core has, all hosts where there are no levels.
+// CoreSize returns the number of hosts in the core, or of all hosts if the fleet is not
+// hierarchical.
 func (r *Roster) CoreSize() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.isLeveled() {
-		return max(r.shared(), 1)
+	if !r.isHierarchical() {
+		return max(r.hostCount(), 1)
 	}
 	return max(len(r.core()), 1)
 }
 
-// core returns the hosts of the core, by name. The lock is held.
+// core returns the hosts of the core, by name. The caller must hold r.mu.
 func (r *Roster) core() map[string]*member {
 	advertised := r.advertised()
-	if r.coreOf != nil {
-		return r.coreOf
+	if r.coreByNode != nil {
+		return r.coreByNode
 	}
 	core := map[string]*member{}
 	add := func(list []*member) {
@@ -168,29 +175,29 @@
 	add(advertised)
 	add(r.standbys())
 	for _, m := range r.live() {
-		if r.seenAt.Sub(m.digestAt) <= r.silence || m.status.LeaseVersion > 0 && r.seenAt.Sub(m.statusAt) <= r.silence {
+		if r.lastReceivedAt.Sub(m.digestAt) <= r.silenceTimeout || m.status.LeaseVersion > 0 && r.lastReceivedAt.Sub(m.statusAt) <= r.silenceTimeout {
 			core[m.row.Node] = m
 		}
 	}
 	r.largest("")
 	for _, list := range r.bySize {
-		add(list[:min(aggregatorsEach, len(list))])
+		add(list[:min(aggregatorsPerDataCenter, len(list))])
 	}
-	r.coreOf = core
+	r.coreByNode = core
 	return core
 }
 
-// advertisedByDigest returns the hosts that recent digests call advertised, nil without such
-// digests: a host outside the core knows too few others to rank them. Aggregators rank the
-// hosts themselves, as two of them would confirm each other's digests for ever. The lock is
-// held.
+// advertisedByDigest returns the hosts that recent digests list as advertised, nil if there are no
+// such digests. A host outside the core needs them, as it knows too few others to rank them.
+// Aggregators rank the hosts themselves; otherwise two of them would confirm each other's digests
+// forever. The caller must hold r.mu.
 func (r *Roster) advertisedByDigest() []*member {
-	if r.advertisedAt.IsZero() || r.aggregatesAs != "" || r.seenAt.Sub(r.advertisedAt) > advertisedTTL || !r.isLeveled() {
+	if r.advertisedAt.IsZero() || r.aggregatorName != "" || r.lastReceivedAt.Sub(r.advertisedAt) > advertisedTTL || !r.isHierarchical() {
 		return nil
 	}
 	var list []*member
 	for _, m := range r.live() {
-		if !m.advertisedAt.IsZero() && r.seenAt.Sub(m.advertisedAt) <= advertisedTTL && !m.row.Leaving && r.seenAt.Sub(m.seenAt()) <= r.silence {
+		if !m.advertisedAt.IsZero() && r.lastReceivedAt.Sub(m.advertisedAt) <= advertisedTTL && !m.row.Leaving && r.lastReceivedAt.Sub(m.seenAt()) <= r.silenceTimeout {
 			list = append(list, m)
 		}
 	}
@@ -198,21 +205,21 @@
 }
 
 // isOutsideCore reports whether this host takes the advertised hosts from digests and receives the
-// status of fewer than half of them, itself included. Such a host knows too few others to rank itself
-// as a standby. The lock is held.
+// status of fewer than half of them, itself included. Such a host knows too few others to rank
+// itself as a standby. The caller must hold r.mu.
 func (r *Roster) isOutsideCore() bool {
 	advertised := r.advertisedByDigest()
-	senders := 0
+	reporting := 0
 	for _, m := range advertised {
-		if m.row.Incarnation == r.selfIncarnation || !m.statusAt.IsZero() && r.seenAt.Sub(m.statusAt) <= r.silence {
-			senders++
+		if m.row.Incarnation == r.selfIncarnation || !m.statusAt.IsZero() && r.lastReceivedAt.Sub(m.statusAt) <= r.silenceTimeout {
+			reporting++
 		}
 	}
-	return 2*senders < len(advertised)
+	return 2*reporting < len(advertised)
 }
 
-// subscribers returns the hosts outside the core that have recently subscribed to this one. The
-// lock is held.
+// subscribers returns the hosts outside the core that have recently subscribed to this one, or send
+// it their status as an aggregator. The caller must hold r.mu.
 func (r *Roster) subscribers(self Host, core map[string]*member, now time.Time) []*member {
 	var list []*member
 	isAggregator := r.isAggregator(self, core)
@@ -222,9 +229,9 @@
 			continue
 		}
 		subscribed := !m.subscribedAt.IsZero() && now.Sub(m.subscribedAt) < subscriptionTTL
-		// A host that knows few others yet sends its status to all of them.
-		sends := isAggregator && m.row.DataCenter == self.DataCenter && !m.statusAt.IsZero() && now.Sub(m.statusAt) < subscriptionTTL
-		if subscribed || sends {
+		// A host that still knows few others sends its status to all of them.
+		sendsStatus := isAggregator && m.row.DataCenter == self.DataCenter && !m.statusAt.IsZero() && now.Sub(m.statusAt) < subscriptionTTL
+		if subscribed || sendsStatus {
 			list = append(list, m)
 		}
 	}
@@ -232,8 +239,8 @@
 	return list
 }
 
-// isAggregator reports whether a host is one of the largest of its data centre in the core.
-// The lock is held.
+// isAggregator reports whether a host is in the core and there one of the largest of its data
+// centre. The caller must hold r.mu.
 func (r *Roster) isAggregator(self Host, core map[string]*member) bool {
 	larger := 0
 	for _, m := range core {
@@ -242,53 +249,54 @@
 		}
 	}
 	_, isCore := core[self.Node]
-	return isCore && larger < aggregatorsEach
+	return isCore && larger < aggregatorsPerDataCenter
 }
 
 // aggregatorsOf returns the addresses to which a host subscribes: the largest hosts of its data
-// centre but those that have not answered. A host that gets a subscription aggregates, so that
-// hosts agree without knowing each other. Times are by this host's clock, as it may receive
-// nothing once they are gone. The lock is held.
+// centre except those that have not responded. A host that receives a subscription becomes an
+// aggregator, so that hosts agree without knowing each other. Times are measured with this
+// host's clock, as it may receive nothing once the aggregators are gone. The caller must hold r.mu.
 func (r *Roster) aggregatorsOf(self Host, now time.Time) []string {
 	var ranked []*member
-	for _, m := range r.sharing() {
+	for _, m := range r.possibleHosts() {
 		if m.row.DataCenter == self.DataCenter && m.row.Node != self.Node && !m.row.Leaving && m.row.PeerAddress != "" && !m.isSkipped(now) {
 			ranked = append(ranked, m)
 		}
 	}
-	// Rank silent hosts last, so that a lost aggregator does not displace a live one once skipTime
-	// has passed.
+	// Silent hosts rank last, so that a lost aggregator does not displace a live one after
+	// skipDuration.
 	slices.SortFunc(ranked, func(a, b *member) int {
-		return cmp.Or(compareBool(r.silent(a), r.silent(b)), compareSize(a, b))
+		return cmp.Or(compareBool(r.isSilent(a), r.isSilent(b)), compareSize(a, b))
 	})
-	most := aggregatorsEach
-	if now.Sub(r.digestAt) > answerTimeout {
-		most = aggregatorsSought
+	maxCount := aggregatorsPerDataCenter
+	if now.Sub(r.digestAt) > responseTimeout {
+		maxCount = fallbackAggregators
 	}
 	var addresses []string
-	for _, m := range ranked[:min(most, len(ranked))] {
-		if m.requestedAt.IsZero() || m.hasAnswered() {
-			m.requestedAt = now
+	for _, m := range ranked[:min(maxCount, len(ranked))] {
+		if m.unansweredSince.IsZero() || m.hasResponded() {
+			m.unansweredSince = now
 		}
 		addresses = append(addresses, m.row.PeerAddress)
 	}
 	return addresses
 }
 
-// hasAnswered reports whether the host has sent anything since the subscription.
-func (m *member) hasAnswered() bool {
-	return m.statusAt.After(m.requestedAt) || m.digestAt.After(m.requestedAt)
+// hasResponded reports whether the host has sent a status or a digest since this host subscribed to
+// it.
+func (m *member) hasResponded() bool {
+	return m.statusAt.After(m.unansweredSince) || m.digestAt.After(m.unansweredSince)
 }
 
-// isSkipped reports whether the host has left a subscription unanswered.
+// isSkipped reports whether the host is skipped because it has left a subscription unanswered.
 func (m *member) isSkipped(now time.Time) bool {
-	if m.requestedAt.IsZero() || m.hasAnswered() {
+	if m.unansweredSince.IsZero() || m.hasResponded() {
 		return false
 	}
-	waited := now.Sub(m.requestedAt)
-	if waited > answerTimeout+skipTime {
-		m.requestedAt = time.Time{}
+	waited := now.Sub(m.unansweredSince)
+	if waited > responseTimeout+skipDuration {
+		m.unansweredSince = time.Time{}
 		return false
 	}
-	return waited > answerTimeout
+	return waited > responseTimeout
 }
--- a/pkg/roster/loads.go
+++ b/pkg/roster/loads.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Loads returns what the other processes have under way, by endpoint.
+// Loads returns what the other processes have in progress, by endpoint.
 func (r *Roster) Loads(self string, now time.Time) map[string]Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	loads := map[string]Load{}
 	r.eachLoad(self, now, func(l Load) {
-		loads[l.Endpoint] = loads[l.Endpoint].plus(l)
+		loads[l.Endpoint] = loads[l.Endpoint].add(l)
 	})
 	return loads
 }
 
-// Load returns what the other processes have under way at one endpoint.
+// Load returns what the other processes have in progress at one endpoint.
 func (r *Roster) Load(self, endpoint string, now time.Time) Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sum := Load{Endpoint: endpoint}
 	r.eachLoad(self, now, func(l Load) {
 		if l.Endpoint == endpoint {
-			sum = sum.plus(l)
+			sum = sum.add(l)
 		}
 	})
 	return sum
 }
 
-// eachLoad calls visit for each load of each other process. The lock is held.
+// eachLoad calls visit for each load of each other process. The caller must hold r.mu.
 func (r *Roster) eachLoad(self string, now time.Time, visit func(Load)) {
-	recent := r.recent()
+	recent := r.recentAge()
 	for _, m := range r.live() {
 		if m.row.Incarnation == self {
 			continue
@@ -39,9 +39,9 @@
 	}
 }
 
-// plus adds what another process has under way. The sum is as old as the latest
-// part with prompts to be read.
-func (l Load) plus(other Load) Load {
+// add returns the sum of two loads of an endpoint. It is as old as the latest load that has prefill
+// tokens.
+func (l Load) add(other Load) Load {
 	l.Endpoint = other.Endpoint
 	l.Running += other.Running
 	l.PrefillTokens += other.PrefillTokens
@@ -51,8 +51,8 @@
 	return l
 }
 
-// loads are those of the process's latest datagram while that is recent, and its row's
-// otherwise.
+// loads returns the loads of the process's latest datagram if that is recent, else those of its
+// row.
 func (m *member) loads(now time.Time, recent time.Duration) []Load {
 	if now.Sub(m.statusAt) < recent {
 		return m.status.Loads
@@ -60,8 +60,9 @@
 	return m.row.Loads
 }
 
-// ApplyLoads applies what a process sends about single endpoints between its full datagrams.
-// Loads of an unknown process are skipped: its next datagram has all.
+// ApplyLoads applies loads of single endpoints that a process sends between its full datagrams.
+// Loads of a process that has not sent a full datagram yet are ignored, as that datagram contains
+// them.
 func (r *Roster) ApplyLoads(incarnation string, sequence int64, loads []Load, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,31 +77,30 @@
 	}
 }
 
-func (t *Status) setLoad(l Load) {
-	for i := range t.Loads {
-		if t.Loads[i].Endpoint == l.Endpoint {
-			t.Loads[i] = l
+func (s *Status) setLoad(l Load) {
+	for i := range s.Loads {
+		if s.Loads[i].Endpoint == l.Endpoint {
+			s.Loads[i] = l
 			return
 		}
 	}
-	t.Loads = append(t.Loads, l)
+	s.Loads = append(s.Loads, l)
 }
 
-// Demands returns the engine time a second asked for over all processes, by
-// service.
+// Demands returns the engine time per second that the requests of all processes need, by service.
 func (r *Roster) Demands(now time.Time) map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	works := map[string]float64{}
-	recent := r.recent()
+	demands := map[string]float64{}
+	recent := r.recentAge()
 	for _, m := range r.live() {
 		sent := m.row.Demands
 		if now.Sub(m.statusAt) < recent {
 			sent = m.status.Demands
 		}
-		for _, w := range sent {
-			works[w.Service] += w.Rate
+		for _, d := range sent {
+			demands[d.Service] += d.Rate
 		}
 	}
-	return works
+	return demands
 }
--- a/pkg/roster/member.go
+++ b/pkg/roster/member.go
@@ -2,70 +2,72 @@
 
 import "time"
 
-// member is what is known of a process.
+// member is what is known about a process.
 type member struct {
 	row Row
-	// changedAt is when its last change was written, as far as that is known.
-	changedAt time.Time
-	// status is of the latest datagram of the process itself, newer than the row.
+	// updatedAt is when its latest row was written, as far as that is known, or when it was first
+	// seen.
+	updatedAt time.Time
+	// status is the latest datagram of the process itself, newer than the row.
 	status   Status
 	statusAt time.Time
-	// gap is the time between its latest two datagrams, pace the shorter of the latest
-	// two gaps: one that was lost does not show.
-	gap, pace time.Duration
-	// counts are the highest received, by window and team: they only grow.
+	// lastInterval is the time between its latest two datagrams. interval is the shorter of the
+	// latest two such times, so that the loss of one datagram does not lengthen it.
+	lastInterval, interval time.Duration
+	// counts are the highest values received, by window and team: counts only grow.
 	counts map[int64]map[string]int
-	// aliveAt is when an aggregator last saw it, by digests, aliveGap the time between the
-	// latest two such moments.
-	aliveAt  time.Time
-	aliveGap time.Duration
+	// peerSeenAt is when an aggregator last saw it, according to digests. peerSeenInterval is the
+	// time between the latest two such times.
+	peerSeenAt       time.Time
+	peerSeenInterval time.Duration
 	// digestAt is when it last sent a digest.
 	digestAt time.Time
-	// advertisedAt is when a digest last called it advertised.
+	// advertisedAt is when a digest last listed it as advertised.
 	advertisedAt time.Time
 	// subscribedAt is when it last subscribed to this host.
 	subscribedAt time.Time
-	// requestedAt is since when a subscription to it is unanswered, zero for none.
-	requestedAt time.Time
+	// unansweredSince is when this host sent it a subscription that is still unanswered, zero for
+	// none.
+	unansweredSince time.Time
 }
 
-func (m *member) count(counts []RequestCount) {
+func (m *member) recordCounts(counts []RequestCount) {
 	if m.counts == nil {
 		m.counts = map[int64]map[string]int{}
 	}
 	for _, c := range counts {
 		if m.counts[c.Window] == nil {
 			m.counts[c.Window] = map[string]int{}
-			delete(m.counts, c.Window-windowsKept)
+			delete(m.counts, c.Window-retainedWindows)
 		}
 		m.counts[c.Window][c.Team] = max(m.counts[c.Window][c.Team], c.Started)
 	}
 }
 
-// windowsKept is how many windows of counts are kept of a process.
-const windowsKept = 12
+// retainedWindows is the number of windows for which a process's counts are kept.
+const retainedWindows = 12
 
-// notePace notes that a datagram was received.
-func (m *member) notePace(now time.Time) {
+// recordInterval updates the intervals between datagrams when one is received.
+func (m *member) recordInterval(now time.Time) {
 	if m.statusAt.IsZero() {
 		return
 	}
-	gap := now.Sub(m.statusAt)
-	m.pace = gap
-	if m.gap > 0 {
-		m.pace = min(gap, m.gap)
+	interval := now.Sub(m.statusAt)
+	m.interval = interval
+	if m.lastInterval > 0 {
+		m.interval = min(interval, m.lastInterval)
 	}
-	m.gap = gap
+	m.lastInterval = interval
 }
 
-// seenAt is when the process was last seen: through its row, its datagrams or digests.
+// seenAt returns when the process was last seen: through its row, its datagrams or digests.
 func (m *member) seenAt() time.Time {
-	at := m.changedAt
+	at := m.updatedAt
 	if m.statusAt.After(at) {
 		at = m.statusAt
 	}
-	if m.aliveAt.After(at) {
-		at = m.aliveAt
+	if m.peerSeenAt.After(at) {
+		at = m.peerSeenAt
 	}
 	return at
 }
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -6,159 +6,160 @@
 	"time"
 )
 
-// Roster is what this process knows of the fleet's hosts. It is safe for concurrent use.
+// Roster is what this process knows about the fleet's hosts. It is safe for concurrent use.
 type Roster struct {
-	// silence is how long a process may go unseen, in its row or its datagrams, before it counts
-	// as gone; longer for one whose datagrams come rarely.
-	silence time.Duration
-	// interval returns the time between two datagrams of a host in a fleet of a
-	// size.
-	interval func(hosts int) time.Duration
+	// silenceTimeout is how long a process may go unseen, in both its row and its datagrams, before
+	// it counts as gone. It is longer for a process whose datagrams are rare.
+	silenceTimeout time.Duration
+	// statusInterval returns the time between two datagrams of a host in a fleet of the given size.
+	statusInterval func(hosts int) time.Duration
 
 	mu      sync.Mutex
 	members map[string]*member
 	// selfIncarnation is this process's incarnation, empty until the first MergeSelf.
 	selfIncarnation string
-	// seenAt is when the store or any other process was last seen. Silence is judged against it:
-	// a host that receives nothing cannot judge which others are gone.
-	seenAt time.Time
-	known  bool
-	// advertisedHosts are those whose addresses callers are given, as of rankedAt; nil after a
+	// lastReceivedAt is when the store last responded or another process was last seen. Silence is
+	// measured up to this time: a host that receives nothing cannot judge which others are gone.
+	lastReceivedAt time.Time
+	loaded         bool
+	// advertisedHosts are the hosts whose addresses callers are given, as of rankedAt; nil after a
 	// change.
 	advertisedHosts []*member
 	rankedAt        time.Time
-	// liveOf are the hosts that are not silent as of liveAt, nil after a change, bySize those that
-	// can be advertised, by data centre, the largest first, nil until asked for.
-	liveOf map[string]*member
-	liveAt time.Time
-	bySize map[string][]*member
-	// coreOf are the hosts of the core as of rankedAt, nil after a change.
-	coreOf map[string]*member
-	// byHash finds incarnations by the hashes in digests.
+	// liveByNode are the hosts that were not silent at liveAt, nil after a change. bySize are those
+	// of them that can be advertised, by data centre, the largest first; nil until needed.
+	liveByNode map[string]*member
+	liveAt     time.Time
+	bySize     map[string][]*member
+	// coreByNode are the hosts of the core as of rankedAt, nil after a change.
+	coreByNode map[string]*member
+	// byHash maps the hashes in digests to incarnations.
 	byHash map[uint32]string
-	// sharedHosts is how many hosts may serve as of sharedAt, zero after a change.
-	sharedHosts int
-	sharedAt    time.Time
-	// digestAt is when the last digest was received, counted from the first round.
+	// cachedHostCount is the number of hosts that may serve as of cachedHostCountAt, which is zero
+	// after a change.
+	cachedHostCount   int
+	cachedHostCountAt time.Time
+	// digestAt is when the last digest was received, initially the time of the first round.
 	digestAt time.Time
-	// aggregatesAs is the name of this host while it aggregates, else empty.
-	aggregatesAs string
-	// advertisedAt is when a digest last named advertised hosts.
+	// aggregatorName is the name of this host while it is an aggregator, else empty.
+	aggregatorName string
+	// advertisedAt is when a digest last listed advertised hosts.
 	advertisedAt time.Time
-	// leveledAt is when the fleet was last known to be large enough for levels.
-	leveledAt time.Time
-	// reportedSharing is how many hosts may serve by a digest of sharingAt: hosts outside the core
-	// do not know all.
-	reportedSharing int
-	sharingAt       time.Time
-	// requests is how many a second recently began over all hosts.
-	requests float64
+	// hierarchicalAt is when the fleet was last known to be large enough for a hierarchy.
+	hierarchicalAt time.Time
+	// reportedHostCount is the number of hosts that may serve according to the digest received at
+	// reportedHostCountAt. Hosts outside the core do not know all hosts.
+	reportedHostCount   int
+	reportedHostCountAt time.Time
+	// requestRate is the number of requests per second that recently started on all hosts.
+	requestRate float64
 }
 
-// missed is how many datagrams of a host may be missing in a row while its status counts as
-// recent.
-const missed = 5
+// recentIntervals is how many datagrams of a host may be lost in a row while its status still
+// counts as recent.
+const recentIntervals = 5
 
-// pacedFleet is the hosts up to which rows keep their pace; above, the store's load
-// would grow with the square of the fleet.
-const pacedFleet = 16
+// unscaledFleet is the number of hosts up to which the intervals of rows are not scaled. In larger
+// fleets the store's load would otherwise grow with the square of the fleet.
+const unscaledFleet = 16
 
-// ScaleInterval stretches a pause between writes or reads of rows for a number of hosts.
-func ScaleInterval(pause time.Duration, hosts int) time.Duration {
-	return pause * time.Duration(max(hosts, pacedFleet)) / pacedFleet
+// ScaleInterval scales an interval between writes or reads of rows to the number of hosts.
+func ScaleInterval(interval time.Duration, hosts int) time.Duration {
+	return interval * time.Duration(max(hosts, unscaledFleet)) / unscaledFleet
 }
 
-// New returns an empty roster; interval returns the time between two datagrams
-// of a host in a fleet of a size.
-func New(silence time.Duration, interval func(hosts int) time.Duration) *Roster {
-	return &Roster{silence: silence, interval: interval, members: map[string]*member{}, byHash: map[uint32]string{}}
+// New returns an empty roster. interval returns the time between two datagrams of a host in a fleet
+// of the given size.
+func New(silenceTimeout time.Duration, interval func(hosts int) time.Duration) *Roster {
+	return &Roster{silenceTimeout: silenceTimeout, statusInterval: interval, members: map[string]*member{}, byHash: map[uint32]string{}}
 }
 
-// recent is the age up to which the latest datagram of a host counts as recent. The lock is
-// held.
-func (r *Roster) recent() time.Duration {
-	if r.isLeveled() {
-		return missed * r.interval(len(r.core()))
+// recentAge returns the age up to which the latest datagram of a host counts as recent. The caller
+// must hold r.mu.
+func (r *Roster) recentAge() time.Duration {
+	if r.isHierarchical() {
+		return recentIntervals * r.statusInterval(len(r.core()))
 	}
-	return missed * r.interval(len(r.members))
+	return recentIntervals * r.statusInterval(len(r.members))
 }
 
 // Loaded reports whether the rows have been read once.
 func (r *Roster) Loaded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known
+	return r.loaded
 }
 
-// Remove drops a row that the store no longer has.
+// Remove removes a process whose row is no longer in the store.
 func (r *Roster) Remove(incarnation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drop(incarnation)
+	r.remove(incarnation)
 }
 
-// add adds a process that was not known. The lock is held.
+// add adds a process that was not known. The caller must hold r.mu.
 func (r *Roster) add(m *member) {
 	r.members[m.row.Incarnation] = m
 	r.byHash[hashOf(m.row.Incarnation)] = m.row.Incarnation
-	r.changed()
+	r.invalidateCaches()
 }
 
-// drop forgets a process. The lock is held.
-func (r *Roster) drop(incarnation string) {
+// remove removes a process. The caller must hold r.mu.
+func (r *Roster) remove(incarnation string) {
 	delete(r.members, incarnation)
 	delete(r.byHash, hashOf(incarnation))
-	r.changed()
+	r.invalidateCaches()
 }
 
-// changed has what is worked out from the members be worked out anew. The lock is held.
-func (r *Roster) changed() {
-	r.advertisedHosts, r.coreOf, r.liveOf = nil, nil, nil
-	r.sharedAt = time.Time{}
+// invalidateCaches discards the cached results derived from the members. The caller must hold r.mu.
+func (r *Roster) invalidateCaches() {
+	r.advertisedHosts, r.coreByNode, r.liveByNode = nil, nil, nil
+	r.cachedHostCountAt = time.Time{}
 }
 
-// leave notes that a process has begun to stop. The lock is held.
-func (r *Roster) leave(m *member) {
+// markLeaving records that a process has begun to stop. The caller must hold r.mu.
+func (r *Roster) markLeaving(m *member) {
 	if !m.row.Leaving {
 		m.row.Leaving = true
-		r.changed()
+		r.invalidateCaches()
 	}
 }
 
-// Retain drops all rows that a snapshot does not name.
-func (r *Roster) Retain(named func(incarnation string) bool) {
+// Retain removes all processes that are not in a snapshot of the rows: those for which keep returns
+// false.
+func (r *Roster) Retain(keep func(incarnation string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for incarnation := range r.members {
-		if !named(incarnation) {
-			r.drop(incarnation)
+		if !keep(incarnation) {
+			r.remove(incarnation)
 		}
 	}
 }
 
-// live returns the rows that are still written, the newest of each node; not to be
-// changed. Each round and each call to a relay asks for them several times, so that they
-// are kept for a moment. The lock is held.
+// live returns the processes that are not silent, the newest of each node. The map must not be
+// changed. It is cached for a short time, as each round and each call to a relay needs it several
+// times. The caller must hold r.mu.
 func (r *Roster) live() map[string]*member {
-	if r.liveOf != nil && r.seenAt.Sub(r.liveAt) < rankedFor && !r.seenAt.Before(r.liveAt) {
-		return r.liveOf
+	if r.liveByNode != nil && r.lastReceivedAt.Sub(r.liveAt) < cacheTTL && !r.lastReceivedAt.Before(r.liveAt) {
+		return r.liveByNode
 	}
 	byNode := make(map[string]*member, len(r.members))
 	for _, m := range r.members {
-		if r.silent(m) {
+		if r.isSilent(m) {
 			continue
 		}
 		if other, ok := byNode[m.row.Node]; !ok || m.seenAt().After(other.seenAt()) {
 			byNode[m.row.Node] = m
 		}
 	}
-	r.liveOf, r.liveAt = byNode, r.seenAt
+	r.liveByNode, r.liveAt = byNode, r.lastReceivedAt
 	r.bySize = nil
 	return byNode
 }
 
-// largest returns the live hosts of a data centre that do not leave and can be advertised, the
-// largest first. The lock is held.
+// largest returns the live hosts of a data centre that are not leaving and can be advertised, the
+// largest first. The caller must hold r.mu.
 func (r *Roster) largest(dataCenter string) []*member {
 	live := r.live()
 	if r.bySize == nil {
@@ -175,22 +176,22 @@
 	return r.bySize[dataCenter]
 }
 
-// PeerReachedStore reports whether another host with a recent status has been in touch with the
-// store for the whole of a time.
-func (r *Roster) PeerReachedStore(self string, whole time.Duration, now time.Time) bool {
+// PeerReachedStore reports whether another host with a recent status has reached the store without
+// interruption for the given period.
+func (r *Roster) PeerReachedStore(self string, period time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	recent := r.recent()
+	recent := r.recentAge()
 	for _, m := range r.members {
-		if m.row.Incarnation != self && now.Sub(m.statusAt) < recent && m.status.StoreReachableFor >= whole {
+		if m.row.Incarnation != self && now.Sub(m.statusAt) < recent && m.status.StoreReachableFor >= period {
 			return true
 		}
 	}
 	return false
 }
 
-// DutiesHeld reports whether another process has sent within a time that it holds
-// the lease of the duties.
+// DutiesHeld reports whether another process has sent within the given time that it holds the lease
+// of the duties.
 func (r *Roster) DutiesHeld(self string, within time.Duration, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,8 +203,8 @@
 	return false
 }
 
-// LiveIncarnations returns the incarnations of the hosts that are not silent, those that are about
-// to stop too.
+// LiveIncarnations returns the incarnations of the hosts that are not silent, including those that
+// are about to stop.
 func (r *Roster) LiveIncarnations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -215,17 +216,17 @@
 }
 
 // CountHosts returns how many hosts have sent recent datagrams, this one included, and how many
-// others may serve that have not: restarting, or cut off.
+// others may serve but have not: they are restarting, or the network to them is interrupted.
 func (r *Roster) CountHosts(self string, now time.Time) (recent, silent int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	recent = 1
-	within := r.recent()
-	leveled := r.isLeveled()
-	for _, m := range r.sharing() {
+	within := r.recentAge()
+	hierarchical := r.isHierarchical()
+	for _, m := range r.possibleHosts() {
 		switch {
 		case m.row.Incarnation == self:
-		case now.Sub(m.statusAt) < within, leveled && !m.aliveAt.IsZero() && !r.silent(m):
+		case now.Sub(m.statusAt) < within, hierarchical && !m.peerSeenAt.IsZero() && !r.isSilent(m):
 			recent++
 		default:
 			silent++
@@ -234,12 +235,12 @@
 	return recent, silent
 }
 
-// sharing returns the newest row of every host that may serve: the silent ones
-// too, but not those that have stopped in order. The lock is held.
-func (r *Roster) sharing() map[string]*member {
+// possibleHosts returns the newest process of every host that may serve, including silent hosts but
+// not those that have shut down cleanly. The caller must hold r.mu.
+func (r *Roster) possibleHosts() map[string]*member {
 	byNode := map[string]*member{}
 	for _, m := range r.members {
-		if r.silent(m) && m.row.Leaving {
+		if r.isSilent(m) && m.row.Leaving {
 			continue
 		}
 		if other, ok := byNode[m.row.Node]; !ok || m.seenAt().After(other.seenAt()) {
@@ -249,55 +250,54 @@
 	return byNode
 }
 
-// pacesMissed is for how many times the pace of its datagrams a host may go unseen at least: one
-// datagram may be lost.
-const pacesMissed = 2.2
+// silenceIntervals is the minimum time that a host may go unseen, as a multiple of the interval
+// between its datagrams: one datagram may be lost.
+const silenceIntervals = 2.2
 
-func (r *Roster) silent(m *member) bool {
-	pace := m.pace
-	if m.aliveAt.After(m.statusAt) {
-		pace = m.aliveGap
+func (r *Roster) isSilent(m *member) bool {
+	interval := m.interval
+	if m.peerSeenAt.After(m.statusAt) {
+		interval = m.peerSeenInterval
 	}
-	return r.seenAt.Sub(m.seenAt()) > max(r.silence, time.Duration(pacesMissed*float64(pace)))
+	return r.lastReceivedAt.Sub(m.seenAt()) > max(r.silenceTimeout, time.Duration(silenceIntervals*float64(interval)))
 }
 
-// Sharing returns how many hosts may serve, those that are silent too, at
-// least 1.
+// Sharing returns the number of hosts that may serve, including silent ones, at least 1.
 func (r *Roster) Sharing() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return max(r.shared(), 1)
+	return max(r.hostCount(), 1)
 }
 
-// shared returns how many hosts may serve. It is asked for with each round and request,
-// and kept for a moment. The lock is held.
-func (r *Roster) shared() int {
-	if r.sharedAt.IsZero() || r.seenAt.Sub(r.sharedAt) >= rankedFor {
-		r.sharedHosts, r.sharedAt = len(r.sharing()), r.seenAt
+// hostCount returns the number of hosts that may serve. It is cached for a short time, as each
+// round and each request needs it. The caller must hold r.mu.
+func (r *Roster) hostCount() int {
+	if r.cachedHostCountAt.IsZero() || r.lastReceivedAt.Sub(r.cachedHostCountAt) >= cacheTTL {
+		r.cachedHostCount, r.cachedHostCountAt = len(r.possibleHosts()), r.lastReceivedAt
 	}
-	if r.reportedSharing > r.sharedHosts && r.aggregatesAs == "" && r.seenAt.Sub(r.sharingAt) < sharingTTL {
-		return r.reportedSharing
+	if r.reportedHostCount > r.cachedHostCount && r.aggregatorName == "" && r.lastReceivedAt.Sub(r.reportedHostCountAt) < hostCountTTL {
+		return r.reportedHostCount
 	}
-	return r.sharedHosts
+	return r.cachedHostCount
 }
 
-// StartedRequests returns the requests that began in a window, by team, over all rows,
-// those of dead processes too.
+// StartedRequests returns the number of requests that started in a window, by team, over all
+// processes, including dead ones.
 func (r *Roster) StartedRequests(window int64) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	counts := map[string]int{}
 	for _, m := range r.members {
-		for team, begun := range m.counts[window] {
-			counts[team] += begun
+		for team, started := range m.counts[window] {
+			counts[team] += started
 		}
 	}
 	return counts
 }
 
-// ClockOffset returns the median of the hosts' time of day less the store's
-// clock: a minority of stepped clocks does not move it far. Hosts known by their
-// datagrams alone report no clock. ok is false while no row is known.
+// ClockOffset returns the median of the differences between the hosts' wall clocks and the store's
+// clock, which a minority of clocks that have jumped does not move far. Hosts known only by their
+// datagrams report no clock. The second result is false if no row is known.
 func (r *Roster) ClockOffset() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -314,25 +314,25 @@
 	return offsets[len(offsets)/2], true
 }
 
-// Prune drops processes that have no row and were not seen for a time: no removal of a row will
-// show that they are gone.
+// Prune removes processes that have no row and were not seen for the given time, as no removal of a
+// row will show that they are gone.
 func (r *Roster) Prune(after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for incarnation, m := range r.members {
-		if !m.hasRow() && r.seenAt.Sub(m.seenAt()) > after {
-			r.drop(incarnation)
+		if !m.hasRow() && r.lastReceivedAt.Sub(m.seenAt()) > after {
+			r.remove(incarnation)
 		}
 	}
 }
 
-// SilentIncarnations returns processes with a row that were not seen for a time.
+// SilentIncarnations returns the processes with a row that were not seen for the given time.
 func (r *Roster) SilentIncarnations(after time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []string
 	for incarnation, m := range r.members {
-		if m.hasRow() && r.seenAt.Sub(m.seenAt()) > after {
+		if m.hasRow() && r.lastReceivedAt.Sub(m.seenAt()) > after {
 			list = append(list, incarnation)
 		}
 	}
--- a/pkg/roster/row.go
+++ b/pkg/roster/row.go
@@ -1,7 +1,8 @@
-// Package roster holds the fleet's membership as one host knows it: from rows in the store, one a
-// process, written with every heartbeat, and from datagrams. It ranks the hosts that callers are
-// given, those that stand by for the duties, and in large fleets the aggregators, and holds the
-// loads and counts that hosts send with their status. It does no I/O; times are passed in.
+// Package roster holds the fleet's membership as one host knows it. The information comes from rows
+// in the store, one per process and written with every heartbeat, and from datagrams. The package
+// ranks the hosts that callers are given, the standbys for the duties and, in large fleets, the
+// aggregators, and holds the loads and counts that hosts send with their status. It does no I/O;
+// times are passed in.
 package roster
 
 import (
@@ -11,32 +12,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Load is what one entry has under way at an endpoint.
+// Load is what one entry host has in progress at an endpoint.
 type Load struct {
 	Endpoint      string
 	Running       int
 	PrefillTokens int
-	// ReceivedAt is when it was received, by the receiver's clock.
+	// ReceivedAt is when the load was received, by the receiver's clock.
 	ReceivedAt time.Time
 }
 
-// Demand is the engine time a second that one entry's requests for a service ask
-// for.
+// Demand is the engine time per second that one entry host's requests for a service need.
 type Demand struct {
 	Service string
 	Rate    float64
 }
 
-// RequestCount is the requests of a team that began to run in a window.
+// RequestCount is the number of requests of a team that started to run in a window.
 type RequestCount struct {
 	Window  int64
 	Team    string
 	Started int
 }
 
-// Host is one process and where it is reached.
+// Host is one process and its addresses.
 type Host struct {
-	// Incarnation is new with each start; the row's key.
+	// Incarnation is new with each start. It is the key of the process's row.
 	Incarnation string
 	Node        string
 	DataCenter  string
@@ -44,63 +44,63 @@
 	CallerAddress string
 	// PeerAddress is the address for datagrams of other hosts, empty for none.
 	PeerAddress string
-	// StartedAt is the store's clock when the process started: who is there for
+	// StartedAt is the store's clock when the process started, 0 if unknown. The host that has run
 	// longest knows most.
 	StartedAt time.Duration
-	// Millicores is the processor share that the process has, in thousandths of a
-	// core; 0 if unknown. Hosts compare it, so that it must be the same for all.
+	// Millicores is the processor share of the process in thousandths of a core, 0 if unknown.
+	// Hosts are ranked by it, so it must be the same for all who compare it.
 	Millicores int
 	Leaving    bool
 }
 
-// Status is what a process sends of itself, several times a second.
+// Status is what a process sends about itself several times a second.
 type Status struct {
 	Host
-	// Sequence grows with each datagram.
+	// Sequence increases with each datagram.
 	Sequence int64
 	Loads    []Load
 	Demands  []Demand
-	// Counts are of the latest windows: they must outlive the process.
+	// Counts are of the latest windows. They are sent because they must outlive the process.
 	Counts []RequestCount
-	// StoreReachableFor is how long the process has been in touch with the store without a
-	// gap, 0 while it is not.
+	// StoreReachableFor is how long the process has reached the store without interruption, 0 while
+	// it does not.
 	StoreReachableFor time.Duration
-	// LeaseVersion is the version of the row by which the process holds the lease of
-	// the duties, 0 if it does not.
+	// LeaseVersion is the version of the row by which the process holds the lease of the duties, 0
+	// if it does not hold it.
 	LeaseVersion int64
 }
 
 // Row is what one process writes to the store.
 type Row struct {
 	Host
-	// Sequence grows with each write, so that a late write of an old row is found out.
+	// Sequence increases with each write, so that a late write of an old row is detected.
 	Sequence int64
-	// WrittenAt is the store's steady clock at the write, 0 if not known.
+	// WrittenAt is the store's monotonic clock at the write, 0 if unknown.
 	WrittenAt time.Duration
-	// Age is how long ago it was written when it was read; it is not stored.
+	// Age is the time from the write of the row to its read. It is not stored.
 	Age time.Duration
-	// ClockOffset is the host's time of day less the store's steady clock.
+	// ClockOffset is the host's wall clock minus the store's monotonic clock.
 	ClockOffset time.Duration
 	Loads       []Load
 	Counts      []RequestCount
 	Demands     []Demand
 }
 
-// wireRow is a row in the store; lists hold their fields in order.
+// wireRow is a row as it is stored. Its lists are encoded as arrays of their fields, in order.
 type wireRow struct {
-	Node       string      `cbor:"1,keyasint"`
-	DataCenter string      `cbor:"2,keyasint"`
-	Callers    string      `cbor:"3,keyasint"`
-	Sequence   int64       `cbor:"4,keyasint"`
-	Leaving    bool        `cbor:"5,keyasint,omitempty"`
-	OffsetMS   int64       `cbor:"6,keyasint"`
-	Loads      []wireLoad  `cbor:"7,keyasint,omitempty"`
-	Counts     []wireCount `cbor:"9,keyasint,omitempty"`
-	Works      []wireWork  `cbor:"10,keyasint,omitempty"`
-	Peers      string      `cbor:"11,keyasint,omitempty"`
-	SinceMS    int64       `cbor:"12,keyasint,omitempty"`
-	Millicores int         `cbor:"13,keyasint,omitempty"`
-	WrittenMS  int64       `cbor:"14,keyasint,omitempty"`
+	Node          string       `cbor:"1,keyasint"`
+	DataCenter    string       `cbor:"2,keyasint"`
+	CallerAddress string       `cbor:"3,keyasint"`
+	Sequence      int64        `cbor:"4,keyasint"`
+	Leaving       bool         `cbor:"5,keyasint,omitempty"`
+	ClockOffsetMS int64        `cbor:"6,keyasint"`
+	Loads         []wireLoad   `cbor:"7,keyasint,omitempty"`
+	Counts        []wireCount  `cbor:"9,keyasint,omitempty"`
+	Demands       []wireDemand `cbor:"10,keyasint,omitempty"`
+	PeerAddress   string       `cbor:"11,keyasint,omitempty"`
+	StartedAtMS   int64        `cbor:"12,keyasint,omitempty"`
+	Millicores    int          `cbor:"13,keyasint,omitempty"`
+	WrittenAtMS   int64        `cbor:"14,keyasint,omitempty"`
 }
 
 type wireLoad struct {
@@ -110,60 +110,60 @@
 	PrefillTokens int
 }
 
-type wireWork struct {
+type wireDemand struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
 	Rate    float32
 }
 
 type wireCount struct {
-	_      struct{} `cbor:",toarray"`
-	Window int64
-	Team   string
-	Begun  int
+	_       struct{} `cbor:",toarray"`
+	Window  int64
+	Team    string
+	Started int
 }
 
 // Encode returns a row as it is stored.
 func (r Row) Encode() ([]byte, error) {
 	w := wireRow{
-		Node: r.Node, DataCenter: r.DataCenter, Callers: r.CallerAddress, Peers: r.PeerAddress, SinceMS: r.StartedAt.Milliseconds(), Sequence: r.Sequence,
-		Millicores: r.Millicores, Leaving: r.Leaving, OffsetMS: r.ClockOffset.Milliseconds(), WrittenMS: r.WrittenAt.Milliseconds(),
+		Node: r.Node, DataCenter: r.DataCenter, CallerAddress: r.CallerAddress, PeerAddress: r.PeerAddress, StartedAtMS: r.StartedAt.Milliseconds(), Sequence: r.Sequence,
+		Millicores: r.Millicores, Leaving: r.Leaving, ClockOffsetMS: r.ClockOffset.Milliseconds(), WrittenAtMS: r.WrittenAt.Milliseconds(),
 	}
 	for _, l := range r.Loads {
 		w.Loads = append(w.Loads, wireLoad{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	for _, c := range r.Counts {
-		w.Counts = append(w.Counts, wireCount{Window: c.Window, Team: c.Team, Begun: c.Started})
+		w.Counts = append(w.Counts, wireCount{Window: c.Window, Team: c.Team, Started: c.Started})
 	}
-	for _, k := range r.Demands {
-		w.Works = append(w.Works, wireWork{Service: k.Service, Rate: float32(k.Rate)})
+	for _, d := range r.Demands {
+		w.Demands = append(w.Demands, wireDemand{Service: d.Service, Rate: float32(d.Rate)})
 	}
 	return cbor.Marshal(w)
 }
 
-// Decode reads a stored row.
+// Decode decodes a stored row.
 func Decode(incarnation string, value []byte) (Row, error) {
 	var w wireRow
 	if err := cbor.Unmarshal(value, &w); err != nil {
-		return Row{}, fmt.Errorf("roster: row %q: %w", incarnation, err)
+		return Row{}, fmt.Errorf("roster: decode row %q: %w", incarnation, err)
 	}
 	r := Row{
 		Host: Host{
 			Incarnation: incarnation, Node: w.Node, DataCenter: w.DataCenter,
-			CallerAddress: w.Callers, PeerAddress: w.Peers, Millicores: w.Millicores, Leaving: w.Leaving,
-			StartedAt: time.Duration(w.SinceMS) * time.Millisecond,
+			CallerAddress: w.CallerAddress, PeerAddress: w.PeerAddress, Millicores: w.Millicores, Leaving: w.Leaving,
+			StartedAt: time.Duration(w.StartedAtMS) * time.Millisecond,
 		},
-		Sequence: w.Sequence, ClockOffset: time.Duration(w.OffsetMS) * time.Millisecond,
-		WrittenAt: time.Duration(w.WrittenMS) * time.Millisecond,
+		Sequence: w.Sequence, ClockOffset: time.Duration(w.ClockOffsetMS) * time.Millisecond,
+		WrittenAt: time.Duration(w.WrittenAtMS) * time.Millisecond,
 	}
 	for _, l := range w.Loads {
 		r.Loads = append(r.Loads, Load{Endpoint: l.Endpoint, Running: l.Running, PrefillTokens: l.PrefillTokens})
 	}
 	for _, c := range w.Counts {
-		r.Counts = append(r.Counts, RequestCount{c.Window, c.Team, c.Begun})
+		r.Counts = append(r.Counts, RequestCount{c.Window, c.Team, c.Started})
 	}
-	for _, k := range w.Works {
-		r.Demands = append(r.Demands, Demand{k.Service, float64(k.Rate)})
+	for _, d := range w.Demands {
+		r.Demands = append(r.Demands, Demand{d.Service, float64(d.Rate)})
 	}
 	return r, nil
 }
