--- a/pkg/hostlist/hostlist.go
+++ b/pkg/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist is the edge to the platform's list of live and leaving
-// hosts. The list lags: it may name dead hosts live and miss new ones.
+// Package hostlist reads the platform's list of live and leaving hosts. The list lags: it may show
+// dead hosts as live and lack new ones.
 package hostlist
 
 import (
@@ -12,12 +12,12 @@
 	"ironhollow/pkg/httpx"
 )
 
-// Source reads the hosts of one data centre, all of them if it is empty.
+// Source reads the hosts of one data centre, or of all if dataCenter is empty.
 type Source interface {
 	Hosts(ctx context.Context, dataCenter string) ([]endpoint.Info, error)
 }
 
-// Host is one host as sent.
+// Host is one host in the wire format.
 type Host struct {
 	ID           string `json:"id"`
 	Incarnation  int64  `json:"incarnation"`
@@ -35,7 +35,7 @@
 	LeaveBy      int64  `json:"leave_by_ms,omitempty"`
 }
 
-// FromInfo maps what is known of an endpoint to the form sent.
+// FromInfo converts an endpoint's state to the wire format.
 func FromInfo(i endpoint.Info) Host {
 	h := Host{
 		ID: i.ID, Incarnation: i.Incarnation, State: i.State.String(), DataCenter: i.DataCenter,
@@ -48,8 +48,8 @@
 	return h
 }
 
-// Info maps a host as sent to the domain. Counter is left 0, so that the
-// list's lagging word never supersedes an endpoint's own.
+// Info converts a host from the wire format. Counter is left 0, so that the lagging list never
+// supersedes an endpoint's own reports.
 func (h Host) Info() endpoint.Info {
 	info := endpoint.Info{
 		ID: h.ID, Incarnation: h.Incarnation, State: stateOf(h.State), DataCenter: h.DataCenter,
@@ -72,7 +72,7 @@
 	return endpoint.Live
 }
 
-// Client is a List over HTTP: GET /v1/hosts?data_center=.
+// Client is a Source over HTTP: GET /v1/hosts?data_center=.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -84,8 +84,8 @@
 	return &Client{base: "http://" + address + "/v1/hosts", http: client, timeout: timeout}
 }
 
-// Hosts reads the list. Hosts whose address is no IP number and port are
-// dropped: nothing could be sent to them.
+// Hosts reads the list. Hosts whose address is not an IP address and port are omitted, as nothing
+// could be sent to them.
 func (c *Client) Hosts(ctx context.Context, dataCenter string) ([]endpoint.Info, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/pkg/membership/neighbours.go
+++ b/pkg/membership/neighbours.go
@@ -6,47 +6,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ringLinks is how many successors in its own data centre a node links to.
-const ringLinks = 2
+// ringSuccessors is the number of successors in its own data centre that a node links to.
+const ringSuccessors = 2
 
-// Neighbours returns the nodes that self dials: the next ones on a ring of its
-// data centre, and one in another data centre. Every node dials three at most
-// and is dialled by about as many, whatever the size of the fleet; the ring
-// joins a data centre, and the nodes of one data centre spread their outward
-// links over all the others.
+// Neighbours returns the nodes that self dials: its successors on a ring of its data centre, and
+// one node in another data centre. Every node dials three at most and is dialled by about as many,
+// whatever the size of the fleet. The ring connects the nodes of a data centre, which spread their
+// links to other data centres over all of these.
 func Neighbours(self Node, nodes []Node) []Node {
-	centres := byCentre(nodes)
+	rings := groupByDataCenter(nodes)
 	var list []Node
-	ring := centres[self.DataCenter]
-	at := position(ring, self.ID)
-	for step := 1; step <= ringLinks && step < len(ring); step++ {
-		list = append(list, ring[(at+step)%len(ring)])
+	ring := rings[self.DataCenter]
+	position := ringPosition(ring, self.ID)
+	for step := 1; step <= ringSuccessors && step < len(ring); step++ {
+		list = append(list, ring[(position+step)%len(ring)])
 	}
-	names := sortedNames(centres)
+	names := sortedDataCenters(rings)
 	if len(names) < 2 {
 		return list
 	}
-	own := sort.SearchStrings(names, self.DataCenter)
-	target := names[(own+1+at%(len(names)-1))%len(names)]
-	return append(list, TopByHash(self.ID, centres[target], 1)...)
+	ownIndex := sort.SearchStrings(names, self.DataCenter)
+	linked := names[(ownIndex+1+position%(len(names)-1))%len(names)]
+	return append(list, TopByHash(self.ID, rings[linked], 1)...)
 }
 
-// byCentre sorts living nodes into rings, each in the order of a hash so that
-// neighbours on the ring do not share a rack by their names.
-func byCentre(nodes []Node) map[string][]Node {
-	centres := map[string][]Node{}
+// groupByDataCenter returns a ring of the nodes that are not dead for each data centre. A ring is
+// ordered by a hash of the node IDs, so that neighbours do not share a rack because of similar
+// names.
+func groupByDataCenter(nodes []Node) map[string][]Node {
+	rings := map[string][]Node{}
 	for _, n := range nodes {
 		if n.Status != Dead {
-			centres[n.DataCenter] = append(centres[n.DataCenter], n)
+			rings[n.DataCenter] = append(rings[n.DataCenter], n)
 		}
 	}
-	for _, ring := range centres {
+	for _, ring := range rings {
 		sort.Slice(ring, func(i, j int) bool { return xxhash.Sum64String(ring[i].ID) < xxhash.Sum64String(ring[j].ID) })
 	}
-	return centres
+	return rings
 }
 
-func position(ring []Node, id string) int {
+func ringPosition(ring []Node, id string) int {
 	for i, n := range ring {
 		if n.ID == id {
 			return i
@@ -55,7 +55,7 @@
 	return 0
 }
 
-func sortedNames(centres map[string][]Node) []string {
+func sortedDataCenters(centres map[string][]Node) []string {
 	names := make([]string, 0, len(centres))
 	for name := range centres {
 		names = append(names, name)
@@ -64,25 +64,24 @@
 	return names
 }
 
-// TopByHash returns the count nodes that rank highest for a key (rendezvous
-// hashing, Thaler and Ravishankar 1998): when a node comes or goes, only the
-// keys that rank it first change hands.
+// TopByHash returns the count nodes that rank highest for a key (rendezvous hashing, Thaler and
+// Ravishankar 1998). When a node is added or removed, only the keys that rank it first move.
 func TopByHash(key string, nodes []Node, count int) []Node {
 	ranked := append([]Node(nil), nodes...)
 	sort.Slice(ranked, func(i, j int) bool { return weight(key, ranked[i].ID) > weight(key, ranked[j].ID) })
 	return ranked[:min(count, len(ranked))]
 }
 
-// RankOf returns a node's rank for a key among nodes, -1 if it is not there.
+// RankOf returns a node's rank for a key among nodes, -1 if the node is not among them.
 func RankOf(key, id string, nodes []Node) int {
 	rank := 0
 	found := false
-	own := weight(key, id)
+	ownWeight := weight(key, id)
 	for _, n := range nodes {
 		switch {
 		case n.ID == id:
 			found = true
-		case weight(key, n.ID) > own:
+		case weight(key, n.ID) > ownWeight:
 			rank++
 		}
 	}
--- a/pkg/membership/node.go
+++ b/pkg/membership/node.go
@@ -1,21 +1,21 @@
-// Package membership holds what a process knows of the entry hosts: who they
-// are, whether they live, and which of them to link to. It is a set of hints
-// that all converge on; nothing is agreed through it.
+// Package membership holds what a process knows about the entry hosts: who they are, whether they
+// are alive, and which of them to link to. The information is eventually consistent and serves only
+// as a hint; no consensus is reached through it.
 package membership
 
 import "github.com/cespare/xxhash/v2"
 
-// Status says whether a node is thought to live.
+// Status is whether a node is considered alive.
 type Status int
 
-// The statuses. Dead is final for an incarnation.
+// The statuses of a node. Dead is final for an incarnation.
 const (
 	Alive Status = iota + 1
 	Suspect
 	Dead
 )
 
-// String names the status.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -28,62 +28,62 @@
 	return "unknown"
 }
 
-// Node is what is known of one entry host. It is a value.
+// Node is what is known about one entry host. It is a value.
 type Node struct {
 	ID string
-	// Incarnation grows with each start.
+	// Incarnation increases with each start.
 	Incarnation int64
 	Status      Status
-	// Leaving never goes back to false in one incarnation.
+	// Leaving never returns to false in one incarnation.
 	Leaving bool
-	// Counter is raised by the node itself alone: to refute a suspicion and
-	// when a field below changes.
+	// Counter is increased only by the node itself: to refute a suspicion, and when a field below
+	// changes.
 	Counter       int64
 	DataCenter    string
 	Region        string
 	PeerAddress   string
 	CallerAddress string
-	// Ready says that the node knows enough to serve: a configuration, and the
-	// endpoints. It is not named to callers before.
+	// Ready reports whether the node knows enough to serve: a configuration and the endpoints.
+	// Callers are not given its address before.
 	Ready bool
-	// HasControl says that a control process is attached to the node.
+	// HasControl reports whether a control process is attached to the node.
 	HasControl bool
-	// Load is used places in tenths of the node's capacity.
+	// Load is the used part of the node's capacity in tenths.
 	Load int
 }
 
-// Owner names the node's incarnation, as rows in the table service do.
+// Owner returns the name of the node's incarnation as used in rows of the table service.
 func (n Node) Owner() string { return OwnerOf(n.ID, n.Incarnation) }
 
 // Serves reports whether callers may be sent to the node.
 func (n Node) Serves() bool { return n.Status == Alive && n.Ready && !n.Leaving }
 
-// Merge returns the newer of what is held and what was heard, and whether that
-// differs from what is held. Later incarnations win; in one incarnation dead is
-// final, then the higher counter wins, and of equal counters the suspicion.
-func Merge(held, heard Node) (Node, bool) {
-	if heard.Incarnation != held.Incarnation {
-		if heard.Incarnation > held.Incarnation {
-			return heard, true
+// Merge returns the newer of the current and the received state, and whether it differs from the
+// current one. Later incarnations win. Within an incarnation Dead is final; otherwise the higher
+// counter wins, and with equal counters the more suspicious status.
+func Merge(current, received Node) (Node, bool) {
+	if received.Incarnation != current.Incarnation {
+		if received.Incarnation > current.Incarnation {
+			return received, true
 		}
-		return held, false
+		return current, false
 	}
-	next := held
-	if heard.Counter > held.Counter {
-		next = heard
+	merged := current
+	if received.Counter > current.Counter {
+		merged = received
 	}
-	next.Leaving = held.Leaving || heard.Leaving
+	merged.Leaving = current.Leaving || received.Leaving
 	switch {
-	case held.Status == Dead || heard.Status == Dead:
-		next.Status = Dead
-	case heard.Counter == held.Counter:
-		next.Status = max(held.Status, heard.Status)
+	case current.Status == Dead || received.Status == Dead:
+		merged.Status = Dead
+	case received.Counter == current.Counter:
+		merged.Status = max(current.Status, received.Status)
 	}
-	return next, next != held
+	return merged, merged != current
 }
 
-// sum is the node's part of a digest.
-func (n Node) sum() uint64 {
+// checksum returns the node's contribution to the checksum of its bucket.
+func (n Node) checksum() uint64 {
 	var buffer [96]byte
 	b := append(buffer[:0], n.ID...)
 	for _, part := range [...]int64{n.Incarnation, int64(n.Status), n.Counter} {
--- a/pkg/membership/table.go
+++ b/pkg/membership/table.go
@@ -10,45 +10,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BucketCount is how many parts a table's digest has.
+// BucketCount is the number of buckets of a table's digest.
 const BucketCount = 16
 
-// Table keeps all nodes known to a process. It is safe for concurrent use.
+// Table holds all nodes known to a process. It is safe for concurrent use.
 type Table struct {
-	mu    sync.RWMutex
-	nodes map[string]Node
-	sums  [BucketCount]uint64
-	// view is made anew after a change; nil until asked for.
-	view []Node
+	mu        sync.RWMutex
+	nodes     map[string]Node
+	checksums [BucketCount]uint64
+	// sortedNodes are the nodes sorted by ID, nil after a change until needed.
+	sortedNodes []Node
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{nodes: map[string]Node{}} }
 
-// BucketOf returns the part of the digest an id belongs to.
+// BucketOf returns the bucket of the digest that an ID belongs to.
 func BucketOf(id string) int { return int(xxhash.Sum64String(id) % BucketCount) }
 
-// Merge takes in what was heard and returns what is now known, and whether
-// that was news.
-func (t *Table) Merge(heard Node) (Node, bool) {
+// Merge merges the received state of a node, and returns the resulting state and whether that has
+// changed.
+func (t *Table) Merge(received Node) (Node, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, known := t.nodes[heard.ID]
-	next, isNews := heard, true
-	oldSum := uint64(0)
+	current, known := t.nodes[received.ID]
+	merged, changed := received, true
+	oldChecksum := uint64(0)
 	if known {
-		next, isNews = Merge(held, heard)
-		oldSum = held.sum()
+		merged, changed = Merge(current, received)
+		oldChecksum = current.checksum()
 	}
-	if isNews {
-		t.nodes[heard.ID] = next
-		t.sums[BucketOf(heard.ID)] ^= oldSum ^ next.sum()
-		t.view = nil
+	if changed {
+		t.nodes[received.ID] = merged
+		t.checksums[BucketOf(received.ID)] ^= oldChecksum ^ merged.checksum()
+		t.sortedNodes = nil
 	}
-	return next, isNews
+	return merged, changed
 }
 
-// Get returns what is known of one node.
+// Get returns what is known about one node.
 func (t *Table) Get(id string) (Node, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -56,27 +56,27 @@
 	return n, ok
 }
 
-// Nodes returns all nodes in the order of their ids; not to be changed.
+// Nodes returns all nodes sorted by ID. The slice must not be changed.
 func (t *Table) Nodes() []Node {
 	t.mu.RLock()
-	view := t.view
+	nodes := t.sortedNodes
 	t.mu.RUnlock()
-	if view != nil {
-		return view
+	if nodes != nil {
+		return nodes
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.view == nil {
-		t.view = make([]Node, 0, len(t.nodes))
+	if t.sortedNodes == nil {
+		t.sortedNodes = make([]Node, 0, len(t.nodes))
 		for _, n := range t.nodes {
-			t.view = append(t.view, n)
+			t.sortedNodes = append(t.sortedNodes, n)
 		}
-		sort.Slice(t.view, func(i, j int) bool { return t.view[i].ID < t.view[j].ID })
+		sort.Slice(t.sortedNodes, func(i, j int) bool { return t.sortedNodes[i].ID < t.sortedNodes[j].ID })
 	}
-	return t.view
+	return t.sortedNodes
 }
 
-// ServingNodes returns the nodes callers may be sent to.
+// ServingNodes returns the nodes that callers may be sent to.
 func (t *Table) ServingNodes() []Node {
 	var list []Node
 	for _, n := range t.Nodes() {
@@ -87,29 +87,28 @@
 	return list
 }
 
-// Sums returns the digest, part by part.
+// Sums returns the digest: one checksum per bucket.
 func (t *Table) Sums() [BucketCount]uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.sums
+	return t.checksums
 }
 
-// InBuckets returns the nodes of the parts for which want is true.
-func (t *Table) InBuckets(want [BucketCount]bool) []Node {
+// InBuckets returns the nodes of the selected buckets.
+func (t *Table) InBuckets(selected [BucketCount]bool) []Node {
 	var list []Node
 	for _, n := range t.Nodes() {
-		if want[BucketOf(n.ID)] {
+		if selected[BucketOf(n.ID)] {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-// OwnerOf names an incarnation of a node in the table service.
+// OwnerOf returns the name of a node's incarnation as used in the table service.
 func OwnerOf(id string, incarnation int64) string { return fmt.Sprintf("%s@%d", id, incarnation) }
 
-// IncarnationOfOwner returns the incarnation of a name made by OwnerOf, 0 if it
-// is none.
+// IncarnationOfOwner returns the incarnation in a name made by OwnerOf, 0 for any other name.
 func IncarnationOfOwner(owner string) int64 {
 	_, text, _ := strings.Cut(owner, "@")
 	n, err := strconv.ParseInt(text, 10, 64)
@@ -119,7 +118,7 @@
 	return n
 }
 
-// NodeOfOwner returns the node of a name made by OwnerOf.
+// NodeOfOwner returns the node ID in a name made by OwnerOf.
 func NodeOfOwner(owner string) string {
 	id, _, _ := strings.Cut(owner, "@")
 	return id
