--- a/pkg/discovery/discovery.go
+++ b/pkg/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery keeps a directory of endpoints up to date from the rows
-// that they write in the platform's store.
+// Package discovery keeps a directory of endpoints up to date from the rows that they write in the
+// platform's store.
 package discovery
 
 import (
@@ -14,167 +14,169 @@
 	"ironhollow/pkg/storeversion"
 )
 
-// DecodeFunc reads an endpoint's row; id is its key.
+// DecodeFunc decodes an endpoint's row; id is its key.
 type DecodeFunc func(id string, value []byte) (endpoint.Info, error)
 
-// RenewalGrace is how long endpoints whose rows lapsed while the store was away
-// have to be back: the users say about two seconds from the store's return.
+// RenewalGrace is how long endpoints whose rows expired during an outage of the store have to renew
+// them once the store is back. The users require about two seconds.
 const RenewalGrace = 2 * time.Second
 
-// Syncer takes batches of rows in order. It is safe for concurrent use.
+// Syncer applies batches of rows to a directory, in order. It is safe for concurrent use.
 type Syncer struct {
 	directory *endpoint.Directory
 	decode    DecodeFunc
 	now       func() time.Time
 
-	// lapseTime is how long the store must have been away for rows to lapse by it.
-	lapseTime time.Duration
-	// othersInTouch reports whether another host has been in touch with the store for the whole of a
-	// time: then it was this host that was away.
-	othersInTouch func(time.Duration) bool
+	// minOutage is the shortest outage of the store through which rows may expire.
+	minOutage time.Duration
+	// peerReachedStore reports whether another host has reached the store without interruption for
+	// the given time. If one has, only this host was disconnected.
+	peerReachedStore func(time.Duration) bool
 
-	known atomic.Bool
-	lost  atomic.Bool
+	loaded           atomic.Bool
+	storeUnavailable atomic.Bool
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// era is the latest era of the store seen in a batch.
+	// era is the highest era of the store received in a batch.
 	era int64
-	// heardAt is when rows were last taken.
+	// appliedAt is when rows were last applied.
 	appliedAt time.Time
-	// lapsed are endpoints whose rows went while the store was away, and until
-	// when they have time to come back.
-	lapsed map[string]time.Time
-	// left are endpoints that went after they had said that they leave, with the start of
-	// the life that said so.
-	left map[string]int64
-	// lines are of the batch that is taken.
-	lines *lines
+	// graceUntil is when the grace ends of endpoints whose rows expired during an outage.
+	graceUntil map[string]time.Time
+	// leftStartedAt is the start time of endpoints that were removed after they had reported that
+	// they leave.
+	leftStartedAt map[string]int64
+	// changes logs the changes of the batch being applied.
+	changes *changeLog
 }
 
-// heartbeatsMissed is how many heartbeats in a row an endpoint surely misses
-// before its row lapses: it goes after three.
-const heartbeatsMissed = 2
+// minMissedHeartbeats is the number of consecutive heartbeats that an endpoint has certainly missed
+// when its row expires: it expires after three.
+const minMissedHeartbeats = 2
 
-// New returns rows of nothing; heartbeat is the time between two writes of an endpoint's row,
-// othersInTouch is as in Rows.
-func New(directory *endpoint.Directory, decode DecodeFunc, heartbeat time.Duration, othersHeard func(time.Duration) bool, now func() time.Time, logger *log.Logger) *Syncer {
+// New returns a syncer that has applied no rows. heartbeatInterval is the time between two writes
+// of an endpoint's row; storeReachedByPeer becomes Syncer.peerReachedStore.
+func New(directory *endpoint.Directory, decode DecodeFunc, heartbeatInterval time.Duration, storeReachedByPeer func(time.Duration) bool, now func() time.Time, logger *log.Logger) *Syncer {
 	return &Syncer{
-		directory: directory, decode: decode, lapseTime: heartbeatsMissed * heartbeat, othersInTouch: othersHeard, now: now, lines: newLines(logger),
-		lapsed: map[string]time.Time{},
-		left:   map[string]int64{},
+		directory: directory, decode: decode, minOutage: minMissedHeartbeats * heartbeatInterval, peerReachedStore: storeReachedByPeer, now: now, changes: newChangeLog(logger),
+		graceUntil:    map[string]time.Time{},
+		leftStartedAt: map[string]int64{},
 	}
 }
 
 // Loaded reports whether the rows have been read once.
-func (r *Syncer) Loaded() bool { return r.known.Load() }
-
-// MarkStoreUnavailable notes that the store did not answer. Rows that are gone when it does
-// again may have gone because nobody could renew them, if it was away for long
-// enough; a call or two that fail take no row away.
-func (r *Syncer) MarkStoreUnavailable() { r.lost.Store(true) }
-
-// Apply applies rows and removals.
-func (r *Syncer) Apply(batch feed.Batch) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	defer r.lines.flush()
-	now := r.now()
-	gap := now.Sub(r.appliedAt)
-	away := r.lost.Swap(false) && gap > r.lapseTime && !r.othersInTouch(gap)
-	// After a restore, rows first written since the backup are missing until they are written again.
+func (s *Syncer) Loaded() bool { return s.loaded.Load() }
+
+// MarkStoreUnavailable records that the store did not respond. If the outage is long enough, rows
+// that are missing afterwards may have expired because they could not be renewed. One or two failed
+// calls expire no row.
+func (s *Syncer) MarkStoreUnavailable() { s.storeUnavailable.Store(true) }
+
+// Apply applies a batch of rows and removals.
+func (s *Syncer) Apply(batch feed.Batch) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	defer s.changes.flush()
+	now := s.now()
+	sinceApplied := now.Sub(s.appliedAt)
+	outage := s.storeUnavailable.Swap(false) && sinceApplied > s.minOutage && !s.peerReachedStore(sinceApplied)
+	// After a restore, rows first written since the backup are missing until they are written
+	// again.
 	era := storeversion.Era(batch.Version)
-	away = away || r.known.Load() && era > r.era
-	r.appliedAt, r.era = now, max(r.era, era)
-	named := map[string]bool{}
+	outage = outage || s.loaded.Load() && era > s.era
+	s.appliedAt, s.era = now, max(s.era, era)
+	listed := map[string]bool{}
 	for _, row := range batch.Rows {
 		if row.Deleted {
-			r.lapse(row.Key, away, now)
+			s.handleRemoval(row.Key, outage, now)
 			continue
 		}
-		named[row.Key] = true
-		r.take(row)
+		listed[row.Key] = true
+		s.applyRow(row)
 	}
 	if batch.Full {
-		for _, info := range r.directory.View().Infos() {
-			if info.State != endpoint.Gone && !named[info.ID] {
-				r.lapse(info.ID, away, now)
+		for _, info := range s.directory.View().Infos() {
+			if info.State != endpoint.Gone && !listed[info.ID] {
+				s.handleRemoval(info.ID, outage, now)
 			}
 		}
 	}
-	r.expire(now)
-	r.known.Store(true)
+	s.expireGrace(now)
+	s.loaded.Store(true)
 }
 
-// Expire removes endpoints that are not back in time after the store was. The store may have no
-// changes just then, so that no batch comes.
-func (r *Syncer) Expire() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.expire(r.now())
-	r.lines.flush()
+// Expire removes endpoints whose grace after an outage has ended. It is needed because no batch
+// arrives while the store has no changes.
+func (s *Syncer) Expire() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireGrace(s.now())
+	s.changes.flush()
 }
 
-func (r *Syncer) lapse(id string, away bool, now time.Time) {
-	if !away {
-		delete(r.lapsed, id)
-		r.gone(id, "row removed")
+func (s *Syncer) handleRemoval(id string, outage bool, now time.Time) {
+	if !outage {
+		delete(s.graceUntil, id)
+		s.markGone(id, "row removed")
 		return
 	}
-	if _, waiting := r.lapsed[id]; !waiting {
-		r.lapsed[id] = now.Add(RenewalGrace)
-		r.lines.lapsed(id)
+	if _, inGrace := s.graceUntil[id]; !inGrace {
+		s.graceUntil[id] = now.Add(RenewalGrace)
+		s.changes.keptInGrace(id)
 	}
 }
 
-func (r *Syncer) expire(now time.Time) {
-	for id, until := range r.lapsed {
-		if now.After(until) {
-			delete(r.lapsed, id)
-			r.gone(id, "not back after the store was")
+func (s *Syncer) expireGrace(now time.Time) {
+	for id, deadline := range s.graceUntil {
+		if now.After(deadline) {
+			delete(s.graceUntil, id)
+			s.markGone(id, "row not renewed after store outage")
 		}
 	}
 }
 
-func (r *Syncer) gone(id, why string) {
-	info, ok := r.directory.Get(id)
+func (s *Syncer) markGone(id, reason string) {
+	info, ok := s.directory.Get(id)
 	if !ok || info.State == endpoint.Gone {
 		return
 	}
 	if info.State == endpoint.Leaving {
-		r.left[id] = info.Born
+		s.leftStartedAt[id] = info.Born
 	}
 	info.State = endpoint.Gone
-	r.directory.Merge(info)
-	r.lines.gone(info, why)
+	s.directory.Merge(info)
+	s.changes.gone(info, reason)
 }
 
-func (r *Syncer) take(row feed.Row) {
-	delete(r.lapsed, row.Key)
-	heard, err := r.decode(row.Key, row.Value)
+func (s *Syncer) applyRow(row feed.Row) {
+	delete(s.graceUntil, row.Key)
+	received, err := s.decode(row.Key, row.Value)
 	if err != nil {
-		r.lines.unread(err, row.Version)
+		s.changes.decodeFailed(err, row.Version)
 		return
 	}
-	heard.Counter = row.Version
-	held, known := r.directory.Get(row.Key)
-	if known && held.State != endpoint.Gone && !startedAnew(held, heard) {
-		heard.Incarnation = held.Incarnation
+	received.Counter = row.Version
+	current, known := s.directory.Get(row.Key)
+	if known && current.State != endpoint.Gone && !hasRestarted(current, received) {
+		received.Incarnation = current.Incarnation
 	} else {
-		// A row that is back after it went is of one that was cut off and serves
-		// again: it counts as a new life. So does one that started again under its id,
-		// or what its earlier life said, as that it leaves, would hold for ever.
-		heard.Incarnation = row.Version
+		// A row that returns after its removal is from an endpoint that was disconnected and serves
+		// again: it counts as a new incarnation. So does an endpoint that has restarted under its
+		// ID; otherwise reports of its earlier run, such as that it leaves, would remain in force.
+		received.Incarnation = row.Version
 	}
-	if born, left := r.left[row.Key]; left && born == heard.Born {
-		// A heartbeat that the store applied late must not bring it back.
-		heard.State = endpoint.Leaving
+	if startedAt, hasLeft := s.leftStartedAt[row.Key]; hasLeft && startedAt == received.Born {
+		// A heartbeat that the store applied late must not restore the endpoint.
+		received.State = endpoint.Leaving
 	}
-	next, _ := r.directory.Merge(heard)
-	if !known || held.State != next.State {
-		r.lines.seen(heard, next.State, row.Version)
+	merged, _ := s.directory.Merge(received)
+	if !known || current.State != merged.State {
+		s.changes.stateChanged(received, merged.State, row.Version)
 	}
 }
 
-// startedAnew reports whether an endpoint has started again since what is held of it.
-func startedAnew(held, heard endpoint.Info) bool { return held.Born > 0 && heard.Born > held.Born }
+// hasRestarted reports whether an endpoint has restarted since its current state was received.
+func hasRestarted(current, received endpoint.Info) bool {
+	return current.Born > 0 && received.Born > current.Born
+}
--- a/pkg/discovery/discovery_test.go
+++ b/pkg/discovery/discovery_test.go
@@ -16,39 +16,39 @@
 	"ironhollow/pkg/storeversion"
 )
 
-// site is a directory fed by rows whose value is the endpoint's state.
-type site struct {
+// fixture is a directory updated from rows whose value is the endpoint's state.
+type fixture struct {
 	*discovery.Syncer
 	directory *endpoint.Directory
 	now       time.Time
 	version   int64
-	// others is how long another host has been in touch with the store.
-	others time.Duration
+	// peerReachedFor is how long another host has reached the store without interruption.
+	peerReachedFor time.Duration
 }
 
 func decode(id string, value []byte) (endpoint.Info, error) {
 	info := endpoint.Info{ID: id, State: endpoint.Live, Service: "svc", Kind: endpoint.Plain}
-	text, born, _ := strings.Cut(string(value), " ")
+	state, born, _ := strings.Cut(string(value), " ")
 	info.Born, _ = strconv.ParseInt(born, 10, 64)
-	switch text {
+	switch state {
 	case "live":
 	case "leaving":
 		info.State = endpoint.Leaving
 	default:
-		return info, errors.New("no such state")
+		return info, errors.New("unknown state")
 	}
 	return info, nil
 }
 
-func newSite() *site {
-	s := &site{directory: endpoint.NewDirectory(), now: time.Unix(1000, 0)}
+func newFixture() *fixture {
+	s := &fixture{directory: endpoint.NewDirectory(), now: time.Unix(1000, 0)}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	s.Syncer = discovery.New(s.directory, decode, 1200*time.Millisecond, func(d time.Duration) bool { return s.others >= d }, func() time.Time { return s.now }, logger)
+	s.Syncer = discovery.New(s.directory, decode, 1200*time.Millisecond, func(d time.Duration) bool { return s.peerReachedFor >= d }, func() time.Time { return s.now }, logger)
 	return s
 }
 
-// rows gives rows as id, state; an empty state removes the row.
-func (s *site) rows(full bool, pairs ...string) {
+// applyRows applies rows given as pairs of ID and state. An empty state removes the row.
+func (s *fixture) applyRows(full bool, pairs ...string) {
 	batch := feed.Batch{Full: full}
 	for i := 0; i+1 < len(pairs); i += 2 {
 		s.version++
@@ -58,164 +58,165 @@
 	s.Apply(batch)
 }
 
-func (s *site) want(t *testing.T, when, id string, takes bool) {
+func (s *fixture) expectTakesWork(t *testing.T, when, id string, takesWork bool) {
 	t.Helper()
 	info, ok := s.directory.Get(id)
-	if got := ok && info.Takes(); got != takes {
-		t.Errorf("%s, %s takes work: got %v, want %v", when, id, got, takes)
+	if got := ok && info.Takes(); got != takesWork {
+		t.Errorf("%s, %s takes work: got %v, want %v", when, id, got, takesWork)
 	}
 }
 
-func TestRowsComeAndGo(t *testing.T) {
-	s := newSite()
+func TestRowsAreAppliedAndRemoved(t *testing.T) {
+	s := newFixture()
 	if s.Loaded() {
-		t.Error("known before anything was read")
+		t.Error("loaded before any rows were read")
 	}
-	s.rows(true, "a", "live", "b", "live", "c", "live")
-	s.rows(false, "a", "leaving")
-	s.want(t, "draining", "a", false)
-	s.rows(false, "a", "live")
-	s.want(t, "a leaving endpoint that says it lives", "a", false)
-	s.rows(false, "b", "")
-	s.want(t, "removed", "b", false)
-	s.rows(false, "b", "live")
-	s.want(t, "back after it was cut off", "b", true)
-	s.rows(false, "c", "of a state to come")
-	s.want(t, "a row that does not decode", "c", true)
-	s.rows(true, "b", "live")
-	s.want(t, "not in a snapshot", "c", false)
+	s.applyRows(true, "a", "live", "b", "live", "c", "live")
+	s.applyRows(false, "a", "leaving")
+	s.expectTakesWork(t, "draining", "a", false)
+	s.applyRows(false, "a", "live")
+	s.expectTakesWork(t, "leaving endpoint that reports live", "a", false)
+	s.applyRows(false, "b", "")
+	s.expectTakesWork(t, "removed", "b", false)
+	s.applyRows(false, "b", "live")
+	s.expectTakesWork(t, "row written again after its removal", "b", true)
+	s.applyRows(false, "c", "of a state to come")
+	s.expectTakesWork(t, "row that cannot be decoded", "c", true)
+	s.applyRows(true, "b", "live")
+	s.expectTakesWork(t, "not in a snapshot", "c", false)
 }
 
-// Rows lapse while the store is away: those endpoints stay in use for two
-// seconds after its return.
-func TestRowsThatLapseWhileTheStoreIsAway(t *testing.T) {
+// Endpoints whose rows expire during an outage of the store stay in use for two seconds after it.
+func TestRowsThatExpireDuringAnOutage(t *testing.T) {
 	for _, full := range []bool{false, true} {
-		s := newSite()
-		s.rows(true, "back", "live", "dead", "live", "other", "live")
+		s := newFixture()
+		s.applyRows(true, "back", "live", "dead", "live", "other", "live")
 		s.MarkStoreUnavailable()
 		s.now = s.now.Add(10 * time.Second)
-		s.want(t, "away", "dead", true)
+		s.expectTakesWork(t, "during the outage", "dead", true)
 		if full {
-			s.rows(true, "other", "live")
+			s.applyRows(true, "other", "live")
 		} else {
-			s.rows(false, "back", "", "dead", "")
+			s.applyRows(false, "back", "", "dead", "")
 		}
-		s.want(t, "just returned", "dead", true)
+		s.expectTakesWork(t, "just after the outage", "dead", true)
 		s.now = s.now.Add(time.Second)
-		s.rows(false, "back", "live")
+		s.applyRows(false, "back", "live")
 		s.now = s.now.Add(1100 * time.Millisecond)
-		s.rows(false)
-		s.want(t, "two seconds after", "dead", false)
-		s.want(t, "two seconds after", "back", true)
-		s.want(t, "two seconds after", "other", true)
+		s.applyRows(false)
+		s.expectTakesWork(t, "two seconds after the outage", "dead", false)
+		s.expectTakesWork(t, "two seconds after the outage", "back", true)
+		s.expectTakesWork(t, "two seconds after the outage", "other", true)
 	}
 }
 
-// The store sends nothing more after its return: what is missing goes in time.
-func TestLapsedEndpointGoesWithoutABatch(t *testing.T) {
-	s := newSite()
-	s.rows(true, "dead", "live")
+// The store sends nothing more after an outage: missing endpoints are still removed when their
+// grace ends.
+func TestGraceEndsWithoutABatch(t *testing.T) {
+	s := newFixture()
+	s.applyRows(true, "dead", "live")
 	s.MarkStoreUnavailable()
 	s.now = s.now.Add(10 * time.Second)
-	s.rows(false, "dead", "")
+	s.applyRows(false, "dead", "")
 	s.now = s.now.Add(discovery.RenewalGrace)
 	s.Expire()
-	s.want(t, "two seconds after", "dead", true)
+	s.expectTakesWork(t, "two seconds after the outage", "dead", true)
 	s.now = s.now.Add(time.Millisecond)
 	s.Expire()
-	s.want(t, "over two seconds after", "dead", false)
+	s.expectTakesWork(t, "more than two seconds after the outage", "dead", false)
 }
 
-// An endpoint that leaves while the store is away is not kept.
-func TestLeavingWhileTheStoreIsAway(t *testing.T) {
-	s := newSite()
-	s.rows(true, "a", "live")
+// An endpoint that reports during an outage that it leaves is not kept in use.
+func TestLeavingDuringAnOutage(t *testing.T) {
+	s := newFixture()
+	s.applyRows(true, "a", "live")
 	s.MarkStoreUnavailable()
-	s.rows(false, "a", "leaving")
-	s.want(t, "returned", "a", false)
+	s.applyRows(false, "a", "leaving")
+	s.expectTakesWork(t, "after the outage", "a", false)
 }
 
-// A call fails and the next one has a removal: the row did not lapse for
-// that, and the endpoint gets nothing more.
-func TestShortLossKeepsNoEndpoint(t *testing.T) {
-	s := newSite()
-	s.rows(true, "a", "live", "b", "live")
+// A call to the store fails and the next one returns a removal. Too little time has passed for the
+// row to expire, so the endpoint gets no grace.
+func TestFailedCallKeepsNoEndpoint(t *testing.T) {
+	s := newFixture()
+	s.applyRows(true, "a", "live", "b", "live")
 	s.MarkStoreUnavailable()
 	s.now = s.now.Add(1300 * time.Millisecond)
-	s.rows(false, "a", "")
-	s.want(t, "after a call that failed", "a", false)
+	s.applyRows(false, "a", "")
+	s.expectTakesWork(t, "after a failed call", "a", false)
 	s.MarkStoreUnavailable()
 	s.now = s.now.Add(1300 * time.Millisecond)
-	s.rows(true)
-	s.want(t, "not in a snapshot after a call that failed", "b", false)
+	s.applyRows(true)
+	s.expectTakesWork(t, "not in a snapshot after a failed call", "b", false)
 }
 
-// Endpoints whose rows are missing after a restore must not be removed before RenewalGrace has passed.
-func TestEndpointsThatARestoredStoreLacksAreKept(t *testing.T) {
-	s := newSite()
-	s.rows(true, "a", "live", "b", "live")
+// Endpoints whose rows are missing after a restore must not be removed before RenewalGrace has
+// passed.
+func TestEndpointsMissingAfterARestoreAreKept(t *testing.T) {
+	s := newFixture()
+	s.applyRows(true, "a", "live", "b", "live")
 	s.version = storeversion.New(1, 0)
 	batch := feed.Batch{Full: true, Version: s.version}
 	s.Apply(batch)
-	s.want(t, "restored", "a", true)
-	s.want(t, "restored", "b", true)
-	s.rows(false, "a", "live")
+	s.expectTakesWork(t, "restored", "a", true)
+	s.expectTakesWork(t, "restored", "b", true)
+	s.applyRows(false, "a", "live")
 	s.now = s.now.Add(discovery.RenewalGrace + time.Millisecond)
 	s.Expire()
-	s.want(t, "written again", "a", true)
-	s.want(t, "not written again", "b", false)
+	s.expectTakesWork(t, "written again", "a", true)
+	s.expectTakesWork(t, "not written again", "b", false)
 }
 
-// This host alone was cut off from the store, and an endpoint left meanwhile: its
-// row did not lapse, since another host was in touch all the time.
-func TestLeavingWhileThisHostIsCutOff(t *testing.T) {
-	s := newSite()
-	s.rows(true, "a", "live")
+// Only this host is disconnected from the store, and an endpoint leaves meanwhile. Its row was
+// removed and did not expire, since another host reached the store all the time.
+func TestLeavingWhileThisHostIsPartitioned(t *testing.T) {
+	s := newFixture()
+	s.applyRows(true, "a", "live")
 	s.MarkStoreUnavailable()
 	s.now = s.now.Add(6 * time.Second)
-	s.others = time.Minute
-	s.rows(false, "a", "")
-	s.want(t, "back in touch", "a", false)
+	s.peerReachedFor = time.Minute
+	s.applyRows(false, "a", "")
+	s.expectTakesWork(t, "reconnected", "a", false)
 }
 
-// An endpoint that starts again under its id takes work, whatever its earlier life has
-// said in its rows or its answers; heartbeats of a life take no word back.
-func TestStartUnderTheSameID(t *testing.T) {
-	s := newSite()
-	s.rows(true, "e1", "live 5", "e2", "live 5")
-	s.rows(false, "e1", "leaving 5")
+// An endpoint that restarts under its ID takes work, whatever its earlier run has reported in its
+// rows or its responses. Heartbeats of the same run do not undo such a report.
+func TestRestartUnderTheSameID(t *testing.T) {
+	s := newFixture()
+	s.applyRows(true, "e1", "live 5", "e2", "live 5")
+	s.applyRows(false, "e1", "leaving 5")
 	info, _ := s.directory.Get("e2")
 	s.directory.Leave(info.Ref(), func(i *endpoint.Info) { i.State = endpoint.Leaving })
-	s.rows(false, "e1", "live 5", "e2", "live 5")
-	s.want(t, "heartbeats after the word", "e1", false)
-	s.want(t, "heartbeats after the word", "e2", false)
-	s.rows(false, "e1", "live 6", "e2", "live 6")
-	s.want(t, "started again", "e1", true)
-	s.want(t, "started again", "e2", true)
+	s.applyRows(false, "e1", "live 5", "e2", "live 5")
+	s.expectTakesWork(t, "heartbeats after the report", "e1", false)
+	s.expectTakesWork(t, "heartbeats after the report", "e2", false)
+	s.applyRows(false, "e1", "live 6", "e2", "live 6")
+	s.expectTakesWork(t, "restarted", "e1", true)
+	s.expectTakesWork(t, "restarted", "e2", true)
 	if later, _ := s.directory.Get("e2"); later.Incarnation <= info.Incarnation {
 		t.Errorf("incarnation: got %d after %d, want a later one", later.Incarnation, info.Incarnation)
 	}
 }
 
-// A row that comes back after its endpoint had said that it leaves and went is a late
-// write of the same life: it takes no work, whatever it says. One that went without such
-// a word was cut off and serves again.
-func TestLateRowOfALifeThatLeft(t *testing.T) {
+// A row that returns after its endpoint had reported that it leaves and was removed is a late write
+// of the same run: the endpoint takes no work, whatever the row says. An endpoint removed without
+// such a report was disconnected and serves again.
+func TestLateRowOfAnIncarnationThatLeft(t *testing.T) {
 	for _, born := range []string{"", " 5"} {
-		s := newSite()
-		s.rows(true, "e1", "live"+born, "e2", "live"+born)
-		s.rows(false, "e1", "leaving"+born)
-		s.rows(false, "e1", "", "e2", "")
-		s.rows(false, "e1", "live"+born, "e2", "live"+born)
-		s.want(t, "late row of one that left", "e1", false)
-		s.want(t, "row of one that was cut off", "e2", true)
-		s.rows(false, "e1", "", "e2", "")
-		s.rows(false, "e1", "live"+born)
-		s.want(t, "second late row of one that left", "e1", false)
-		// Without its start a next life has another id.
+		s := newFixture()
+		s.applyRows(true, "e1", "live"+born, "e2", "live"+born)
+		s.applyRows(false, "e1", "leaving"+born)
+		s.applyRows(false, "e1", "", "e2", "")
+		s.applyRows(false, "e1", "live"+born, "e2", "live"+born)
+		s.expectTakesWork(t, "late row of an endpoint that left", "e1", false)
+		s.expectTakesWork(t, "row of an endpoint that was disconnected", "e2", true)
+		s.applyRows(false, "e1", "", "e2", "")
+		s.applyRows(false, "e1", "live"+born)
+		s.expectTakesWork(t, "second late row of an endpoint that left", "e1", false)
+		// Without a start time in the row, the next run has another ID.
 		if born != "" {
-			s.rows(false, "e1", "live 6")
-			s.want(t, "next life of one that left", "e1", true)
+			s.applyRows(false, "e1", "live 6")
+			s.expectTakesWork(t, "next run of an endpoint that left", "e1", true)
 		}
 	}
 }
