--- a/pkg/discovery/lines.go
+++ b/pkg/discovery/lines.go
@@ -10,69 +10,72 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// mostLines is how many changes of one batch get a log line each; a larger batch gets one line
-// with the number of each kind, as thousands of endpoints may change at once.
-const mostLines = 16
+// maxLinesPerBatch is the number of changes of a batch up to which each gets a log line. A larger
+// batch gets one line with the number of changes of each kind, as thousands of endpoints may change
+// at once.
+const maxLinesPerBatch = 16
 
-// lines writes what changes with a batch. One goroutine uses it at a time.
-type lines struct {
+// changeLog logs the changes of a batch. Only one goroutine may use it at a time.
+type changeLog struct {
 	log     *log.Logger
-	waiting []func()
-	sums    map[string]int
+	pending []func()
+	counts  map[string]int
 }
 
-func newLines(logger *log.Logger) *lines { return &lines{log: logger, sums: map[string]int{}} }
+func newChangeLog(logger *log.Logger) *changeLog {
+	return &changeLog{log: logger, counts: map[string]int{}}
+}
 
-// seen notes an endpoint's new state by its row.
-func (l *lines) seen(heard endpoint.Info, state endpoint.State, row int64) {
-	l.add(fmt.Sprintf("%s %s", heard.Service, state), func() {
-		l.log.Info().Str("endpoint", heard.ID).Str("service", heard.Service).Str("dc", heard.DataCenter).Str("address", heard.Address).
-			Str("state", state.String()).Bool("reclaimable", heard.Reclaimable).Int64("row", row).Msg("endpoint")
+// stateChanged records an endpoint's new state according to its row.
+func (l *changeLog) stateChanged(info endpoint.Info, state endpoint.State, version int64) {
+	l.add(fmt.Sprintf("%s %s", info.Service, state), func() {
+		l.log.Info().Str("endpoint", info.ID).Str("service", info.Service).Str("dc", info.DataCenter).Str("address", info.Address).
+			Str("state", state.String()).Bool("reclaimable", info.Reclaimable).Int64("row", version).Msg("endpoint")
 	})
 }
 
-// gone notes that an endpoint is gone.
-func (l *lines) gone(info endpoint.Info, why string) {
-	l.add(fmt.Sprintf("%s gone, %s", info.Service, why), func() {
-		l.log.Info().Str("endpoint", info.ID).Str("address", info.Address).Str("why", why).Msg("endpoint gone")
+// gone records that an endpoint was removed.
+func (l *changeLog) gone(info endpoint.Info, reason string) {
+	l.add(fmt.Sprintf("%s gone, %s", info.Service, reason), func() {
+		l.log.Info().Str("endpoint", info.ID).Str("address", info.Address).Str("why", reason).Msg("endpoint gone")
 	})
 }
 
-// lapsed notes that an endpoint is kept though its row lapsed.
-func (l *lines) lapsed(id string) {
+// keptInGrace records that an endpoint is kept although its row has expired.
+func (l *changeLog) keptInGrace(id string) {
 	l.add("lapsed", func() {
 		l.log.Info().Str("endpoint", id).Dur("kept", RenewalGrace).Msg("endpoint's row lapsed while the store was away")
 	})
 }
 
-// unread notes a row that was not taken.
-func (l *lines) unread(err error, row int64) {
-	l.add("not taken", func() { l.log.Error().Err(err).Int64("row", row).Msg("endpoint's row not taken") })
+// decodeFailed records a row that could not be decoded.
+func (l *changeLog) decodeFailed(err error, version int64) {
+	l.add("not decoded", func() { l.log.Error().Err(err).Int64("row", version).Msg("cannot decode endpoint's row") })
 }
 
-func (l *lines) add(kind string, write func()) {
-	l.sums[kind]++
-	if len(l.waiting) < mostLines {
-		l.waiting = append(l.waiting, write)
+func (l *changeLog) add(kind string, write func()) {
+	l.counts[kind]++
+	if len(l.pending) < maxLinesPerBatch {
+		l.pending = append(l.pending, write)
 	}
 }
 
-// flush writes the lines of a batch, or one for all where they are many.
-func (l *lines) flush() {
-	sum := 0
-	kinds := make([]string, 0, len(l.sums))
-	for kind, count := range l.sums {
-		sum += count
+// flush writes the log lines of a batch, or a single summary line if there are too many.
+func (l *changeLog) flush() {
+	total := 0
+	kinds := make([]string, 0, len(l.counts))
+	for kind, count := range l.counts {
+		total += count
 		kinds = append(kinds, fmt.Sprintf("%s: %d", kind, count))
 	}
-	if sum > mostLines {
+	if total > maxLinesPerBatch {
 		sort.Strings(kinds)
-		l.log.Info().Int("changes", sum).Str("kinds", strings.Join(kinds, "; ")).Msg("endpoints")
+		l.log.Info().Int("changes", total).Str("kinds", strings.Join(kinds, "; ")).Msg("endpoints")
 	} else {
-		for _, write := range l.waiting {
+		for _, write := range l.pending {
 			write()
 		}
 	}
-	l.waiting = nil
-	clear(l.sums)
+	l.pending = nil
+	clear(l.counts)
 }
