--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -146,7 +146,7 @@
 	}
 	slices.Sort(names)
 	a.router.SetHosts(names, time.Now())
-	a.api.Notices.Expire(time.Now())
+	a.api.Notices.ExpireLimits(time.Now())
 }
 
 // share keeps limits and gates in step with the other entries.
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -30,7 +30,7 @@
 func newAPI(
 	settings Settings, self membership.Node, holder *config.Holder, nodes *membership.Table, router *route.Router,
 	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, jobs *job.Store, worker *job.Worker,
-	jobCounters *job.Counters, claims *claim.Claims, plain plainservice.API, budget *retry.Budget, notices *notice.Board,
+	jobCounters *job.Counters, claims *claim.Claims, plain plainservice.API, budget *retry.Budget, notices *notice.Tracker,
 	history *explain.History, tracer trace.Tracer, counters *callerapi.Counters,
 ) *callerapi.API {
 	return callerapi.New(callerapi.Deps{
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -83,7 +83,7 @@
 	return gossip.Update{
 		Status:  roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loads.OwnAt(endpoints)},
 		Placed:  n.router.DrainPlacements(),
-		Notices: n.notices.ReportsOf(endpoints, n.clock.Now()),
+		Notices: n.notices.ReportsFor(endpoints, n.clock.Now()),
 	}
 }
 
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -68,7 +68,7 @@
 	life        *life
 	store       *storecalls.Counted
 	// copy is what others follow through this host, by peers.
-	copy      *relay.Copy
+	copy      *relay.Replica
 	peers     peerClient
 	view      *storeview.View
 	router    *route.Router
@@ -90,7 +90,7 @@
 	replaced  replacedBy
 	crashes   *quarantine.Watch
 	keeper    *quarantinesync.Syncer
-	notices   *notice.Board
+	notices   *notice.Tracker
 	watchdog  *watchdog.Watchdog
 
 	suspensions *suspensions
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -79,7 +79,7 @@
 // newCopy passes on rows of endpoints only where something of them has changed that
 // is decoded: their heartbeats tell nothing but that they live, and a row that is not
 // renewed is removed by the store.
-func newCopy(platform Platform, clock *storeclock.Clock) *relay.Copy {
+func newCopy(platform Platform, clock *storeclock.Clock) *relay.Replica {
 	endpoints := platform.Tables().Endpoints
 	says := func(table string, before, now []byte) bool {
 		if table != endpoints {
@@ -93,7 +93,7 @@
 		}
 		return held != heard
 	}
-	return relay.NewCopy(clock.Now, says)
+	return relay.NewReplica(clock.Now, says)
 }
 
 func newHome(s Settings) route.Location {
@@ -181,12 +181,12 @@
 	return watchdog.New(registry, logger)
 }
 
-func newNotices(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Board {
+func newNotices(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Tracker {
 	return notice.New(view.Directory(), router, logger)
 }
 
 func newForwarder(platform Platform, view *storeview.View, home route.Location, router *route.Router, limits *limit.CostLimiter, budget *retry.WindowBudget,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Tracker, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
 	var ready atomic.Bool
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -58,7 +58,7 @@
 	JobStat *job.Counters
 	Claims  *claim.Claims
 	Plain   plainservice.API
-	Notices *notice.Board
+	Notices *notice.Tracker
 	Budget  *retry.Budget
 	History *explain.History
 	Tracer  trace.Tracer
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -111,9 +111,9 @@
 	var away *plainservice.TurnedAway
 	switch {
 	case err == nil:
-		p.api.Notices.ApplyAnswer(choice.Endpoint, answer.Notice, sent, time.Now())
+		p.api.Notices.ApplyResponse(choice.Endpoint, answer.Notice, sent, time.Now())
 	case errors.As(err, &away):
-		p.api.Notices.ApplyAnswer(choice.Endpoint, away.Notice, sent, time.Now())
+		p.api.Notices.ApplyResponse(choice.Endpoint, away.Notice, sent, time.Now())
 	}
 	return answer, err
 }
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -130,7 +130,7 @@
 	}
 	if e.Status()/100 != 2 || verdict.Signed {
 		c.said = noticeOf(verdict)
-		c.f.notices.ApplyAnswer(choice.Endpoint, c.said, c.sentAt, c.f.clock())
+		c.f.notices.ApplyResponse(choice.Endpoint, c.said, c.sentAt, c.f.clock())
 	}
 	if verdict.NotRun {
 		drain(e)
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -56,7 +56,7 @@
 	fleet    Fleet
 	rollouts *rollout.Splitter
 	crashes  *quarantine.Watch
-	notices  *notice.Board
+	notices  *notice.Tracker
 	clock    Clock
 	metrics  *Metrics
 	log      *log.Logger
@@ -81,7 +81,7 @@
 
 // New returns a forwarder.
 func New(protocol Protocol, tables RouteTableSource, router *route.Router, limits *limit.CostLimiter, budget *retry.WindowBudget, pool *upstream.Pool,
-	runs RunCounter, fleet Fleet, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Board, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
+	runs RunCounter, fleet Fleet, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Tracker, phase func() Phase, clock Clock, metrics *Metrics, logger *log.Logger,
 ) *Forwarder {
 	return &Forwarder{
 		protocol: protocol, tables: tables, router: router, limits: limits, budget: budget, pool: pool,
--- a/pkg/gossip/gossip_test.go
+++ b/pkg/gossip/gossip_test.go
@@ -253,7 +253,7 @@
 	members.NoteStoreResponse(time.Now())
 	members.ApplyStatus(roster.Status{Host: other.host, Sequence: 1}, time.Now())
 	notices := []notice.Report{
-		{Endpoint: "e1", Born: 1_800_000_000_000, Notice: endpoint.Notice{Leaving: true}},
+		{Endpoint: "e1", StartedMS: 1_800_000_000_000, Notice: endpoint.Notice{Leaving: true}},
 		{Endpoint: "e2", Notice: endpoint.Notice{Backoff: 1500 * time.Millisecond}},
 	}
 	absurd := []notice.Report{{Endpoint: "e3", Notice: endpoint.Notice{Backoff: -time.Hour}}, {Endpoint: "e4", Notice: endpoint.Notice{Backoff: math.MaxInt64}}}
@@ -371,7 +371,7 @@
 	for _, size := range []struct{ hosts, callers int }{{9, 9}, {30, 9}, {91, 22}, {195, 48}, {420, 64}} {
 		start := time.Unix(1_000_000, 0)
 		random := rand.New(rand.NewPCG(1, uint64(size.hosts)))
-		boards := make([]*notice.Board, size.callers)
+		boards := make([]*notice.Tracker, size.callers)
 		directories := make([]*endpoint.Directory, size.callers)
 		for i := range boards {
 			directories[i] = endpoint.NewDirectory()
@@ -387,8 +387,8 @@
 			}
 		}
 		heard, _ := directories[0].Get(id)
-		boards[0].ApplyAnswer(heard, endpoint.Notice{Leaving: true}, start, start)
-		report(boards[0].ReportsOf([]string{id}, start), start)
+		boards[0].ApplyResponse(heard, endpoint.Notice{Leaving: true}, start, start)
+		report(boards[0].ReportsFor([]string{id}, start), start)
 		pace := gossip.Pace{}
 		for now := start; now.Before(start.Add(within)); {
 			pause, _ := pace.Next(size.callers-1, size.hosts-size.callers)
--- a/pkg/gossip/notices.go
+++ b/pkg/gossip/notices.go
@@ -30,10 +30,10 @@
 func (m *eventMessage) addNotices(list []notice.Report) {
 	for _, t := range list {
 		if t.LimitVersion > 0 {
-			m.Limits = append(m.Limits, wireLimit{Endpoint: t.Endpoint, Born: t.Born, Version: t.LimitVersion, PerSecond: float64(t.Notice.Limit)})
+			m.Limits = append(m.Limits, wireLimit{Endpoint: t.Endpoint, Born: t.StartedMS, Version: t.LimitVersion, PerSecond: float64(t.Notice.Limit)})
 			continue
 		}
-		m.Notices = append(m.Notices, wireNotice{Endpoint: t.Endpoint, Born: t.Born, Leaving: t.Notice.Leaving, BackoffMS: t.Notice.Backoff.Milliseconds()})
+		m.Notices = append(m.Notices, wireNotice{Endpoint: t.Endpoint, Born: t.StartedMS, Leaving: t.Notice.Leaving, BackoffMS: t.Notice.Backoff.Milliseconds()})
 	}
 }
 
@@ -43,14 +43,14 @@
 	var list []notice.Report
 	for _, w := range m.Notices {
 		backoff := endpoint.BackoffFromSeconds(float64(w.BackoffMS) / millisecondsASecond)
-		list = append(list, notice.Report{Endpoint: w.Endpoint, Born: w.Born, Notice: endpoint.Notice{Leaving: w.Leaving, Backoff: backoff}})
+		list = append(list, notice.Report{Endpoint: w.Endpoint, StartedMS: w.Born, Notice: endpoint.Notice{Leaving: w.Leaving, Backoff: backoff}})
 	}
 	for _, w := range m.Limits {
 		limit := endpoint.Limit(w.PerSecond)
 		if isLimit := limit >= endpoint.MinLimit && limit <= endpoint.MaxLimit; w.Version == 0 || !isLimit && limit != 0 {
 			continue
 		}
-		list = append(list, notice.Report{Endpoint: w.Endpoint, Born: w.Born, Notice: endpoint.Notice{Limit: limit}, LimitVersion: w.Version})
+		list = append(list, notice.Report{Endpoint: w.Endpoint, StartedMS: w.Born, Notice: endpoint.Notice{Limit: limit}, LimitVersion: w.Version})
 	}
 	return list
 }
--- a/pkg/gossip/shares_test.go
+++ b/pkg/gossip/shares_test.go
@@ -76,7 +76,7 @@
 }
 
 func (s *sharing) send(h *played) {
-	s.hosts[h] = s.hosts[h].With(names(h), s.fleet.now)
+	s.hosts[h] = s.hosts[h].WithNames(names(h), s.fleet.now)
 	for i, a := range s.buckets[h] {
 		for a.Allows(s.hosts[h], s.fleet.now) {
 			a.Take()
--- a/pkg/notice/board.go
+++ b/pkg/notice/board.go
@@ -18,8 +18,8 @@
 // Report is what an endpoint has said to one host, as sent to another. Each host counts
 // incarnations for itself, so that Born identifies the endpoint's life.
 type Report struct {
-	Endpoint string
-	Born     int64
+	Endpoint  string
+	StartedMS int64
 	// Notice has the backoff that is left when the report is sent.
 	Notice endpoint.Notice
 	// LimitVersion orders reports of the endpoint's limit; 0 where this is none.
@@ -39,8 +39,8 @@
 // goes within that time, or a later row corrects the address.
 const movedBackoff = 4 * time.Second
 
-// Board applies notices and keeps those to be reported. It is safe for concurrent use.
-type Board struct {
+// Tracker applies notices and keeps those to be reported. It is safe for concurrent use.
+type Tracker struct {
 	directory *endpoint.Directory
 	router    *route.Router
 	log       *log.Logger
@@ -70,17 +70,17 @@
 }
 
 // New returns a board for a host's endpoints and its choice among them.
-func New(directory *endpoint.Directory, router *route.Router, logger *log.Logger) *Board {
-	return &Board{directory: directory, router: router, log: logger, pending: map[string]*entry{}, limits: map[string]*limitState{}}
+func New(directory *endpoint.Directory, router *route.Router, logger *log.Logger) *Tracker {
+	return &Tracker{directory: directory, router: router, log: logger, pending: map[string]*entry{}, limits: map[string]*limitState{}}
 }
 
 // OnLeave sets the function that marks an endpoint as leaving in the directory and at the
 // other hosts, for hosts that do not exchange reports; nothing is kept for reports then.
-func (b *Board) OnLeave(spread func(endpoint.Info)) { b.onLeave.Store(&spread) }
+func (b *Tracker) OnLeave(spread func(endpoint.Info)) { b.onLeave.Store(&spread) }
 
-// ApplyAnswer applies what a verified answer to this host says of its endpoint; sent is when
+// ApplyResponse applies what a verified answer to this host says of its endpoint; sent is when
 // the request was sent. An answer that says nothing withdraws a limit.
-func (b *Board) ApplyAnswer(from endpoint.Info, n endpoint.Notice, sent, now time.Time) {
+func (b *Tracker) ApplyResponse(from endpoint.Info, n endpoint.Notice, sent, now time.Time) {
 	if n.IsZero() && b.limitCount.Load() == 0 {
 		return
 	}
@@ -109,7 +109,7 @@
 
 // applyBackoff applies a backoff that an endpoint asked for, or that is due as it is not at its
 // address. It returns its end, zero where it begins no backoff.
-func (b *Board) applyBackoff(held endpoint.Info, n endpoint.Notice, now time.Time) time.Time {
+func (b *Tracker) applyBackoff(held endpoint.Info, n endpoint.Notice, now time.Time) time.Time {
 	backoff, reason := n.Backoff, "asked"
 	if n.Moved {
 		backoff, reason = movedBackoff, "moved"
@@ -122,7 +122,7 @@
 }
 
 // applyLeaving marks an endpoint as leaving and reports whether it was not before.
-func (b *Board) applyLeaving(held endpoint.Info, by string) bool {
+func (b *Tracker) applyLeaving(held endpoint.Info, by string) bool {
 	if held.State >= endpoint.Leaving {
 		return false
 	}
@@ -137,7 +137,7 @@
 }
 
 // addPending adds a notice to be reported.
-func (b *Board) addPending(from endpoint.Info, leaves bool, backoffUntil time.Time) {
+func (b *Tracker) addPending(from endpoint.Info, leaves bool, backoffUntil time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, ok := b.pending[from.ID]
@@ -154,17 +154,17 @@
 
 // report returns the entry as sent now.
 func (e *entry) report(id string, now time.Time) Report {
-	return Report{Endpoint: id, Born: e.born, Notice: endpoint.Notice{Leaving: e.leaving, Backoff: max(e.backoffUntil.Sub(now), 0)}}
+	return Report{Endpoint: id, StartedMS: e.born, Notice: endpoint.Notice{Leaving: e.leaving, Backoff: max(e.backoffUntil.Sub(now), 0)}}
 }
 
 // Reports returns what is sent to the other hosts in this round.
-func (b *Board) Reports(now time.Time) []Report {
+func (b *Tracker) Reports(now time.Time) []Report {
 	limits := b.limitReports(maxReports, now)
 	return append(limits, b.noticeReports(maxReports-len(limits), now)...)
 }
 
 // noticeReports returns the reports but those of limits for this round, at most a number.
-func (b *Board) noticeReports(most int, now time.Time) []Report {
+func (b *Tracker) noticeReports(most int, now time.Time) []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Report
@@ -183,8 +183,8 @@
 	return list
 }
 
-// ReportsOf returns what is sent at once about some endpoints.
-func (b *Board) ReportsOf(endpoints []string, now time.Time) []Report {
+// ReportsFor returns what is sent at once about some endpoints.
+func (b *Tracker) ReportsFor(endpoints []string, now time.Time) []Report {
 	var list []Report
 	for _, id := range endpoints {
 		if report, ok := b.pendingLimit(id); ok && len(list) < maxReports {
@@ -203,10 +203,10 @@
 
 // ApplyReports applies another host's reports. Those about another life of an endpoint, or an
 // unknown one, are skipped.
-func (b *Board) ApplyReports(list []Report, now time.Time) {
+func (b *Tracker) ApplyReports(list []Report, now time.Time) {
 	for _, report := range list {
 		info, ok := b.directory.Get(report.Endpoint)
-		if !ok || info.StartedMS != report.Born {
+		if !ok || info.StartedMS != report.StartedMS {
 			continue
 		}
 		if report.LimitVersion > 0 {
--- a/pkg/notice/board_test.go
+++ b/pkg/notice/board_test.go
@@ -20,7 +20,7 @@
 
 // host is one host's knowledge of some endpoints, by incarnations of its own.
 type host struct {
-	*notice.Board
+	*notice.Tracker
 	directory *endpoint.Directory
 	router    *route.Router
 }
@@ -72,11 +72,11 @@
 	for name, n := range map[string]endpoint.Notice{"leaves": {Leaving: true}, "rests": {Backoff: restTime}, "not there": {Moved: true}} {
 		for _, how := range []string{"at once", "third round"} {
 			a, b := newHost(1, 5, 2), newHost(7, 5, 2)
-			a.ApplyAnswer(a.info(0), n, now, now)
+			a.ApplyResponse(a.info(0), n, now, now)
 			if a.takes(0, now) {
 				t.Errorf("%s: the host that was told chooses it", name)
 			}
-			told := a.ReportsOf([]string{id(0), id(1)}, now)
+			told := a.ReportsFor([]string{id(0), id(1)}, now)
 			if how == "third round" {
 				for range 3 {
 					told = a.Reports(now)
@@ -103,7 +103,7 @@
 func TestNoticesAreOfOneLife(t *testing.T) {
 	a, b := newHost(1, 5, 1), newHost(1, 6, 1)
 	before := a.info(0)
-	a.ApplyAnswer(before, endpoint.Notice{Leaving: true}, now, now)
+	a.ApplyResponse(before, endpoint.Notice{Leaving: true}, now, now)
 	b.ApplyReports(a.Reports(now), now)
 	if !b.takes(0, now) {
 		t.Error("another host: the later life is not chosen")
@@ -111,14 +111,14 @@
 	again := before
 	again.Incarnation = 2
 	a.directory.Merge(again)
-	a.ApplyAnswer(before, endpoint.Notice{Leaving: true}, now, now)
+	a.ApplyResponse(before, endpoint.Notice{Leaving: true}, now, now)
 	if a.takes(0, now) {
 		t.Error("the host that was told chooses the same life, whose row had lapsed meanwhile")
 	}
 	later := before
 	later.Incarnation, later.StartedMS = 3, 6
 	a.directory.Merge(later)
-	a.ApplyAnswer(before, endpoint.Notice{Leaving: true, Backoff: restTime}, now, now)
+	a.ApplyResponse(before, endpoint.Notice{Leaving: true, Backoff: restTime}, now, now)
 	if !a.takes(0, now) {
 		t.Error("the host that was told: the later life is not chosen")
 	}
@@ -129,13 +129,13 @@
 func TestReportsAreBounded(t *testing.T) {
 	const endpoints = 100
 	h := newHost(1, 0, endpoints)
-	h.ApplyAnswer(h.info(0), endpoint.Notice{}, now, now)
+	h.ApplyResponse(h.info(0), endpoint.Notice{}, now, now)
 	if got := len(h.Reports(now)); got != 0 {
 		t.Fatalf("nothing said: got %d told, want 0", got)
 	}
 	for range 5 {
 		for i := range endpoints {
-			h.ApplyAnswer(h.info(i), endpoint.Notice{Leaving: i%2 == 0, Backoff: restTime}, now, now)
+			h.ApplyResponse(h.info(i), endpoint.Notice{Leaving: i%2 == 0, Backoff: restTime}, now, now)
 		}
 	}
 	counts := map[string]int{}
--- a/pkg/notice/limits.go
+++ b/pkg/notice/limits.go
@@ -39,7 +39,7 @@
 
 // applyAnswerLimit applies what a verified answer, to a request that was sent at a time, says of
 // its endpoint's limit. It reports whether that is news.
-func (b *Board) applyAnswerLimit(held endpoint.Info, n endpoint.Notice, sent, now time.Time) bool {
+func (b *Tracker) applyAnswerLimit(held endpoint.Info, n endpoint.Notice, sent, now time.Time) bool {
 	if n.BadLimit {
 		if _, isLogged := b.badLimits.LoadOrStore(held.Ref(), true); !isLogged {
 			b.log.Warn().Str("endpoint", held.ID).Str("service", held.Service).Msg("ignored unreadable endpoint limit")
@@ -86,13 +86,13 @@
 
 // applyLimit has the choice keep to a limit. The limits' lock is held, so that the choice gets
 // changes in their order.
-func (b *Board) applyLimit(held endpoint.Info, limit endpoint.Limit, by string, now time.Time) {
+func (b *Tracker) applyLimit(held endpoint.Info, limit endpoint.Limit, by string, now time.Time) {
 	b.router.SetLimit(held.Ref(), limit, now)
 	b.log.Info().Str("endpoint", held.ID).Str("service", held.Service).Float64("limit", float64(limit)).Str("by", by).Msg("applied endpoint limit")
 }
 
 // applyReportedLimit applies another host's report of a limit.
-func (b *Board) applyReportedLimit(held endpoint.Info, report Report, now time.Time) {
+func (b *Tracker) applyReportedLimit(held endpoint.Info, report Report, now time.Time) {
 	b.limitsMu.Lock()
 	defer b.limitsMu.Unlock()
 	state, ok := b.limits[held.ID]
@@ -127,8 +127,8 @@
 	return limit > 0 && (s.limit == 0 || limit < s.limit)
 }
 
-// Expire ends limits that nothing has confirmed for long. Reports does so too.
-func (b *Board) Expire(now time.Time) {
+// ExpireLimits ends limits that nothing has confirmed for long. Reports does so too.
+func (b *Tracker) ExpireLimits(now time.Time) {
 	b.limitsMu.Lock()
 	defer b.limitsMu.Unlock()
 	for id, state := range b.limits {
@@ -145,8 +145,8 @@
 }
 
 // limitReports returns the limits to report in this round, at most a number of them.
-func (b *Board) limitReports(most int, now time.Time) []Report {
-	b.Expire(now)
+func (b *Tracker) limitReports(most int, now time.Time) []Report {
+	b.ExpireLimits(now)
 	b.limitsMu.Lock()
 	defer b.limitsMu.Unlock()
 	var list []Report
@@ -176,18 +176,18 @@
 }
 
 func (s *limitState) report(id string) Report {
-	return Report{Endpoint: id, Born: s.born, Notice: endpoint.Notice{Limit: s.limit}, LimitVersion: s.version}
+	return Report{Endpoint: id, StartedMS: s.born, Notice: endpoint.Notice{Limit: s.limit}, LimitVersion: s.version}
 }
 
 // keptFor is how long this host keeps an endpoint's limit that nothing confirms.
-func (b *Board) keptFor(id string) time.Duration {
+func (b *Tracker) keptFor(id string) time.Duration {
 	share := float64(xxhash.Sum64String(b.router.Node()+"\x00"+id)%1000) / 1000
 	return limitKept + time.Duration(share*float64(limitKept))
 }
 
 // pendingLimit returns the report of an endpoint's limit that is sent at once; ok is false
 // where there is none to send.
-func (b *Board) pendingLimit(id string) (Report, bool) {
+func (b *Tracker) pendingLimit(id string) (Report, bool) {
 	b.limitsMu.Lock()
 	defer b.limitsMu.Unlock()
 	state, ok := b.limits[id]
--- a/pkg/notice/limits_test.go
+++ b/pkg/notice/limits_test.go
@@ -178,8 +178,8 @@
 		if a.notice.Limit > 0 && !h.hasHeard {
 			h.received, h.hasHeard = f.now, true
 		}
-		h.ApplyAnswer(h.info(0), a.notice, now.Add(a.sent), f.at())
-		f.send(h, h.ReportsOf([]string{id(0)}, f.at()))
+		h.ApplyResponse(h.info(0), a.notice, now.Add(a.sent), f.at())
+		f.send(h, h.ReportsFor([]string{id(0)}, f.at()))
 	}
 	for len(h.inbox) > 0 && h.inbox[0].at <= f.now {
 		h.ApplyReports(h.inbox[0].list, f.at())
@@ -343,13 +343,13 @@
 		{"an earlier answer without", endpoint.Notice{}, -1, true},
 		{"a later answer without", endpoint.Notice{}, 0.9, false},
 	} {
-		h.ApplyAnswer(h.info(0), c.notice, at(c.sent), at(0.5))
+		h.ApplyResponse(h.info(0), c.notice, at(c.sent), at(0.5))
 		if got := limited(1); got != c.want {
 			t.Errorf("%s: got limited %v, want %v", c.what, got, c.want)
 		}
 	}
-	h.ApplyAnswer(h.info(0), endpoint.Notice{Limit: 0.1}, at(0.9), at(0.9))
-	h.ApplyAnswer(h.info(0), endpoint.Notice{Moved: true}, at(1), at(1))
+	h.ApplyResponse(h.info(0), endpoint.Notice{Limit: 0.1}, at(0.9), at(0.9))
+	h.ApplyResponse(h.info(0), endpoint.Notice{Moved: true}, at(1), at(1))
 	if !limited(6) {
 		t.Error("another instance's answer: got the limit withdrawn, want it kept")
 	}
@@ -380,7 +380,7 @@
 			answers.Go(func() {
 				for k := range 4 {
 					at := now.Add(time.Duration(8*k+i) * time.Millisecond)
-					h.ApplyAnswer(h.info(0), endpoint.Notice{Limit: limit}, at, at)
+					h.ApplyResponse(h.info(0), endpoint.Notice{Limit: limit}, at, at)
 				}
 			})
 		}
--- a/pkg/ratelimit/hosts.go
+++ b/pkg/ratelimit/hosts.go
@@ -37,8 +37,8 @@
 	return &Hosts{self: self, names: names, base: names, known: len(names), changedAt: now, baseAt: now, since: now}
 }
 
-// With returns the hosts with the names that are known now; h itself where nothing changes.
-func (h *Hosts) With(names []string, now time.Time) *Hosts {
+// WithNames returns the hosts with the names that are known now; h itself where nothing changes.
+func (h *Hosts) WithNames(names []string, now time.Time) *Hosts {
 	isSame := slices.Equal(h.names, names)
 	isDue := h.isBaseDue(isSame, now)
 	if isSame && !isDue {
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// Left returns how long it is until this host may send the endpoint a request, 0 for now.
+// Delay returns how long it is until this host may send the endpoint a request, 0 for now.
 // ok is false where it has no share.
-func (a *Bucket) Left(hosts *Hosts, now time.Time) (left time.Duration, ok bool) {
+func (a *Bucket) Delay(hosts *Hosts, now time.Time) (left time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.follow(hosts, now)
@@ -125,7 +125,7 @@
 
 // Allows reports whether this host may send the endpoint a request now.
 func (a *Bucket) Allows(hosts *Hosts, now time.Time) bool {
-	left, ok := a.Left(hosts, now)
+	left, ok := a.Delay(hosts, now)
 	return ok && left == 0
 }
 
--- a/pkg/ratelimit/ratelimit_test.go
+++ b/pkg/ratelimit/ratelimit_test.go
@@ -62,15 +62,15 @@
 	for _, self := range all {
 		h := ratelimit.NewHosts(self, all, start.Add(-time.Hour))
 		a := ratelimit.New("e", 1, h, start)
-		if _, has := a.Left(h, start); has {
+		if _, has := a.Delay(h, start); has {
 			continue
 		}
-		alone := h.With([]string{self}, start.Add(time.Minute))
-		left, has := a.Left(alone, start.Add(time.Minute))
+		alone := h.WithNames([]string{self}, start.Add(time.Minute))
+		left, has := a.Delay(alone, start.Add(time.Minute))
 		if least := 4 * time.Second; !has || left < least {
 			t.Errorf("%s: got a share %v, in %v; want one in %v at least", self, has, left, least)
 		}
-		if _, has := a.Left(h, start.Add(time.Minute)); has {
+		if _, has := a.Delay(h, start.Add(time.Minute)); has {
 			t.Errorf("%s, once the others are back: got a share, want none", self)
 		}
 	}
@@ -78,7 +78,7 @@
 
 func TestHostsThatTakeNoCallersHaveNoShare(t *testing.T) {
 	h := ratelimit.NewHosts("other", names(9), start.Add(-time.Hour))
-	if left, has := ratelimit.New("e", 1000, h, start).Left(h, start); has {
+	if left, has := ratelimit.New("e", 1000, h, start).Delay(h, start); has {
 		t.Errorf("got a share in %v, want none", left)
 	}
 }
--- a/pkg/relay/copy.go
+++ b/pkg/relay/copy.go
@@ -18,15 +18,15 @@
 // asks for older ones reads a snapshot.
 const mostChanges = 4096
 
-// Says reports whether a row's new value says something that the one before did not.
-type Says func(table string, before, now []byte) bool
+// ChangeFilter reports whether a row's new value says something that the one before did not.
+type ChangeFilter func(table string, before, now []byte) bool
 
-// Copy is what a host has read of the store's tables itself. It is safe for
+// Replica is what a host has read of the store's tables itself. It is safe for
 // concurrent use.
-type Copy struct {
+type Replica struct {
 	now func() time.Time
 	// says reports whether a row's new value says something that the one before did not.
-	says Says
+	says ChangeFilter
 
 	mu     sync.Mutex
 	tables map[string]*tableCopy
@@ -63,14 +63,14 @@
 	mostEncoded = 4
 )
 
-// NewCopy returns a copy of nothing. Rows that say nothing new are not passed on as
+// NewReplica returns a copy of nothing. Rows that say nothing new are not passed on as
 // changes: 3,000 endpoints that each write theirs every 1.2 s are 2,500 rows a second,
 // and went to each of 75 followers of a relay (9 MB/s at the busiest of 300 hosts).
-func NewCopy(now func() time.Time, says Says) *Copy {
-	return &Copy{now: now, says: says, tables: map[string]*tableCopy{}}
+func NewReplica(now func() time.Time, says ChangeFilter) *Replica {
+	return &Replica{now: now, says: says, tables: map[string]*tableCopy{}}
 }
 
-func (c *Copy) table(name string) *tableCopy {
+func (c *Replica) table(name string) *tableCopy {
 	t, ok := c.tables[name]
 	if !ok {
 		t = &tableCopy{rows: map[string]feed.Row{}, changed: make(chan struct{}), version: -1}
@@ -81,14 +81,14 @@
 
 // Version returns up to where a table has been followed without a gap, -1 for
 // not at all.
-func (c *Copy) Version(name string) int64 {
+func (c *Replica) Version(name string) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table(name).version
 }
 
-// Restart replaces a table by a snapshot that was read from the store.
-func (c *Copy) Restart(name string, batch feed.Batch) {
+// Reset replaces a table by a snapshot that was read from the store.
+func (c *Replica) Reset(name string, batch feed.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.table(name)
@@ -96,8 +96,8 @@
 	t.heard(c.now(), batch, true)
 }
 
-// Add adds the changes after Version that were read from the store.
-func (c *Copy) Add(name string, batch feed.Batch) {
+// Apply adds the changes after Version that were read from the store.
+func (c *Replica) Apply(name string, batch feed.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t := c.table(name)
@@ -107,7 +107,7 @@
 }
 
 // news returns the rows that say something new, in order.
-func (c *Copy) news(name string, t *tableCopy, rows []feed.Row) []feed.Row {
+func (c *Replica) news(name string, t *tableCopy, rows []feed.Row) []feed.Row {
 	held := map[string]feed.Row{}
 	var news []feed.Row
 	for _, row := range rows {
--- a/pkg/relay/followers_test.go
+++ b/pkg/relay/followers_test.go
@@ -40,13 +40,13 @@
 		bound     = 92 << 20
 	)
 	c := &clock{now: time.Now()}
-	relayCopy := relay.NewCopy(c.Now, says)
+	relayCopy := relay.NewReplica(c.Now, says)
 	batch := feed.Batch{Version: endpoints}
 	for i := range endpoints {
 		batch.Rows = append(batch.Rows, feed.Row{Key: fmt.Sprintf("endpoint-%06d", i), Value: make([]byte, rowBytes), Version: int64(i + 1)})
 	}
-	relayCopy.Restart("t", feed.Batch{})
-	relayCopy.Add("t", batch)
+	relayCopy.Reset("t", feed.Batch{})
+	relayCopy.Apply("t", batch)
 	for _, ask := range []string{"", "&after=0&wait=0"} {
 		var before, during runtime.MemStats
 		runtime.GC()
@@ -82,7 +82,7 @@
 		value := fmt.Sprintf(`{"service":"assess","address":"10.3.%d.%d:8426","zone":"north-a","slots":64,"state":"ready","version":"v1","sequence":%d,"phase":"combined"}`, i/250, i%250, i)
 		batch.Rows = append(batch.Rows, feed.Row{Key: fmt.Sprintf("i-%010x", i*7919), Value: []byte(value), Version: int64(i + 1)})
 	}
-	relayCopy.Restart("t", batch)
+	relayCopy.Reset("t", batch)
 	got, err := source.Snapshot(context.Background(), "t")
 	if err != nil || len(got.Rows) != endpoints || got.Version != endpoints || got.StoreTime != time.Minute {
 		t.Fatalf("packed answer: got %d rows, version %d, %v, %v", len(got.Rows), got.Version, got.StoreTime, err)
--- a/pkg/relay/relay_test.go
+++ b/pkg/relay/relay_test.go
@@ -67,27 +67,27 @@
 }
 
 // follower is a host that follows a relay.
-func follower(t *testing.T, c *clock) (relayCopy *relay.Copy, direct *store, source *relay.Source) {
+func follower(t *testing.T, c *clock) (relayCopy *relay.Replica, direct *store, source *relay.Source) {
 	t.Helper()
-	relayCopy = relay.NewCopy(c.Now, says)
+	relayCopy = relay.NewReplica(c.Now, says)
 	direct = &store{batch: feed.Batch{Version: 99}}
-	source = newSource(direct, relay.NewCopy(c.Now, says), serve(t, relayCopy))
+	source = newSource(direct, relay.NewReplica(c.Now, says), serve(t, relayCopy))
 	return relayCopy, direct, source
 }
 
 // newSource returns the source of a host that chooses among relays.
-func newSource(direct *store, own *relay.Copy, addresses ...string) *relay.Source {
+func newSource(direct *store, own *relay.Replica, addresses ...string) *relay.Source {
 	return newServingSource(direct, own, false, addresses...)
 }
 
 // newServingSource is newSource of a host that is advertised to callers, if serves.
-func newServingSource(direct *store, own *relay.Copy, serves bool, addresses ...string) *relay.Source {
+func newServingSource(direct *store, own *relay.Replica, serves bool, addresses ...string) *relay.Source {
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	return relay.NewSource(direct, own, http.DefaultClient, func() []string { return addresses }, lag, func() bool { return serves }, logger)
 }
 
 // serve returns the address at which a copy is followed.
-func serve(t *testing.T, relayCopy *relay.Copy) string {
+func serve(t *testing.T, relayCopy *relay.Replica) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, relayCopy)
@@ -104,14 +104,14 @@
 	c := &clock{now: time.Now()}
 	relayCopy, direct, source := follower(t, c)
 	ctx := context.Background()
-	relayCopy.Restart("t", feed.Batch{Version: 10, Rows: []feed.Row{row("a", 7), row("b", 9)}, StoreTime: time.Minute})
+	relayCopy.Reset("t", feed.Batch{Version: 10, Rows: []feed.Row{row("a", 7), row("b", 9)}, StoreTime: time.Minute})
 	batch, err := source.Snapshot(ctx, "t")
 	if err != nil || len(batch.Rows) != 2 || batch.Version != 10 || !batch.Full || batch.StoreTime != time.Minute {
 		t.Fatalf("snapshot: got %+v, %v", batch, err)
 	}
 	go func() {
 		time.Sleep(30 * time.Millisecond)
-		relayCopy.Add("t", feed.Batch{Version: 12, Rows: []feed.Row{row("c", 11), {Key: "a", Version: 12, Deleted: true}}})
+		relayCopy.Apply("t", feed.Batch{Version: 12, Rows: []feed.Row{row("c", 11), {Key: "a", Version: 12, Deleted: true}}})
 	}()
 	batch, err = source.Changes(ctx, "t", 10, time.Second)
 	if err != nil || len(batch.Rows) != 2 || batch.Rows[0].Key != "c" || !batch.Rows[1].Deleted || batch.Version != 12 {
@@ -131,7 +131,7 @@
 func TestStaleRelayIsLeft(t *testing.T) {
 	c := &clock{now: time.Now()}
 	relayCopy, direct, source := follower(t, c)
-	relayCopy.Restart("t", feed.Batch{Version: 10})
+	relayCopy.Reset("t", feed.Batch{Version: 10})
 	c.pass(2 * time.Second)
 	for range 2 {
 		if batch, err := source.Changes(context.Background(), "t", 10, time.Second); err != nil || batch.Version != 99 {
@@ -149,7 +149,7 @@
 	relayCopy, direct, source := follower(t, c)
 	go func() {
 		time.Sleep(300 * time.Millisecond)
-		relayCopy.Restart("t", feed.Batch{Version: 10, Rows: []feed.Row{row("a", 7)}})
+		relayCopy.Reset("t", feed.Batch{Version: 10, Rows: []feed.Row{row("a", 7)}})
 	}()
 	batch, err := source.Snapshot(context.Background(), "t")
 	if err != nil || batch.Version != 10 || len(batch.Rows) != 1 {
@@ -175,11 +175,11 @@
 	c := &clock{now: time.Now()}
 	stale, direct, _ := follower(t, c)
 	fresh, _, _ := follower(t, c)
-	stale.Restart("t", feed.Batch{Version: 10})
+	stale.Reset("t", feed.Batch{Version: 10})
 	c.pass(2 * time.Second)
-	fresh.Restart("t", feed.Batch{Version: 10})
-	fresh.Add("t", feed.Batch{Version: 11, Rows: []feed.Row{row("a", 11)}})
-	source := newSource(direct, relay.NewCopy(c.Now, says), serve(t, stale), serve(t, fresh))
+	fresh.Reset("t", feed.Batch{Version: 10})
+	fresh.Apply("t", feed.Batch{Version: 11, Rows: []feed.Row{row("a", 11)}})
+	source := newSource(direct, relay.NewReplica(c.Now, says), serve(t, stale), serve(t, fresh))
 	batch, err := source.Changes(context.Background(), "t", 10, time.Second)
 	if err != nil || batch.Version != 11 || len(batch.Rows) != 1 {
 		t.Errorf("changes: got %+v, %v, want those of the other relay", batch, err)
@@ -197,7 +197,7 @@
 	address := strings.TrimPrefix(silent.URL, "http://")
 	addresses := []string{address, strings.Replace(address, "127.0.0.1", "127.0.0.2", 1), strings.Replace(address, "127.0.0.1", "127.0.0.3", 1)}
 	direct := &store{batch: feed.Batch{Version: 99}}
-	source := newSource(direct, relay.NewCopy(time.Now, says), addresses...)
+	source := newSource(direct, relay.NewReplica(time.Now, says), addresses...)
 	asked := time.Now()
 	batch, err := source.Changes(context.Background(), "t", 10, 100*time.Millisecond)
 	if err != nil || batch.Version != 99 {
@@ -224,8 +224,8 @@
 	value := func(text string, version int64) feed.Row {
 		return feed.Row{Key: "a", Value: []byte(text), Version: version}
 	}
-	relayCopy.Restart("t", feed.Batch{Version: 10, Rows: []feed.Row{value("live.1", 10)}})
-	relayCopy.Add("t", feed.Batch{Version: 12, Rows: []feed.Row{value("live.2", 11), value("live.3", 12)}})
+	relayCopy.Reset("t", feed.Batch{Version: 10, Rows: []feed.Row{value("live.1", 10)}})
+	relayCopy.Apply("t", feed.Batch{Version: 12, Rows: []feed.Row{value("live.2", 11), value("live.3", 12)}})
 	ctx := context.Background()
 	batch, err := source.Changes(ctx, "t", 10, 20*time.Millisecond)
 	if err != nil || len(batch.Rows) != 0 || batch.Version != 12 {
@@ -234,7 +234,7 @@
 	if batch, err = source.Snapshot(ctx, "t"); err != nil || len(batch.Rows) != 1 || string(batch.Rows[0].Value) != "live.3" {
 		t.Errorf("snapshot: got %+v, %v, want the latest row", batch, err)
 	}
-	relayCopy.Add("t", feed.Batch{Version: 16, Rows: []feed.Row{
+	relayCopy.Apply("t", feed.Batch{Version: 16, Rows: []feed.Row{
 		value("leaving.4", 13), {Key: "a", Version: 14, Deleted: true}, value("leaving.5", 15), value("leaving.6", 16),
 	}})
 	batch, err = source.Changes(ctx, "t", 12, time.Second)
@@ -247,7 +247,7 @@
 func TestHistoryBeforeASnapshotIsGone(t *testing.T) {
 	c := &clock{now: time.Now()}
 	relayCopy, _, source := follower(t, c)
-	relayCopy.Restart("t", feed.Batch{Version: 10})
+	relayCopy.Reset("t", feed.Batch{Version: 10})
 	if _, err := source.Changes(context.Background(), "t", 5, time.Second); !errors.Is(err, feed.ErrHistoryGone) {
 		t.Errorf("changes after 5: got %v, want ErrHistoryGone", err)
 	}
@@ -258,7 +258,7 @@
 func TestNewRelayReadsASnapshot(t *testing.T) {
 	c := &clock{now: time.Now()}
 	direct := &store{batch: feed.Batch{Version: 200, Rows: []feed.Row{row("a", 150)}}}
-	own := relay.NewCopy(c.Now, says)
+	own := relay.NewReplica(c.Now, says)
 	source := newSource(direct, own)
 	ctx := context.Background()
 	if _, err := source.Changes(ctx, "t", 100, time.Second); !errors.Is(err, feed.ErrHistoryGone) {
@@ -285,7 +285,7 @@
 	defer func() { _ = silent.Close() }()
 	for _, serves := range []bool{true, false} {
 		direct := &store{batch: feed.Batch{Version: 99}}
-		source := newServingSource(direct, relay.NewCopy(time.Now, says), serves, silent.Addr().String())
+		source := newServingSource(direct, relay.NewReplica(time.Now, says), serves, silent.Addr().String())
 		began := time.Now()
 		if batch, err := source.Snapshot(context.Background(), "t"); err != nil || batch.Version != 99 {
 			t.Errorf("serves %v: got version %d, %v, want the store's", serves, batch.Version, err)
@@ -301,7 +301,7 @@
 func TestStoreThatIsAwayIsAskedRarely(t *testing.T) {
 	c := &clock{now: time.Now()}
 	stale, direct, source := follower(t, c)
-	stale.Restart("t", feed.Batch{Version: 10})
+	stale.Reset("t", feed.Batch{Version: 10})
 	c.pass(2 * time.Second)
 	direct.err = errors.New("away")
 	began := time.Now()
@@ -343,7 +343,7 @@
 	}
 	defer func() { _ = slow.Close() }()
 	direct := &store{batch: feed.Batch{Version: 99}, err: errors.New("too long for the link")}
-	source := newSource(direct, relay.NewCopy(time.Now, says), slow.Addr().String())
+	source := newSource(direct, relay.NewReplica(time.Now, says), slow.Addr().String())
 	if _, err := source.Changes(context.Background(), "t", 10, 0); err == nil {
 		t.Fatal("changes of a store that fails: got no error")
 	}
--- a/pkg/relay/server.go
+++ b/pkg/relay/server.go
@@ -81,7 +81,7 @@
 var errStale = errors.New("relay: not up to date with the store")
 
 // ServeHTTP answers with a snapshot, or waits for changes.
-func (c *Copy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *Replica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ask, err := readAsk(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -141,7 +141,7 @@
 }
 
 // read reads a table that is up to date.
-func (c *Copy) read(a ask, get func(*tableCopy) (answer, error)) (answer, error) {
+func (c *Replica) read(a ask, get func(*tableCopy) (answer, error)) (answer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t, ok := c.tables[a.table]
@@ -159,7 +159,7 @@
 
 // wait returns changes after a version as soon as there are some, an empty
 // answer after a time without, and an error once the copy is out of date.
-func (c *Copy) wait(ctx context.Context, a ask) (answer, error) {
+func (c *Replica) wait(ctx context.Context, a ask) (answer, error) {
 	deadline := time.Now().Add(a.wait)
 	for {
 		var changed chan struct{}
--- a/pkg/relay/source.go
+++ b/pkg/relay/source.go
@@ -43,13 +43,13 @@
 	mostBytes = 32 << 20
 )
 
-// Choose returns the addresses of the relays to follow, the best first, none for a
+// Selector returns the addresses of the relays to follow, the best first, none for a
 // host that is a relay itself and follows the store.
-type Choose func() []string
+type Selector func() []string
 
-// Lag returns how far a relay may be behind the store with a table: its followers must not fall
+// MaxLag returns how far a relay may be behind the store with a table: its followers must not fall
 // behind what the table's use allows.
-type Lag func(table string) time.Duration
+type MaxLag func(table string) time.Duration
 
 // Source follows the store through a relay while there is a good one, and the
 // store itself otherwise. A relay that the store turns away is left for that of another
@@ -57,10 +57,10 @@
 // It is a feed.Source and safe for concurrent use.
 type Source struct {
 	store  feed.Source
-	copy   *Copy
+	copy   *Replica
 	client *http.Client
-	choose Choose
-	lag    Lag
+	choose Selector
+	lag    MaxLag
 	// serves says that this host is advertised to callers.
 	serves func() bool
 	log    *log.Logger
@@ -78,7 +78,7 @@
 
 // NewSource returns a source. What it reads from the store itself goes into the
 // copy, for those that follow this host.
-func NewSource(store feed.Source, into *Copy, client *http.Client, choose Choose, lag Lag, serves func() bool, logger *log.Logger) *Source {
+func NewSource(store feed.Source, into *Replica, client *http.Client, choose Selector, lag MaxLag, serves func() bool, logger *log.Logger) *Source {
 	return &Source{store: store, copy: into, client: client, choose: choose, lag: lag, serves: serves, log: logger, started: time.Now(), shunned: map[string]time.Time{}, failedUntil: map[string]time.Time{}}
 }
 
@@ -110,7 +110,7 @@
 	s.noteDirect(name, err)
 	if err == nil && isRelay {
 		batch.Full = true
-		s.copy.Restart(name, batch)
+		s.copy.Reset(name, batch)
 	}
 	return batch, err
 }
@@ -137,7 +137,7 @@
 	batch, err := s.store.Changes(ctx, name, after, wait)
 	s.noteDirect(name, err)
 	if err == nil && isRelay {
-		s.copy.Add(name, batch)
+		s.copy.Apply(name, batch)
 	}
 	return batch, err
 }
--- a/pkg/route/limit.go
+++ b/pkg/route/limit.go
@@ -26,7 +26,7 @@
 		r.hosts.Store(ratelimit.NewHosts(r.location.Node, names, now))
 		return
 	}
-	r.hosts.Store(held.With(names, now))
+	r.hosts.Store(held.WithNames(names, now))
 }
 
 // limitHosts returns the hosts that share limits.
@@ -103,6 +103,6 @@
 	if l.bucket == nil {
 		return remaining, true
 	}
-	limitWait, ok := l.bucket.Left(hosts, now)
+	limitWait, ok := l.bucket.Delay(hosts, now)
 	return max(remaining, limitWait), ok
 }
--- a/pkg/stream/attempt.go
+++ b/pkg/stream/attempt.go
@@ -180,7 +180,7 @@
 		return route.Result{}, r.endingOf(ctx, err)
 	}
 	defer stream.Close()
-	r.notices.ApplyAnswer(c.Endpoint, stream.Notice(), started, time.Now())
+	r.notices.ApplyResponse(c.Endpoint, stream.Notice(), started, time.Now())
 	r.passReport(c.Endpoint, stream)
 	reader := frameReader{runner: r, progress: p, run: held, stall: stall, started: started, attempt: p.attempts}
 	end := reader.readAll(ctx, stream)
@@ -192,7 +192,7 @@
 func (r *Runner) hear(from endpoint.Info, err error, sent time.Time) {
 	var refusal *engine.Refusal
 	if errors.As(err, &refusal) {
-		r.notices.ApplyAnswer(from, refusal.Notice, sent, time.Now())
+		r.notices.ApplyResponse(from, refusal.Notice, sent, time.Now())
 	}
 }
 
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -100,7 +100,7 @@
 	hazard   *hazard.Estimator
 	counters *Counters
 	watch    *quarantine.Watch
-	notices  *notice.Board
+	notices  *notice.Tracker
 	tracer   trace.Tracer
 	active   *active
 	lengths  sync.Map // of service name to *length
@@ -108,7 +108,7 @@
 }
 
 // New returns a runner.
-func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *quarantine.Watch, notices *notice.Board, tracer trace.Tracer) *Runner {
+func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *quarantine.Watch, notices *notice.Tracker, tracer trace.Tracer) *Runner {
 	return &Runner{router: router, engines: engines, budget: budget, hazard: estimator, counters: counters, watch: watch, notices: notices, tracer: tracer, active: newActive()}
 }
 
