--- a/pkg/app/entry/wire_gen.go
+++ b/pkg/app/entry/wire_gen.go
@@ -44,9 +44,9 @@
 	registerer := newRegisterer(registry)
 	counters := stream.NewCounters(registerer)
 	watch := quarantine.NewWatch(registerer, logger)
-	board := notice.New(directory, router, logger)
+	tracker := notice.New(directory, router, logger)
 	traceTracer := newTracer(tracer)
-	runner := stream.New(router, api, budget, estimator, counters, watch, board, traceTracer)
+	runner := stream.New(router, api, budget, estimator, counters, watch, tracker, traceTracer)
 	rateLimiter := limit.NewRateLimiter()
 	concurrencyLimiters := limit.NewConcurrencyLimiters()
 	objectStore := newObjects(settings, client)
@@ -67,7 +67,7 @@
 	history := explain.NewHistory()
 	plainserviceAPI := newPlain(client)
 	callerapiCounters := callerapi.NewCounters(registerer)
-	callerapiAPI := newAPI(settings, node, holder, table, router, runner, rateLimiter, concurrencyLimiters, jobStore, worker, jobCounters, claims, plainserviceAPI, budget, board, history, traceTracer, callerapiCounters)
+	callerapiAPI := newAPI(settings, node, holder, table, router, runner, rateLimiter, concurrencyLimiters, jobStore, worker, jobCounters, claims, plainserviceAPI, budget, tracker, history, traceTracer, callerapiCounters)
 	app := newApp(settings, node, logger, registry, tracer, guard, writer, holder, store, table, directory, estimator, router, api, runner, rateLimiter, concurrencyLimiters, budget, jobStore, worker, batcher, claims, gatherer, history, mesh, server, callerapiAPI, tls)
 	return app, nil
 }
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -21,7 +21,7 @@
 	nodeStoreClient := newStoreClient()
 	registry := process.NewRegistry()
 	counted := newStore(platform, nodeStoreClient, settings, registry)
-	relayCopy := newCopy(platform, clock)
+	replica := newCopy(platform, clock)
 	nodePeerClient := newPeerClient()
 	location := newHome(settings)
 	splitter := newRollouts(settings)
@@ -39,8 +39,8 @@
 	traffic := autoscale.NewTraffic()
 	windowBudget := newBudget(settings)
 	watch := newWatch(registry, logger)
-	board := newNotices(view, router, logger)
-	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, board, nodeLife, clock, registry, logger)
+	tracker := newNotices(view, router, logger)
+	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, tracker, nodeLife, clock, registry, logger)
 	nodeOwnRow := &ownRow{}
 	nodeFleetRole := &fleetRole{}
 	coordinator := newDesk(platform, splitter, view, writer, clock, manager, logger)
@@ -57,7 +57,7 @@
 		clock:       clock,
 		life:        nodeLife,
 		store:       counted,
-		copy:        relayCopy,
+		copy:        replica,
 		peers:       nodePeerClient,
 		view:        view,
 		router:      router,
@@ -79,7 +79,7 @@
 		replaced:    nodeReplacedBy,
 		crashes:     watch,
 		keeper:      syncer,
-		notices:     board,
+		notices:     tracker,
 		watchdog:    watchdog,
 		suspensions: nodeSuspensions,
 	}
