--- a/pkg/notice/board_test.go
+++ b/pkg/notice/board_test.go
@@ -14,28 +14,28 @@
 	"ironhollow/pkg/route"
 )
 
-const restTime = 3 * time.Second
+const backoffTime = 3 * time.Second
 
 var now = time.UnixMilli(1_800_000_000_000)
 
-// host is one host's knowledge of some endpoints, by incarnations of its own.
+// host is one host's view of some endpoints, with incarnations of its own.
 type host struct {
 	*notice.Tracker
 	directory *endpoint.Directory
 	router    *route.Router
 }
 
-func newHost(incarnation int64, born int64, endpoints int) host {
+func newHost(incarnation int64, startedMS int64, endpoints int) host {
 	directory := endpoint.NewDirectory()
 	for i := range endpoints {
-		directory.Merge(endpoint.Info{ID: id(i), Incarnation: incarnation, StartedMS: born, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 8})
+		directory.Merge(endpoint.Info{ID: id(i), Incarnation: incarnation, StartedMS: startedMS, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 8})
 	}
 	router := route.New(directory, hazard.New(), route.Location{Node: "n"}, 1)
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	return host{notice.New(directory, router, logger), directory, router}
 }
 
-// newNamedHost returns a host with one endpoint that does not rest at the tests' times.
+// newNamedHost returns a host with one endpoint that is not in backoff at the times of the tests.
 func newNamedHost(name string) host {
 	directory := endpoint.NewDirectory()
 	directory.Merge(endpoint.Info{ID: id(0), Incarnation: 1, StartedMS: 5, State: endpoint.Live, Kind: endpoint.Plain, Service: "s", Slots: 1 << 20})
@@ -51,8 +51,8 @@
 	return info
 }
 
-// takes reports whether the host's choice falls on an endpoint.
-func (h host) takes(i int, at time.Time) bool {
+// chooses reports whether the host chooses an endpoint within 32 attempts.
+func (h host) chooses(i int, at time.Time) bool {
 	for range 32 {
 		c, ok := h.router.Choose(route.Query{Target: route.Target{Service: "s"}, AnswerTokens: 1}, route.Expected, at)
 		if !ok {
@@ -66,76 +66,76 @@
 	return false
 }
 
-// A notice to one host is applied by the others, at once and also where two rounds of datagrams
-// are lost.
-func TestNoticesReachTheOtherHost(t *testing.T) {
-	for name, n := range map[string]endpoint.Notice{"leaves": {Leaving: true}, "rests": {Backoff: restTime}, "not there": {Moved: true}} {
+// Checks that the other hosts apply a notice that one host receives, both at once and if the
+// datagrams of two rounds are lost.
+func TestNoticesReachOtherHost(t *testing.T) {
+	for name, n := range map[string]endpoint.Notice{"leaves": {Leaving: true}, "backoff": {Backoff: backoffTime}, "not there": {Moved: true}} {
 		for _, how := range []string{"at once", "third round"} {
 			a, b := newHost(1, 5, 2), newHost(7, 5, 2)
 			a.ApplyResponse(a.info(0), n, now, now)
-			if a.takes(0, now) {
-				t.Errorf("%s: the host that was told chooses it", name)
+			if a.chooses(0, now) {
+				t.Errorf("%s: the host that received the notice chooses the endpoint", name)
 			}
-			told := a.ReportsFor([]string{id(0), id(1)}, now)
+			reports := a.ReportsFor([]string{id(0), id(1)}, now)
 			if how == "third round" {
 				for range 3 {
-					told = a.Reports(now)
+					reports = a.Reports(now)
 				}
 			}
-			if len(told) != 1 {
-				t.Fatalf("%s, %s: got %d told, want 1", name, how, len(told))
+			if len(reports) != 1 {
+				t.Fatalf("%s, %s: got %d reports, want 1", name, how, len(reports))
 			}
-			b.ApplyReports(told, now)
-			if b.takes(0, now) {
-				t.Errorf("%s, %s: the other host chooses it", name, how)
+			b.ApplyReports(reports, now)
+			if b.chooses(0, now) {
+				t.Errorf("%s, %s: the other host chooses the endpoint", name, how)
 			}
-			if got := a.Reports(now.Add(restTime)); how == "third round" && len(got) != 0 {
-				t.Errorf("%s: got %d told in the fourth round, want 0", name, len(got))
+			if got := a.Reports(now.Add(backoffTime)); how == "third round" && len(got) != 0 {
+				t.Errorf("%s: got %d reports in the fourth round, want 0", name, len(got))
 			}
-			if got, want := b.takes(0, now.Add(restTime)), n.Backoff > 0; got != want {
-				t.Errorf("%s, %s: chosen after a time of rest: got %v, want %v", name, how, got, want)
+			if got, want := b.chooses(0, now.Add(backoffTime)), n.Backoff > 0; got != want {
+				t.Errorf("%s, %s: chosen after the backoff: got %v, want %v", name, how, got, want)
 			}
 		}
 	}
 }
 
-// A notice of an earlier life of an endpoint does not count for a later one, at any host.
-func TestNoticesAreOfOneLife(t *testing.T) {
+// Checks that a notice of one run of an endpoint has no effect on a later run, at any host.
+func TestNoticesApplyToOneRun(t *testing.T) {
 	a, b := newHost(1, 5, 1), newHost(1, 6, 1)
 	before := a.info(0)
 	a.ApplyResponse(before, endpoint.Notice{Leaving: true}, now, now)
 	b.ApplyReports(a.Reports(now), now)
-	if !b.takes(0, now) {
-		t.Error("another host: the later life is not chosen")
+	if !b.chooses(0, now) {
+		t.Error("another host: the later run is not chosen")
 	}
 	again := before
 	again.Incarnation = 2
 	a.directory.Merge(again)
 	a.ApplyResponse(before, endpoint.Notice{Leaving: true}, now, now)
-	if a.takes(0, now) {
-		t.Error("the host that was told chooses the same life, whose row had lapsed meanwhile")
+	if a.chooses(0, now) {
+		t.Error("the host that received the notice chooses the same run after its row lapsed and came back")
 	}
 	later := before
 	later.Incarnation, later.StartedMS = 3, 6
 	a.directory.Merge(later)
-	a.ApplyResponse(before, endpoint.Notice{Leaving: true, Backoff: restTime}, now, now)
-	if !a.takes(0, now) {
-		t.Error("the host that was told: the later life is not chosen")
+	a.ApplyResponse(before, endpoint.Notice{Leaving: true, Backoff: backoffTime}, now, now)
+	if !a.chooses(0, now) {
+		t.Error("the host that received the notice: the later run is not chosen")
 	}
 }
 
-// A notice is reported once it is new, not with each answer; a round has no more reports than
-// fit a datagram, and none is lost for that.
+// Checks that a notice is reported when it is new and not with each response, that a round has no
+// more reports than fit into a datagram, and that no report is lost because of that bound.
 func TestReportsAreBounded(t *testing.T) {
 	const endpoints = 100
 	h := newHost(1, 0, endpoints)
 	h.ApplyResponse(h.info(0), endpoint.Notice{}, now, now)
 	if got := len(h.Reports(now)); got != 0 {
-		t.Fatalf("nothing said: got %d told, want 0", got)
+		t.Fatalf("no notice: got %d reports, want 0", got)
 	}
 	for range 5 {
 		for i := range endpoints {
-			h.ApplyResponse(h.info(i), endpoint.Notice{Leaving: i%2 == 0, Backoff: restTime}, now, now)
+			h.ApplyResponse(h.info(i), endpoint.Notice{Leaving: i%2 == 0, Backoff: backoffTime}, now, now)
 		}
 	}
 	counts := map[string]int{}
@@ -143,15 +143,15 @@
 	for list := h.Reports(now); len(list) > 0; list = h.Reports(now) {
 		rounds++
 		if len(list) > 30 {
-			t.Errorf("round %d: got %d told, want 30 at most", rounds, len(list))
+			t.Errorf("round %d: got %d reports, want 30 at most", rounds, len(list))
 		}
-		for _, told := range list {
-			counts[told.Endpoint]++
+		for _, report := range list {
+			counts[report.Endpoint]++
 		}
 	}
 	for i := range endpoints {
 		if got, want := counts[id(i)], 3; got != want {
-			t.Errorf("%s: got told %d times, want %d", id(i), got, want)
+			t.Errorf("%s: got %d reports, want %d", id(i), got, want)
 		}
 	}
 }
--- a/pkg/notice/limits.go
+++ b/pkg/notice/limits.go
@@ -8,118 +8,120 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Parameters of what is known of limits.
+// Parameters of the limits that this host knows.
 const (
-	// refreshPause is the time between two reports of a limit that answers to this host
-	// still name.
-	refreshPause = 5 * time.Second
-	// limitKept is how long a limit holds that no answer and no report has confirmed; up
-	// to twice as long by host, so that not all hosts ask the endpoint at once.
-	limitKept = 30 * time.Second
-	// withdrawnKept is how long it is remembered that a limit was withdrawn: until no late
-	// report of it can come.
-	withdrawnKept = 10 * time.Minute
+	// refreshInterval is the time between two reports of a limit that responses to this host still
+	// set.
+	refreshInterval = 5 * time.Second
+	// limitTTL is how long a limit applies without a response or a report that confirms it. Each
+	// host keeps it for one to two times as long, so that the hosts do not all try the endpoint
+	// again at once.
+	limitTTL = 30 * time.Second
+	// withdrawnTTL is how long a withdrawn limit is remembered: no report of the limit arrives
+	// later than that.
+	withdrawnTTL = 10 * time.Minute
 )
 
-// limitState is what is known of the limit of an endpoint's life.
+// limitState is what this host knows about the limit of one run of an endpoint.
 type limitState struct {
-	born int64
-	// limit is 0 once it was withdrawn or has lapsed.
+	startedMS int64
+	// limit is 0 after it was withdrawn or has expired.
 	limit endpoint.Limit
-	// version grows with each change that an answer shows, so that late reports of other
-	// hosts change nothing.
+	// version grows with each change that a response shows, so that late reports of other hosts
+	// have no effect.
 	version uint64
-	// changed is when this host learned of limit, confirmed when an answer or a report
-	// last named it, answered when an answer to this host did.
-	changed, confirmed, answered time.Time
-	// rounds is in how many it has been reported, reported when it last was.
-	rounds   int
-	reported time.Time
+	// changedAt is when this host received limit, confirmedAt when a response or a report last
+	// confirmed it, and respondedAt when a response to this host last did.
+	changedAt, confirmedAt, respondedAt time.Time
+	// rounds is the number of rounds in which limit has been reported, reportedAt the last time
+	// that it was.
+	rounds     int
+	reportedAt time.Time
 }
 
-// applyAnswerLimit applies what a verified answer, to a request that was sent at a time, says of
-// its endpoint's limit. It reports whether that is news.
-func (b *Tracker) applyAnswerLimit(held endpoint.Info, n endpoint.Notice, sent, now time.Time) bool {
+// applyResponseLimit applies the limit in a verified response to a request that was sent at sent.
+// It returns whether that changed the limit.
+func (t *Tracker) applyResponseLimit(info endpoint.Info, n endpoint.Notice, sent, now time.Time) bool {
 	if n.BadLimit {
-		if _, isLogged := b.badLimits.LoadOrStore(held.Ref(), true); !isLogged {
-			b.log.Warn().Str("endpoint", held.ID).Str("service", held.Service).Msg("ignored unreadable endpoint limit")
+		if _, isLogged := t.loggedBadLimits.LoadOrStore(info.Ref(), true); !isLogged {
+			t.log.Warn().Str("endpoint", info.ID).Str("service", info.Service).Msg("ignored unreadable endpoint limit")
 		}
 		return false
 	}
-	if n.Limit == 0 && b.limitCount.Load() == 0 {
+	if n.Limit == 0 && t.limitCount.Load() == 0 {
 		return false
 	}
-	b.limitsMu.Lock()
-	defer b.limitsMu.Unlock()
-	state, ok := b.limits[held.ID]
-	if !ok || state.born != held.StartedMS {
+	t.limitsMu.Lock()
+	defer t.limitsMu.Unlock()
+	state, ok := t.limits[info.ID]
+	if !ok || state.startedMS != info.StartedMS {
 		if n.Limit == 0 {
 			return false
 		}
-		state = &limitState{born: held.StartedMS}
-		b.limits[held.ID] = state
+		state = &limitState{startedMS: info.StartedMS}
+		t.limits[info.ID] = state
 	}
-	changes := state.changedBy(n.Limit, sent)
-	if changes {
-		*state = limitState{born: state.born, limit: n.Limit, version: state.version + 1, changed: now, confirmed: now, answered: now}
-		b.applyLimit(held, n.Limit, "answer", now)
+	isChanged := state.isChange(n.Limit, sent)
+	if isChanged {
+		*state = limitState{startedMS: state.startedMS, limit: n.Limit, version: state.version + 1, changedAt: now, confirmedAt: now, respondedAt: now}
+		t.applyLimit(info, n.Limit, "answer", now)
 	} else if n.Limit > 0 && n.Limit == state.limit {
-		state.confirmed, state.answered = now, now
+		state.confirmedAt, state.respondedAt = now, now
 	}
-	b.limitCount.Store(int64(len(b.limits)))
-	return changes
+	t.limitCount.Store(int64(len(t.limits)))
+	return isChanged
 }
 
-// changedBy reports whether an answer to a request that was sent at a time changes the
-// limit. Answers overtake each other: one to a request from before the last change says
-// nothing new, except where it lowers the limit.
-func (s *limitState) changedBy(limit endpoint.Limit, sent time.Time) bool {
+// isChange reports whether a response to a request that was sent at sent changes the limit.
+// Responses may arrive out of order: one to a request from before the last change is ignored,
+// unless it lowers the limit.
+func (s *limitState) isChange(limit endpoint.Limit, sent time.Time) bool {
 	switch {
 	case limit == s.limit:
 		return false
 	case s.version == 0:
 		return true
 	default:
-		return limit > 0 && limit < s.limit || sent.After(s.changed)
+		return limit > 0 && limit < s.limit || sent.After(s.changedAt)
 	}
 }
 
-// applyLimit has the choice keep to a limit. The limits' lock is held, so that the choice gets
-// changes in their order.
-func (b *Tracker) applyLimit(held endpoint.Info, limit endpoint.Limit, by string, now time.Time) {
-	b.router.SetLimit(held.Ref(), limit, now)
-	b.log.Info().Str("endpoint", held.ID).Str("service", held.Service).Float64("limit", float64(limit)).Str("by", by).Msg("applied endpoint limit")
+// applyLimit sets a limit in the router. limitsMu is held, so that the router gets the changes in
+// order.
+func (t *Tracker) applyLimit(info endpoint.Info, limit endpoint.Limit, source string, now time.Time) {
+	t.router.SetLimit(info.Ref(), limit, now)
+	t.log.Info().Str("endpoint", info.ID).Str("service", info.Service).Float64("limit", float64(limit)).Str("by", source).Msg("applied endpoint limit")
 }
 
 // applyReportedLimit applies another host's report of a limit.
-func (b *Tracker) applyReportedLimit(held endpoint.Info, report Report, now time.Time) {
-	b.limitsMu.Lock()
-	defer b.limitsMu.Unlock()
-	state, ok := b.limits[held.ID]
-	if !ok || state.born != held.StartedMS {
-		state = &limitState{born: held.StartedMS}
-		b.limits[held.ID] = state
-		b.limitCount.Store(int64(len(b.limits)))
+func (t *Tracker) applyReportedLimit(info endpoint.Info, report Report, now time.Time) {
+	t.limitsMu.Lock()
+	defer t.limitsMu.Unlock()
+	state, ok := t.limits[info.ID]
+	if !ok || state.startedMS != info.StartedMS {
+		state = &limitState{startedMS: info.StartedMS}
+		t.limits[info.ID] = state
+		t.limitCount.Store(int64(len(t.limits)))
 	}
 	limit := report.Notice.Limit
-	changes := state.supersededBy(limit, report.LimitVersion)
-	before := state.limit
+	isNewer := state.supersededBy(limit, report.LimitVersion)
+	previous := state.limit
 	switch {
-	case changes:
-		*state = limitState{born: state.born, limit: limit, version: report.LimitVersion, changed: now, confirmed: now, rounds: reportRounds}
+	case isNewer:
+		*state = limitState{startedMS: state.startedMS, limit: limit, version: report.LimitVersion, changedAt: now, confirmedAt: now, rounds: resendRounds}
 	case limit > 0 && limit == state.limit:
-		state.confirmed = now
+		state.confirmedAt = now
 	case report.LimitVersion < state.version:
-		// The other host does not know the latest: it is reported again.
+		// The other host does not have the latest limit, so report it again.
 		state.rounds = 0
 	}
-	if changes && limit != before {
-		b.applyLimit(held, limit, "another host", now)
+	if isNewer && limit != previous {
+		t.applyLimit(info, limit, "another host", now)
 	}
 }
 
-// supersededBy reports whether another host's report is newer. Of two at odds, the one that
-// has the endpoint get less holds until its next answer.
+// supersededBy reports whether another host's report replaces the known limit. Of two limits with
+// the same version the lower one applies until the endpoint's next response.
 func (s *limitState) supersededBy(limit endpoint.Limit, version uint64) bool {
 	if version != s.version {
 		return version > s.version
@@ -127,71 +129,72 @@
 	return limit > 0 && (s.limit == 0 || limit < s.limit)
 }
 
-// ExpireLimits ends limits that nothing has confirmed for long. Reports does so too.
-func (b *Tracker) ExpireLimits(now time.Time) {
-	b.limitsMu.Lock()
-	defer b.limitsMu.Unlock()
-	for id, state := range b.limits {
-		info, ok := b.directory.Get(id)
+// ExpireLimits lifts limits that have not been confirmed for too long, and removes withdrawn limits
+// after withdrawnTTL and the limits of endpoints that are gone. Reports does so too.
+func (t *Tracker) ExpireLimits(now time.Time) {
+	t.limitsMu.Lock()
+	defer t.limitsMu.Unlock()
+	for id, state := range t.limits {
+		info, ok := t.directory.Get(id)
 		switch {
-		case !ok || info.State == endpoint.Gone || info.StartedMS != state.born, state.limit == 0 && now.Sub(state.changed) > withdrawnKept:
-			delete(b.limits, id)
-		case state.limit > 0 && now.Sub(state.confirmed) > b.keptFor(id):
-			state.limit, state.changed = 0, now
-			b.applyLimit(info, 0, "lapse", now)
+		case !ok || info.State == endpoint.Gone || info.StartedMS != state.startedMS, state.limit == 0 && now.Sub(state.changedAt) > withdrawnTTL:
+			delete(t.limits, id)
+		case state.limit > 0 && now.Sub(state.confirmedAt) > t.limitTTLOf(id):
+			state.limit, state.changedAt = 0, now
+			t.applyLimit(info, 0, "lapse", now)
 		}
 	}
-	b.limitCount.Store(int64(len(b.limits)))
+	t.limitCount.Store(int64(len(t.limits)))
 }
 
-// limitReports returns the limits to report in this round, at most a number of them.
-func (b *Tracker) limitReports(most int, now time.Time) []Report {
-	b.ExpireLimits(now)
-	b.limitsMu.Lock()
-	defer b.limitsMu.Unlock()
+// limitReports returns the limits to be reported in this round, at most maxCount.
+func (t *Tracker) limitReports(maxCount int, now time.Time) []Report {
+	t.ExpireLimits(now)
+	t.limitsMu.Lock()
+	defer t.limitsMu.Unlock()
 	var list []Report
-	for id, state := range b.limits {
-		if len(list) == most {
+	for id, state := range t.limits {
+		if len(list) == maxCount {
 			break
 		}
-		if state.due(now) {
+		if state.isDue(now) {
 			state.rounds++
-			state.reported = now
+			state.reportedAt = now
 			list = append(list, state.report(id))
 		}
 	}
 	return list
 }
 
-// due reports whether the limit is to be reported: in the first rounds, and now and then
-// while answers to this host name it.
-func (s *limitState) due(now time.Time) bool {
+// isDue reports whether the limit is to be reported: in the first rounds, and every
+// refreshInterval while responses to this host confirm it.
+func (s *limitState) isDue(now time.Time) bool {
 	if s.version == 0 {
 		return false
 	}
-	if s.rounds < reportRounds {
+	if s.rounds < resendRounds {
 		return true
 	}
-	return s.limit > 0 && now.Sub(s.answered) < refreshPause && now.Sub(s.reported) >= refreshPause
+	return s.limit > 0 && now.Sub(s.respondedAt) < refreshInterval && now.Sub(s.reportedAt) >= refreshInterval
 }
 
 func (s *limitState) report(id string) Report {
-	return Report{Endpoint: id, StartedMS: s.born, Notice: endpoint.Notice{Limit: s.limit}, LimitVersion: s.version}
+	return Report{Endpoint: id, StartedMS: s.startedMS, Notice: endpoint.Notice{Limit: s.limit}, LimitVersion: s.version}
 }
 
-// keptFor is how long this host keeps an endpoint's limit that nothing confirms.
-func (b *Tracker) keptFor(id string) time.Duration {
-	share := float64(xxhash.Sum64String(b.router.Node()+"\x00"+id)%1000) / 1000
-	return limitKept + time.Duration(share*float64(limitKept))
+// limitTTLOf returns how long this host keeps the limit of an endpoint without confirmation.
+func (t *Tracker) limitTTLOf(id string) time.Duration {
+	jitter := float64(xxhash.Sum64String(t.router.Node()+"\x00"+id)%1000) / 1000
+	return limitTTL + time.Duration(jitter*float64(limitTTL))
 }
 
-// pendingLimit returns the report of an endpoint's limit that is sent at once; ok is false
-// where there is none to send.
-func (b *Tracker) pendingLimit(id string) (Report, bool) {
-	b.limitsMu.Lock()
-	defer b.limitsMu.Unlock()
-	state, ok := b.limits[id]
-	if !ok || state.rounds >= reportRounds {
+// pendingLimit returns the report of an endpoint's limit that is to be sent at once, or false if
+// there is none.
+func (t *Tracker) pendingLimit(id string) (Report, bool) {
+	t.limitsMu.Lock()
+	defer t.limitsMu.Unlock()
+	state, ok := t.limits[id]
+	if !ok || state.rounds >= resendRounds {
 		return Report{}, false
 	}
 	return state.report(id), true
--- a/pkg/notice/limits_test.go
+++ b/pkg/notice/limits_test.go
@@ -15,43 +15,43 @@
 	"ironhollow/pkg/route"
 )
 
-// Bounds on requests at an endpoint that names a limit.
+// Bounds on the requests to an endpoint that sets a limit.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// known is how long after a limit is named, or lowered, it must be kept.
-	known = 3 * time.Second
-	// inFlight is for how long after a host received a limit its requests do not count.
+	// settleTime is how long after a limit is set or lowered all hosts must keep to it.
+	settleTime = 3 * time.Second
+	// inFlight is how long after a host first received a limit its requests are not counted.
 	inFlight = 500 * time.Millisecond
 )
 
 // Timing of a limitFleet.
 const (
-	step       = 10 * time.Millisecond
-	answerTime = 40 * time.Millisecond
-	// datagramTime is on the way between two hosts, lossOf one in so many is lost.
+	step         = 10 * time.Millisecond
+	responseTime = 40 * time.Millisecond
+	// datagramTime is how long a datagram takes between two hosts; one in lossOf is lost.
 	datagramTime = 5 * time.Millisecond
 	lossOf       = 10
-	// silence is how long a host that is cut off stays in the others' lists.
-	silence = 3200 * time.Millisecond
+	// failureDetection is how long a partitioned host stays in the lists of the others.
+	failureDetection = 3200 * time.Millisecond
 )
 
-// limitFleet is hosts that share one endpoint, which names limits by schedule.
+// limitFleet simulates hosts that share one endpoint, which sets limits by a schedule.
 type limitFleet struct {
 	random *rand.Rand
 	hosts  []*limitHost
-	// schedule is the limits with their beginnings, 0 for none.
-	schedule []limitFrom
+	// schedule holds the limits with their start times; a limit of 0 is none.
+	schedule []scheduledLimit
 	now      time.Duration
-	// names are the hosts that take callers, as last sent to the routers.
+	// names are the hosts that take callers, as last given to the routers.
 	names []string
-	// arrivals are the requests that count.
+	// arrivals are the times of the counted requests, all the number of all requests.
 	arrivals []time.Duration
 	all      int
 }
 
-type limitFrom struct {
+type scheduledLimit struct {
 	from  time.Duration
 	limit endpoint.Limit
 }
@@ -59,21 +59,22 @@
 type limitHost struct {
 	host
 	name string
-	// received is when it first received an answer that names a limit.
-	received time.Duration
-	hasHeard bool
-	answers  []limitAnswer
-	inbox    []limitReport
-	pace     gossip.Pace
-	next     time.Duration
-	// excused is until when its requests do not count: it was restarted or cut off.
-	excused  time.Duration
-	cutUntil time.Duration
-	// isBehind says that its router has not got the names yet.
+	// received is when it first received a response with a limit; hasLimit says that it did.
+	received  time.Duration
+	hasLimit  bool
+	responses []limitResponse
+	inbox     []limitReport
+	pace      gossip.Pace
+	next      time.Duration
+	// excusedUntil is until when its requests are not counted because it was restarted or
+	// partitioned.
+	excusedUntil     time.Duration
+	partitionedUntil time.Duration
+	// isBehind is set while its router does not have the latest names.
 	isBehind bool
 }
 
-type limitAnswer struct {
+type limitResponse struct {
 	sent, at time.Duration
 	notice   endpoint.Notice
 }
@@ -83,7 +84,7 @@
 	list []notice.Report
 }
 
-func newLimitFleet(size int, seed uint64, schedule ...limitFrom) *limitFleet {
+func newLimitFleet(size int, seed uint64, schedule ...scheduledLimit) *limitFleet {
 	f := &limitFleet{random: rand.New(rand.NewPCG(seed, uint64(size))), schedule: schedule}
 	for i := range size {
 		h := &limitHost{name: fmt.Sprintf("host-%04d", i)}
@@ -95,12 +96,12 @@
 	return f
 }
 
-// start starts a host anew.
+// start starts or restarts a host.
 func (f *limitFleet) start(h *limitHost) {
 	h.host = newNamedHost(h.name)
-	h.answers, h.inbox = nil, nil
+	h.responses, h.inbox = nil, nil
 	h.isBehind = true
-	h.excused = f.now + known
+	h.excusedUntil = f.now + settleTime
 	h.router.SetHosts([]string{h.name}, f.at())
 }
 
@@ -116,11 +117,11 @@
 	return limit
 }
 
-// follow gives the hosts' names to the routers: those that are cut off keep what they knew.
-func (f *limitFleet) follow() {
+// updateHosts gives the names of the hosts to the routers; partitioned hosts keep the old names.
+func (f *limitFleet) updateHosts() {
 	var names []string
 	for _, h := range f.hosts {
-		if h.cutUntil == 0 || f.now < h.cutUntil-cutTime+silence {
+		if h.partitionedUntil == 0 || f.now < h.partitionedUntil-partitionTime+failureDetection {
 			names = append(names, h.name)
 		}
 	}
@@ -128,25 +129,25 @@
 	f.names = names
 	for _, h := range f.hosts {
 		h.isBehind = h.isBehind || changed
-		if h.isBehind && h.cutUntil == 0 {
+		if h.isBehind && h.partitionedUntil == 0 {
 			h.router.SetHosts(names, f.at())
 			h.isBehind = false
 		}
 	}
 }
 
-const cutTime = 6 * time.Second
+const partitionTime = 6 * time.Second
 
-// advance plays one step with a number of requests.
+// advance simulates one step with a number of requests.
 func (f *limitFleet) advance(requests int) {
 	f.now += step
 	for range requests {
-		f.ask(f.hosts[f.random.IntN(len(f.hosts))])
+		f.sendRequest(f.hosts[f.random.IntN(len(f.hosts))])
 	}
 	for _, h := range f.hosts {
-		if h.cutUntil > 0 && f.now >= h.cutUntil {
-			h.cutUntil = 0
-			h.excused = f.now + known
+		if h.partitionedUntil > 0 && f.now >= h.partitionedUntil {
+			h.partitionedUntil = 0
+			h.excusedUntil = f.now + settleTime
 		}
 		f.receive(h)
 		if f.now >= h.next {
@@ -157,28 +158,28 @@
 	}
 }
 
-func (f *limitFleet) ask(h *limitHost) {
+func (f *limitFleet) sendRequest(h *limitHost) {
 	c, ok := h.router.Choose(route.Query{Target: route.Target{Service: "s"}, AnswerTokens: 1}, route.Expected, f.at())
 	if !ok {
 		return
 	}
 	h.router.Done(c, route.Result{}, f.at())
 	f.all++
-	if h.hasHeard && f.now-h.received >= inFlight && f.now >= h.excused {
+	if h.hasLimit && f.now-h.received >= inFlight && f.now >= h.excusedUntil {
 		f.arrivals = append(f.arrivals, f.now)
 	}
-	at := f.now + answerTime
-	h.answers = append(h.answers, limitAnswer{f.now, at, endpoint.Notice{Limit: f.limitAt(at)}})
+	at := f.now + responseTime
+	h.responses = append(h.responses, limitResponse{f.now, at, endpoint.Notice{Limit: f.limitAt(at)}})
 }
 
 func (f *limitFleet) receive(h *limitHost) {
-	for len(h.answers) > 0 && h.answers[0].at <= f.now {
-		a := h.answers[0]
-		h.answers = h.answers[1:]
-		if a.notice.Limit > 0 && !h.hasHeard {
-			h.received, h.hasHeard = f.now, true
+	for len(h.responses) > 0 && h.responses[0].at <= f.now {
+		resp := h.responses[0]
+		h.responses = h.responses[1:]
+		if resp.notice.Limit > 0 && !h.hasLimit {
+			h.received, h.hasLimit = f.now, true
 		}
-		h.ApplyResponse(h.info(0), a.notice, now.Add(a.sent), f.at())
+		h.ApplyResponse(h.info(0), resp.notice, now.Add(resp.sent), f.at())
 		f.send(h, h.ReportsFor([]string{id(0)}, f.at()))
 	}
 	for len(h.inbox) > 0 && h.inbox[0].at <= f.now {
@@ -188,17 +189,17 @@
 }
 
 func (f *limitFleet) send(from *limitHost, list []notice.Report) {
-	if len(list) == 0 || from.cutUntil > 0 {
+	if len(list) == 0 || from.partitionedUntil > 0 {
 		return
 	}
 	for _, to := range f.hosts {
-		if to != from && to.cutUntil == 0 && f.random.IntN(lossOf) > 0 {
+		if to != from && to.partitionedUntil == 0 && f.random.IntN(lossOf) > 0 {
 			to.inbox = append(to.inbox, limitReport{f.now + datagramTime, list})
 		}
 	}
 }
 
-// check checks all windows.
+// check fails the test if more requests than allowed arrived in some window.
 func (f *limitFleet) check(t *testing.T) {
 	t.Helper()
 	first := 0
@@ -207,7 +208,7 @@
 		for at-f.arrivals[first] > limitWindow {
 			first++
 		}
-		if at < f.schedule[0].from+known || f.isFree(at) {
+		if at < f.schedule[0].from+settleTime || f.isUnlimited(at) {
 			continue
 		}
 		got, allowed := last-first+1, f.allowed(at)
@@ -217,11 +218,11 @@
 			return
 		}
 	}
-	t.Logf("%d requests, %d of hosts that had received the limit; at the worst %.1f beside the bound", f.all, len(f.arrivals), worst)
+	t.Logf("%d requests, %d of them from hosts that had received the limit; worst window: %.1f requests above the bound", f.all, len(f.arrivals), worst)
 }
 
-// isFree reports whether any of a window is without limit.
-func (f *limitFleet) isFree(at time.Duration) bool {
+// isUnlimited reports whether there is no limit at some time in the window before at.
+func (f *limitFleet) isUnlimited(at time.Duration) bool {
 	for back := time.Duration(0); back <= limitWindow; back += step {
 		if at-back >= f.schedule[0].from && f.limitAt(at-back) == 0 {
 			return true
@@ -230,18 +231,18 @@
 	return false
 }
 
-// allowed is how many requests may have come in the window before a moment.
+// allowed returns how many requests may arrive in the window before at.
 func (f *limitFleet) allowed(at time.Duration) float64 {
 	sum := 0.0
 	for back := time.Duration(0); back < limitWindow; back += step {
-		limit := max(f.limitAt(at-back), f.limitAt(at-back-known))
+		limit := max(f.limitAt(at-back), f.limitAt(at-back-settleTime))
 		sum += float64(limit) * step.Seconds()
 	}
 	return limitFactor*sum + limitSlack
 }
 
-// free is how many hosts may send the endpoint requests as they like.
-func (f *limitFleet) free() int {
+// unlimitedHosts returns the number of hosts that send the endpoint requests without a limit.
+func (f *limitFleet) unlimitedHosts() int {
 	free := 0
 	for _, h := range f.hosts {
 		all := true
@@ -259,34 +260,35 @@
 	return free
 }
 
-// Guards against hosts that together send an endpoint more than the limit that it names to
-// each, with limits named, lowered, raised and withdrawn, hosts restarted and cut off.
+// Guards against hosts that each apply an endpoint's limit alone and together exceed it. The
+// limit is set, lowered, raised and withdrawn while hosts are restarted and partitioned.
 func TestLimitIsOfAllHosts(t *testing.T) {
 	for _, size := range []int{7, 9, 30, 91, 300, 985} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			f := newLimitFleet(size, 1, limitFrom{5 * time.Second, 1.1}, limitFrom{15 * time.Second, 0.4}, limitFrom{25 * time.Second, 6}, limitFrom{38 * time.Second, 0})
-			const ends = 50 * time.Second
-			for f.now < ends {
-				f.follow()
+			f := newLimitFleet(size, 1, scheduledLimit{5 * time.Second, 1.1}, scheduledLimit{15 * time.Second, 0.4}, scheduledLimit{25 * time.Second, 6}, scheduledLimit{38 * time.Second, 0})
+			const endTime = 50 * time.Second
+			for f.now < endTime {
+				f.updateHosts()
 				switch {
 				case f.now%(2*time.Second) == 0 && f.now > 0 && f.now < 36*time.Second:
 					f.start(f.hosts[f.random.IntN(size)])
 				case f.now%(7*time.Second) == time.Second && f.now < 30*time.Second:
 					for i := range max(size/5, 1) {
-						f.hosts[i].cutUntil, f.hosts[i].excused = f.now+cutTime, f.now+cutTime
+						f.hosts[i].partitionedUntil, f.hosts[i].excusedUntil = f.now+partitionTime, f.now+partitionTime
 					}
 				}
 				f.advance(f.requests())
 			}
 			f.check(t)
-			if got, want := f.free(), size*9/10; got < want {
-				t.Errorf("12 s after the limit was withdrawn: got %d of %d hosts that know, want %d", got, size, want)
+			if got, want := f.unlimitedHosts(), size*9/10; got < want {
+				t.Errorf("12 s after the limit was withdrawn: got %d of %d hosts without a limit, want %d", got, size, want)
 			}
 		})
 	}
 }
 
-// requests is how many come in a step: 40 a second, four times as many in larger fleets.
+// requests returns the number of requests in a step: 40 per second, four times as many if there
+// are more than 24 hosts.
 func (f *limitFleet) requests() int {
 	perSecond := 40
 	if len(f.hosts) > 24 {
@@ -295,15 +297,15 @@
 	return int((f.now*time.Duration(perSecond))/time.Second) - int(((f.now-step)*time.Duration(perSecond))/time.Second)
 }
 
-// A limit is used: with no fault, callers get most of what the endpoint takes, where the
-// hosts that share it are asked for as much.
+// Checks that the limit is used: without faults, callers get most of what the endpoint accepts if
+// the hosts that share the limit receive as many requests.
 func TestLimitIsUsed(t *testing.T) {
 	for _, size := range []int{7, 30, 64} {
 		for _, limit := range []endpoint.Limit{0.5, 2, 20} {
-			f := newLimitFleet(size, 1, limitFrom{6 * time.Second, limit})
+			f := newLimitFleet(size, 1, scheduledLimit{6 * time.Second, limit})
 			served := 0
 			for f.now < 40*time.Second {
-				f.follow()
+				f.updateHosts()
 				if f.now == 20*time.Second {
 					served = f.all
 				}
@@ -311,15 +313,16 @@
 			}
 			f.check(t)
 			if got, want := float64(f.all-served), 0.7*float64(limit)*20; got < want {
-				t.Errorf("%d hosts, %v a second: got %v requests in 20 s, want %v at least", size, limit, got, want)
+				t.Errorf("%d hosts, %v per second: got %v requests in 20 s, want %v at least", size, limit, got, want)
 			}
 		}
 	}
 }
 
-// A limit that cannot be read changes nothing; an answer to a request from before the limit
-// does not withdraw it, one to a later request does; another life has none.
-func TestAnswersChangeTheLimit(t *testing.T) {
+// Checks which responses change the limit. One with an unreadable limit changes nothing. One
+// without a limit withdraws it only if its request was sent after the limit was received. A later
+// run of the endpoint starts without a limit.
+func TestResponsesChangeLimit(t *testing.T) {
 	h := newNamedHost("a")
 	at := func(s float64) time.Time { return now.Add(time.Duration(s * float64(time.Second))) }
 	limited := func(now float64) bool {
@@ -340,8 +343,8 @@
 	}{
 		{"named", endpoint.Notice{Limit: 0.1}, 0, true},
 		{"unreadable", endpoint.Notice{BadLimit: true}, 0.9, true},
-		{"an earlier answer without", endpoint.Notice{}, -1, true},
-		{"a later answer without", endpoint.Notice{}, 0.9, false},
+		{"no limit, earlier request", endpoint.Notice{}, -1, true},
+		{"no limit, later request", endpoint.Notice{}, 0.9, false},
 	} {
 		h.ApplyResponse(h.info(0), c.notice, at(c.sent), at(0.5))
 		if got := limited(1); got != c.want {
@@ -351,18 +354,18 @@
 	h.ApplyResponse(h.info(0), endpoint.Notice{Limit: 0.1}, at(0.9), at(0.9))
 	h.ApplyResponse(h.info(0), endpoint.Notice{Moved: true}, at(1), at(1))
 	if !limited(6) {
-		t.Error("another instance's answer: got the limit withdrawn, want it kept")
+		t.Error("response of another instance: got the limit withdrawn, want it kept")
 	}
 	later := h.info(0)
 	later.Incarnation, later.StartedMS = later.Incarnation+1, later.StartedMS+1
 	h.directory.Merge(later)
 	if limited(6) {
-		t.Error("the endpoint's next life: got limited, want not")
+		t.Error("next run of the endpoint: got limited, want not limited")
 	}
 }
 
-// Guards against a choice that keeps to another limit than the latest where answers arrive at
-// the same time.
+// Guards against a router that applies another limit than the latest after responses arrive
+// concurrently.
 func TestChoiceKeepsToTheLatestLimit(t *testing.T) {
 	const (
 		rounds = 300
@@ -371,20 +374,20 @@
 	)
 	for round := range rounds {
 		h := newNamedHost("a")
-		var answers sync.WaitGroup
+		var responses sync.WaitGroup
 		for i := range 8 {
 			limit := endpoint.Limit(few)
 			if i%2 == 0 {
 				limit = many
 			}
-			answers.Go(func() {
+			responses.Go(func() {
 				for k := range 4 {
 					at := now.Add(time.Duration(8*k+i) * time.Millisecond)
 					h.ApplyResponse(h.info(0), endpoint.Notice{Limit: limit}, at, at)
 				}
 			})
 		}
-		answers.Wait()
+		responses.Wait()
 		later := now.Add(5 * time.Second)
 		latest := h.Reports(later)[0].Notice.Limit
 		served := 0
@@ -395,7 +398,7 @@
 			}
 		}
 		if got, want := served > 10, latest == many; got != want {
-			t.Fatalf("round %d: the latest limit is %v a second, got %d requests at once", round, latest, served)
+			t.Fatalf("round %d: the latest limit is %v per second, got %d requests at once", round, latest, served)
 		}
 	}
 }
