--- a/pkg/ratelimit/hosts.go
+++ b/pkg/ratelimit/hosts.go
@@ -7,62 +7,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Parameters of upheavals. After the loss of many hosts at once the others may know few of each
-// other for a while, each of them different ones; no host gains a share then.
+// Parameters of a mass loss of hosts. After many hosts are lost at once, each of the others may
+// know only a few others for a while, and each of them different ones, so no host gains a share
+// then.
 const (
-	// knownPart is the part of the base below which hosts that are still known are an upheaval.
-	knownPart = 0.5
-	// baseKept is how long a base is kept at least, mostBaseKept at most; within that it is
-	// replaced once the hosts have not changed for calmTime.
-	baseKept     = 30 * time.Second
-	mostBaseKept = time.Minute
-	calmTime     = 15 * time.Second
+	// minKnownShare is the fraction of the baseline that must still be known; if fewer hosts are,
+	// it is a mass loss.
+	minKnownShare = 0.5
+	// minBaselineAge is how long a baseline is kept at least, maxBaselineAge at most. In between,
+	// it is replaced once the hosts have not changed for stableTime.
+	minBaselineAge = 30 * time.Second
+	maxBaselineAge = time.Minute
+	stableTime     = 15 * time.Second
 )
 
-// Hosts are those that take callers, as one of them knows them. It is not changed once made.
+// Hosts is the set of hosts that take callers, as known to one of them. It is immutable.
 type Hosts struct {
 	self string
-	// names are known now, since changedAt; base were known at baseAt. Both are sorted.
-	names, base       []string
-	changedAt, baseAt time.Time
-	// since is when the first Hosts of this process was made.
-	since time.Time
-	// known is how many of base are in names.
-	known int
+	// names are the hosts known since changedAt, baseline those known at baselineAt. Both are
+	// sorted.
+	names, baseline       []string
+	changedAt, baselineAt time.Time
+	// startedAt is when the first Hosts of this process was created.
+	startedAt time.Time
+	// baselineKnown is the number of hosts of baseline that are in names.
+	baselineKnown int
 }
 
-// NewHosts returns the hosts that self knows first, by name.
+// NewHosts returns the first set of hosts that self knows, by name.
 func NewHosts(self string, names []string, now time.Time) *Hosts {
 	names = slices.Sorted(slices.Values(names))
-	return &Hosts{self: self, names: names, base: names, known: len(names), changedAt: now, baseAt: now, since: now}
+	return &Hosts{self: self, names: names, baseline: names, baselineKnown: len(names), changedAt: now, baselineAt: now, startedAt: now}
 }
 
-// WithNames returns the hosts with the names that are known now; h itself where nothing changes.
+// WithNames returns the hosts with the names that are known at now, or h itself if nothing
+// changes.
 func (h *Hosts) WithNames(names []string, now time.Time) *Hosts {
-	isSame := slices.Equal(h.names, names)
-	isDue := h.isBaseDue(isSame, now)
-	if isSame && !isDue {
+	isUnchanged := slices.Equal(h.names, names)
+	isDue := h.isBaselineDue(isUnchanged, now)
+	if isUnchanged && !isDue {
 		return h
 	}
-	next := &Hosts{self: h.self, names: h.names, base: h.base, changedAt: h.changedAt, baseAt: h.baseAt, since: h.since}
-	if !isSame {
+	next := &Hosts{self: h.self, names: h.names, baseline: h.baseline, changedAt: h.changedAt, baselineAt: h.baselineAt, startedAt: h.startedAt}
+	if !isUnchanged {
 		next.names, next.changedAt = slices.Sorted(slices.Values(names)), now
 	}
 	if isDue {
-		next.base, next.baseAt = next.names, now
+		next.baseline, next.baselineAt = next.names, now
 	}
-	next.known = countCommon(next.names, next.base)
+	next.baselineKnown = countCommon(next.names, next.baseline)
 	return next
 }
 
-// isBaseDue reports whether the base is to be replaced.
-func (h *Hosts) isBaseDue(isSame bool, now time.Time) bool {
-	age := now.Sub(h.baseAt)
-	isCalm := isSame && now.Sub(h.changedAt) >= calmTime
-	return age >= mostBaseKept || age >= baseKept && isCalm
+// isBaselineDue reports whether the baseline is to be replaced.
+func (h *Hosts) isBaselineDue(isUnchanged bool, now time.Time) bool {
+	age := now.Sub(h.baselineAt)
+	isStable := isUnchanged && now.Sub(h.changedAt) >= stableTime
+	return age >= maxBaselineAge || age >= minBaselineAge && isStable
 }
 
-// countCommon returns how many names are in both of two sorted lists.
+// countCommon returns the number of names that are in both of two sorted lists.
 func countCommon(a, b []string) int {
 	common := 0
 	for len(a) > 0 && len(b) > 0 {
@@ -79,14 +83,16 @@
 	return common
 }
 
-// isUpheaval reports whether most of the base is gone.
-func (h *Hosts) isUpheaval() bool { return float64(h.known) < knownPart*float64(len(h.base)) }
+// isMassLoss reports whether less than minKnownShare of the baseline is still known.
+func (h *Hosts) isMassLoss() bool {
+	return float64(h.baselineKnown) < minKnownShare*float64(len(h.baseline))
+}
 
-// size is the number of hosts among which limits are shared.
-func (h *Hosts) size() int { return max(len(h.names), len(h.base)) }
+// size returns the number of hosts that limits are divided among.
+func (h *Hosts) size() int { return max(len(h.names), len(h.baseline)) }
 
-// rank returns the place of this host among those that share an endpoint, 0 for the first.
-// ok is false where it does not take callers.
+// rank returns the rank of this host among those that share an endpoint, 0 for the first; ok is
+// false if this host does not take callers.
 func (h *Hosts) rank(endpointID string) (rank int, ok bool) {
 	own := weight(h.self, endpointID)
 	for _, name := range h.names {
--- a/pkg/ratelimit/ratelimit.go
+++ b/pkg/ratelimit/ratelimit.go
@@ -1,7 +1,7 @@
-// Package ratelimit shares the limit of requests a second that an endpoint names among the
-// hosts that take callers, without messages between them. Rendezvous hashing picks a few
-// hosts for each endpoint, so that each of them gets a useful rate and their bursts together
-// stay within what the endpoint bears. It does no I/O; times are passed in.
+// Package ratelimit divides the limit of requests per second that an endpoint sets among the hosts
+// that take callers, without messages between them. Rendezvous hashing picks a few hosts for each
+// endpoint, so that each of them gets a useful rate and their bursts together stay within what the
+// endpoint can handle. The package does no I/O; the current time is passed in.
 package ratelimit
 
 import (
@@ -13,125 +13,126 @@
 
 // Parameters of the shares.
 const (
-	// spareHolders is how many hosts share a limit in addition to one for each request a second.
-	spareHolders = 3
-	// settleTime is how long the hosts must not have changed before a host uses a share that
-	// it has gained: another may not know yet that it has lost it.
-	settleTime = 4 * time.Second
+	// extraHolders is the number of hosts that share a limit in addition to one host per request
+	// per second.
+	extraHolders = 3
+	// newShareDelay is how long the hosts must not have changed before a host uses a share that it
+	// has gained: the host that lost the share may not know that yet.
+	newShareDelay = 4 * time.Second
 )
 
-// Bucket is this host's share of one endpoint's limit: a token bucket. It is safe for
+// Bucket is a token bucket with this host's share of one endpoint's limit. It is safe for
 // concurrent use.
 type Bucket struct {
 	endpoint string
 
 	mu    sync.Mutex
 	limit endpoint.Limit
-	// hosts is what the share was worked out for.
+	// hosts are the hosts that share was computed for.
 	hosts *Hosts
 	share share
-	// tokens are requests that may be sent, as of at.
-	tokens float64
-	at     time.Time
-	// from is when the share may be used.
-	from time.Time
+	// tokens is the number of requests that may be sent, as of refilledAt.
+	tokens     float64
+	refilledAt time.Time
+	// usableFrom is the time from which the share may be used.
+	usableFrom time.Time
 }
 
-// share is a host's part of a limit: rate in requests a second, and how many tokens it
-// collects. The zero value is no part.
+// share is a host's share of a limit: its rate in requests per second and the number of tokens
+// that it can accumulate. The zero value is no share.
 type share struct{ rate, burst float64 }
 
-// New returns the bucket of a limit that has just become known.
+// New returns the bucket for a limit that has just been received.
 func New(endpointID string, limit endpoint.Limit, hosts *Hosts, now time.Time) *Bucket {
-	a := &Bucket{endpoint: endpointID, limit: limit, hosts: hosts, at: now, from: hosts.since.Add(settleTime)}
+	b := &Bucket{endpoint: endpointID, limit: limit, hosts: hosts, refilledAt: now, usableFrom: hosts.startedAt.Add(newShareDelay)}
 	var rank, holders int
-	a.share, rank, holders = a.shareOf(false)
-	if a.share.rate > 0 {
-		// Holders take their first turns one after the other.
-		a.tokens = float64(rank) / float64(holders)
+	b.share, rank, holders = b.computeShare(false)
+	if b.share.rate > 0 {
+		// Stagger the first requests of the hosts that hold a share.
+		b.tokens = float64(rank) / float64(holders)
 	}
-	return a
+	return b
 }
 
-// shareOf works out this host's share, its rank, and how many hosts have one; settled says
-// that it uses one already. The lock is held.
-func (a *Bucket) shareOf(settled bool) (s share, rank, holders int) {
-	holders = min(a.hosts.size(), int(a.limit)+spareHolders)
-	rank, ok := a.hosts.rank(a.endpoint)
-	if !ok || rank >= holders || !settled && a.hosts.isUpheaval() {
+// computeShare returns this host's share, its rank and the number of hosts that hold a share;
+// inUse is set if this host already uses one. The lock is held.
+func (b *Bucket) computeShare(inUse bool) (s share, rank, holders int) {
+	holders = min(b.hosts.size(), int(b.limit)+extraHolders)
+	rank, ok := b.hosts.rank(b.endpoint)
+	if !ok || rank >= holders || !inUse && b.hosts.isMassLoss() {
 		return share{}, rank, holders
 	}
-	burst := (float64(a.limit) + spareHolders) / float64(holders)
-	return share{rate: float64(a.limit) / float64(holders), burst: max(burst, 1)}, rank, holders
+	burst := (float64(b.limit) + extraHolders) / float64(holders)
+	return share{rate: float64(b.limit) / float64(holders), burst: max(burst, 1)}, rank, holders
 }
 
 // SetLimit changes the limit.
-func (a *Bucket) SetLimit(limit endpoint.Limit, now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.refill(now)
-	a.limit = limit
-	a.share, _, _ = a.shareOf(a.isSettled(now))
-	a.tokens = min(a.tokens, a.share.burst)
+func (b *Bucket) SetLimit(limit endpoint.Limit, now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.refill(now)
+	b.limit = limit
+	b.share, _, _ = b.computeShare(b.isInUse(now))
+	b.tokens = min(b.tokens, b.share.burst)
 }
 
-// follow works the share out anew where the hosts have changed. The lock is held.
-func (a *Bucket) follow(hosts *Hosts, now time.Time) {
-	if hosts == a.hosts {
+// updateHosts computes the share again if the hosts have changed. The lock is held.
+func (b *Bucket) updateHosts(hosts *Hosts, now time.Time) {
+	if hosts == b.hosts {
 		return
 	}
-	a.refill(now)
-	settled := a.isSettled(now)
-	a.hosts = hosts
-	a.share, _, _ = a.shareOf(settled)
-	a.tokens = min(a.tokens, a.share.burst)
-	if !settled && a.share.rate > 0 {
-		a.from = now.Add(settleTime)
+	b.refill(now)
+	inUse := b.isInUse(now)
+	b.hosts = hosts
+	b.share, _, _ = b.computeShare(inUse)
+	b.tokens = min(b.tokens, b.share.burst)
+	if !inUse && b.share.rate > 0 {
+		b.usableFrom = now.Add(newShareDelay)
 	}
 }
 
-// isSettled reports whether this host uses a share already. The lock is held.
-func (a *Bucket) isSettled(now time.Time) bool {
-	return a.share.rate > 0 && !now.Before(a.from)
+// isInUse reports whether this host already uses a share. The lock is held.
+func (b *Bucket) isInUse(now time.Time) bool {
+	return b.share.rate > 0 && !now.Before(b.usableFrom)
 }
 
-// refill adds what has come in since the last time. The lock is held.
-func (a *Bucket) refill(now time.Time) {
-	if now.Before(a.from) {
-		a.at = now
+// refill adds the tokens that have accumulated since the last refill. The lock is held.
+func (b *Bucket) refill(now time.Time) {
+	if now.Before(b.usableFrom) {
+		b.refilledAt = now
 		return
 	}
-	if since := now.Sub(a.at); since > 0 {
-		a.tokens = min(a.tokens+since.Seconds()*a.share.rate, a.share.burst)
-		a.at = now
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		b.tokens = min(b.tokens+elapsed.Seconds()*b.share.rate, b.share.burst)
+		b.refilledAt = now
 	}
 }
 
-// Delay returns how long it is until this host may send the endpoint a request, 0 for now.
-// ok is false where it has no share.
-func (a *Bucket) Delay(hosts *Hosts, now time.Time) (left time.Duration, ok bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.follow(hosts, now)
-	if a.share.rate <= 0 {
+// Delay returns the time until this host may send the endpoint a request, 0 if it may send one
+// now; ok is false if this host has no share.
+func (b *Bucket) Delay(hosts *Hosts, now time.Time) (delay time.Duration, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.updateHosts(hosts, now)
+	if b.share.rate <= 0 {
 		return 0, false
 	}
-	a.refill(now)
-	if missing := 1 - a.tokens; missing > 0 {
-		left = time.Duration(missing / a.share.rate * float64(time.Second))
+	b.refill(now)
+	if missing := 1 - b.tokens; missing > 0 {
+		delay = time.Duration(missing / b.share.rate * float64(time.Second))
 	}
-	return left + max(a.from.Sub(now), 0), true
+	return delay + max(b.usableFrom.Sub(now), 0), true
 }
 
 // Allows reports whether this host may send the endpoint a request now.
-func (a *Bucket) Allows(hosts *Hosts, now time.Time) bool {
-	left, ok := a.Delay(hosts, now)
-	return ok && left == 0
+func (b *Bucket) Allows(hosts *Hosts, now time.Time) bool {
+	delay, ok := b.Delay(hosts, now)
+	return ok && delay == 0
 }
 
-// Take counts a request that is sent.
-func (a *Bucket) Take() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.tokens--
+// Take removes the token of a request that is sent.
+func (b *Bucket) Take() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.tokens--
 }
--- a/pkg/ratelimit/ratelimit_test.go
+++ b/pkg/ratelimit/ratelimit_test.go
@@ -19,15 +19,15 @@
 	return list
 }
 
-// most returns the most requests that hosts send in 4 s of half a minute where each sends all
-// that it may.
-func most(buckets []*ratelimit.Bucket, hosts []*ratelimit.Hosts) int {
+// maxRequests returns the largest number of requests that the hosts send in any 4 s of half a
+// minute if each sends all that its bucket allows.
+func maxRequests(buckets []*ratelimit.Bucket, hosts []*ratelimit.Hosts) int {
 	var sent []time.Duration
 	first, worst := 0, 0
 	for at := time.Duration(0); at < 30*time.Second; at += 50 * time.Millisecond {
-		for i, a := range buckets {
-			for a.Allows(hosts[i], start.Add(at)) {
-				a.Take()
+		for i, b := range buckets {
+			for b.Allows(hosts[i], start.Add(at)) {
+				b.Take()
 				sent = append(sent, at)
 			}
 		}
@@ -39,7 +39,7 @@
 	return worst
 }
 
-func TestSharesStayWithinTheLimit(t *testing.T) {
+func TestSharesStayWithinLimit(t *testing.T) {
 	for _, size := range []int{1, 7, 9, 64, 300} {
 		for _, limit := range []endpoint.Limit{endpoint.MinLimit, 0.3, 1, 1.1, 5, 100} {
 			var buckets []*ratelimit.Bucket
@@ -49,36 +49,37 @@
 				hosts = append(hosts, h)
 				buckets = append(buckets, ratelimit.New("e", limit, h, start))
 			}
-			if got, allowed := most(buckets, hosts), int(1.5*4*float64(limit))+5; got > allowed {
-				t.Errorf("%d hosts, %v a second: got %d requests in 4 s, want %d at most", size, limit, got, allowed)
+			if got, allowed := maxRequests(buckets, hosts), int(1.5*4*float64(limit))+5; got > allowed {
+				t.Errorf("%d hosts, %v per second: got %d requests in 4 s, want %d at most", size, limit, got, allowed)
 			}
 		}
 	}
 }
 
-// A host that takes over the share of one that is gone waits until that one has found out.
-func TestSharesAreTakenOverLate(t *testing.T) {
+// Checks that a host that takes over the share of a lost host waits until that one knows that it
+// has lost the share.
+func TestShareTakeoverIsDelayed(t *testing.T) {
 	all := names(9)
 	for _, self := range all {
 		h := ratelimit.NewHosts(self, all, start.Add(-time.Hour))
-		a := ratelimit.New("e", 1, h, start)
-		if _, has := a.Delay(h, start); has {
+		b := ratelimit.New("e", 1, h, start)
+		if _, has := b.Delay(h, start); has {
 			continue
 		}
 		alone := h.WithNames([]string{self}, start.Add(time.Minute))
-		left, has := a.Delay(alone, start.Add(time.Minute))
-		if least := 4 * time.Second; !has || left < least {
-			t.Errorf("%s: got a share %v, in %v; want one in %v at least", self, has, left, least)
+		delay, has := b.Delay(alone, start.Add(time.Minute))
+		if minDelay := 4 * time.Second; !has || delay < minDelay {
+			t.Errorf("%s: got a share: %v, usable in %v; want one usable in %v at least", self, has, delay, minDelay)
 		}
-		if _, has := a.Delay(h, start.Add(time.Minute)); has {
-			t.Errorf("%s, once the others are back: got a share, want none", self)
+		if _, has := b.Delay(h, start.Add(time.Minute)); has {
+			t.Errorf("%s, after the others are back: got a share, want none", self)
 		}
 	}
 }
 
-func TestHostsThatTakeNoCallersHaveNoShare(t *testing.T) {
+func TestHostsWithoutCallersHaveNoShare(t *testing.T) {
 	h := ratelimit.NewHosts("other", names(9), start.Add(-time.Hour))
-	if left, has := ratelimit.New("e", 1000, h, start).Delay(h, start); has {
-		t.Errorf("got a share in %v, want none", left)
+	if delay, has := ratelimit.New("e", 1000, h, start).Delay(h, start); has {
+		t.Errorf("got a share usable in %v, want none", delay)
 	}
 }
