--- a/pkg/relay/copy.go
+++ b/pkg/relay/copy.go
@@ -1,7 +1,7 @@
-// Package relay lets most hosts of a large fleet follow the store's tables
-// through a few that follow the store itself: every call to the store is paid
-// for, a call between hosts is not. Versions are the store's own, so that a
-// follower changes between a relay and the store without a gap.
+// Package relay lets most hosts of a large fleet follow the store's tables through a few relays,
+// hosts that follow the store itself: each call to the store costs money, a call between hosts
+// does not. Relays use the store's versions, so that a follower can switch between a relay and the
+// store without a gap.
 package relay
 
 import (
@@ -14,117 +14,119 @@
 	"ironhollow/pkg/feed"
 )
 
-// mostChanges is how many changes of a table are kept for followers; one that
-// asks for older ones reads a snapshot.
-const mostChanges = 4096
+// maxChanges is the number of changes of a table that are kept for followers. A follower that asks
+// for older ones has to read a snapshot.
+const maxChanges = 4096
 
-// ChangeFilter reports whether a row's new value says something that the one before did not.
-type ChangeFilter func(table string, before, now []byte) bool
+// ChangeFilter reports whether followers need a row's new value, given the previous one.
+type ChangeFilter func(table string, previous, current []byte) bool
 
-// Replica is what a host has read of the store's tables itself. It is safe for
-// concurrent use.
+// Replica is a host's replica of the store's tables, which it reads from the store itself. It is
+// safe for concurrent use.
 type Replica struct {
 	now func() time.Time
-	// says reports whether a row's new value says something that the one before did not.
-	says ChangeFilter
+	// isRelevant reports whether followers need a row's new value.
+	isRelevant ChangeFilter
 
 	mu     sync.Mutex
-	tables map[string]*tableCopy
+	tables map[string]*tableReplica
 }
 
-// tableCopy is one table.
-type tableCopy struct {
+// tableReplica is the replica of one table.
+type tableReplica struct {
 	rows map[string]feed.Row
-	// changes are in the order of their versions; those up to dropped are gone.
-	changes []feed.Row
-	dropped int64
-	version int64
-	// storeTime is the store's clock at heardAt.
+	// changes are sorted by version; those up to droppedVersion have been dropped.
+	changes        []feed.Row
+	droppedVersion int64
+	version        int64
+	// storeTime is the store's clock at syncedAt.
 	storeTime time.Duration
-	heardAt   time.Time
+	syncedAt  time.Time
 	// changed is closed at the next change.
 	changed chan struct{}
-	// encoded is the rows of answers as of version, by what they are after, the whole
-	// table under snapshotKey.
+	// encoded caches the encoded rows of responses as of version. The key is the version that the
+	// rows come after, or snapshotKey for the whole table.
 	encoded map[int64]encodedRows
 }
 
-// encodedRows is the rows of an answer.
+// encodedRows holds the encoded rows of a response.
 type encodedRows struct {
-	// plain is a wireRows, packed the same in gzip, empty where that is not worth it.
-	plain, packed []byte
+	// plain is an encoded wireRows. compressed is the same in gzip, empty if it is too short to be
+	// compressed.
+	plain, compressed []byte
 }
 
 const (
-	// snapshotKey is that of the whole table among encoded rows.
+	// snapshotKey is the key of the whole table in tableReplica.encoded.
 	snapshotKey = -1
-	// mostEncoded bounds the answers that are kept: followers ask after the latest few
-	// versions.
-	mostEncoded = 4
+	// maxEncoded bounds the cached responses: followers ask for the changes after one of the
+	// latest few versions.
+	maxEncoded = 4
 )
 
-// NewReplica returns a copy of nothing. Rows that say nothing new are not passed on as
-// changes: 3,000 endpoints that each write theirs every 1.2 s are 2,500 rows a second,
-// and went to each of 75 followers of a relay (9 MB/s at the busiest of 300 hosts).
-func NewReplica(now func() time.Time, says ChangeFilter) *Replica {
-	return &Replica{now: now, says: says, tables: map[string]*tableCopy{}}
+// NewReplica returns an empty replica. Row updates that isRelevant rejects are not sent to
+// followers as changes: 3,000 endpoints that each write their row every 1.2 s cause 2,500 row
+// updates per second, and sending them all to each of a relay's 75 followers took 9 MB/s at the
+// busiest of 300 hosts.
+func NewReplica(now func() time.Time, isRelevant ChangeFilter) *Replica {
+	return &Replica{now: now, isRelevant: isRelevant, tables: map[string]*tableReplica{}}
 }
 
-func (c *Replica) table(name string) *tableCopy {
-	t, ok := c.tables[name]
+func (rep *Replica) table(name string) *tableReplica {
+	t, ok := rep.tables[name]
 	if !ok {
-		t = &tableCopy{rows: map[string]feed.Row{}, changed: make(chan struct{}), version: -1}
-		c.tables[name] = t
+		t = &tableReplica{rows: map[string]feed.Row{}, changed: make(chan struct{}), version: -1}
+		rep.tables[name] = t
 	}
 	return t
 }
 
-// Version returns up to where a table has been followed without a gap, -1 for
-// not at all.
-func (c *Replica) Version(name string) int64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.table(name).version
+// Version returns the version up to which this host has followed a table without a gap, -1 if it
+// has not followed it.
+func (rep *Replica) Version(name string) int64 {
+	rep.mu.Lock()
+	defer rep.mu.Unlock()
+	return rep.table(name).version
 }
 
-// Reset replaces a table by a snapshot that was read from the store.
-func (c *Replica) Reset(name string, batch feed.Batch) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	t := c.table(name)
-	t.restart(batch)
-	t.heard(c.now(), batch, true)
+// Reset replaces a table with a snapshot that was read from the store.
+func (rep *Replica) Reset(name string, batch feed.Batch) {
+	rep.mu.Lock()
+	defer rep.mu.Unlock()
+	t := rep.table(name)
+	t.reset(batch)
+	t.recordSync(rep.now(), batch, true)
 }
 
-// Apply adds the changes after Version that were read from the store.
-func (c *Replica) Apply(name string, batch feed.Batch) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	t := c.table(name)
-	news := c.news(name, t, batch.Rows)
-	t.add(batch.Rows, news)
-	t.heard(c.now(), batch, len(news) > 0)
+// Apply applies the changes after Version that were read from the store.
+func (rep *Replica) Apply(name string, batch feed.Batch) {
+	rep.mu.Lock()
+	defer rep.mu.Unlock()
+	t := rep.table(name)
+	relevant := rep.relevantChanges(name, t, batch.Rows)
+	t.apply(batch.Rows, relevant)
+	t.recordSync(rep.now(), batch, len(relevant) > 0)
 }
 
-// news returns the rows that say something new, in order.
-func (c *Replica) news(name string, t *tableCopy, rows []feed.Row) []feed.Row {
-	held := map[string]feed.Row{}
-	var news []feed.Row
+// relevantChanges returns the rows that followers need, in order.
+func (rep *Replica) relevantChanges(name string, t *tableReplica, rows []feed.Row) []feed.Row {
+	latest := map[string]feed.Row{}
+	var relevant []feed.Row
 	for _, row := range rows {
-		before, ok := held[row.Key]
+		previous, ok := latest[row.Key]
 		if !ok {
-			before, ok = t.rows[row.Key]
+			previous, ok = t.rows[row.Key]
 		}
-		if !ok || row.Deleted || before.Deleted || c.says(name, before.Value, row.Value) {
-			news = append(news, row)
+		if !ok || row.Deleted || previous.Deleted || rep.isRelevant(name, previous.Value, row.Value) {
+			relevant = append(relevant, row)
 		}
-		held[row.Key] = row
+		latest[row.Key] = row
 	}
-	return news
+	return relevant
 }
 
-func (t *tableCopy) heard(now time.Time, batch feed.Batch, changed bool) {
-	t.heardAt = now
+func (t *tableReplica) recordSync(now time.Time, batch feed.Batch, changed bool) {
+	t.syncedAt = now
 	t.storeTime = batch.StoreTime
 	t.version = max(t.version, batch.Version)
 	if len(batch.Rows) > 0 {
@@ -136,21 +138,21 @@
 	}
 }
 
-// restart begins anew from a snapshot: what happened in between is not known,
-// so that followers read a snapshot too.
-func (t *tableCopy) restart(batch feed.Batch) {
+// reset starts again from a snapshot. The changes in between are not known, so followers have to
+// read a snapshot too.
+func (t *tableReplica) reset(batch feed.Batch) {
 	t.rows = make(map[string]feed.Row, len(batch.Rows))
 	for _, row := range batch.Rows {
 		t.rows[row.Key] = row
 	}
 	t.changes = nil
 	t.encoded = nil
-	t.dropped = batch.Version
+	t.droppedVersion = batch.Version
 	t.version = batch.Version
 }
 
-// add adds rows, of which news are sent to followers.
-func (t *tableCopy) add(rows, news []feed.Row) {
+// apply applies rows and keeps the relevant ones as changes for followers.
+func (t *tableReplica) apply(rows, relevant []feed.Row) {
 	for _, row := range rows {
 		if row.Deleted {
 			delete(t.rows, row.Key)
@@ -158,15 +160,15 @@
 			t.rows[row.Key] = row
 		}
 	}
-	t.changes = append(t.changes, news...)
-	if extra := len(t.changes) - mostChanges; extra > 0 {
-		t.dropped = t.changes[extra-1].Version
+	t.changes = append(t.changes, relevant...)
+	if extra := len(t.changes) - maxChanges; extra > 0 {
+		t.droppedVersion = t.changes[extra-1].Version
 		t.changes = append([]feed.Row(nil), t.changes[extra:]...)
 	}
 }
 
-// snapshot answers with the whole table. The copy's lock is held.
-func (t *tableCopy) snapshot() (answer, error) {
+// snapshot returns the whole table. The replica's lock is held.
+func (t *tableReplica) snapshot() (tableResponse, error) {
 	rows, err := t.encode(snapshotKey, func() []feed.Row {
 		list := make([]feed.Row, 0, len(t.rows))
 		for _, row := range t.rows {
@@ -175,24 +177,24 @@
 		sort.Slice(list, func(i, j int) bool { return list[i].Key < list[j].Key })
 		return list
 	})
-	return answer{rows: rows, version: t.version}, err
+	return tableResponse{rows: rows, version: t.version}, err
 }
 
-// after answers with the changes after a version. The copy's lock is held.
-func (t *tableCopy) after(version int64) (answer, error) {
-	if version < t.dropped {
-		return answer{}, feed.ErrHistoryGone
+// changesAfter returns the changes after a version. The replica's lock is held.
+func (t *tableReplica) changesAfter(version int64) (tableResponse, error) {
+	if version < t.droppedVersion {
+		return tableResponse{}, feed.ErrHistoryGone
 	}
 	rows, err := t.encode(version, func() []feed.Row {
 		first := sort.Search(len(t.changes), func(i int) bool { return t.changes[i].Version > version })
 		return t.changes[first:]
 	})
-	return answer{rows: rows, version: max(t.version, version)}, err
+	return tableResponse{rows: rows, version: max(t.version, version)}, err
 }
 
-// encode returns rows as they are answered, empty for none: encoded once for all
-// followers with the same question. The copy's lock is held.
-func (t *tableCopy) encode(key int64, list func() []feed.Row) (encodedRows, error) {
+// encode returns the encoded rows of a response, empty if there are none. They are encoded once
+// for all followers that make the same request. The replica's lock is held.
+func (t *tableReplica) encode(key int64, list func() []feed.Row) (encodedRows, error) {
 	if rows, ok := t.encoded[key]; ok {
 		return rows, nil
 	}
@@ -208,13 +210,13 @@
 	if err != nil {
 		return encodedRows{}, err
 	}
-	packed, err := pack(plain)
+	compressed, err := compress(plain)
 	if err != nil {
 		return encodedRows{}, err
 	}
-	if t.encoded == nil || len(t.encoded) >= mostEncoded {
+	if t.encoded == nil || len(t.encoded) >= maxEncoded {
 		t.encoded = map[int64]encodedRows{}
 	}
-	t.encoded[key] = encodedRows{plain, packed}
+	t.encoded[key] = encodedRows{plain, compressed}
 	return t.encoded[key], nil
 }
--- a/pkg/relay/followers_test.go
+++ b/pkg/relay/followers_test.go
@@ -15,39 +15,39 @@
 	"ironhollow/pkg/relay"
 )
 
-// stalled is a follower that reads nothing until it is released.
-type stalled struct {
+// stalledWriter is the connection of a follower that reads nothing until release is closed.
+type stalledWriter struct {
 	http.ResponseWriter
 	waiting *sync.WaitGroup
 	release chan struct{}
 	once    sync.Once
 }
 
-func (s *stalled) Write(data []byte) (int, error) {
+func (s *stalledWriter) Write(data []byte) (int, error) {
 	s.once.Do(s.waiting.Done)
 	<-s.release
 	return len(data), nil
 }
 
-// A relay with as many followers as a data centre of a fleet of 2,000 hosts has, before
-// 6,000 endpoints, all of which ask for the whole table and read slowly, holds one answer
-// and not one for each: the smallest host has 184 MB, and half of that is the bound.
-func TestFollowersShareAnAnswer(t *testing.T) {
+// Guards against a relay that holds a copy of the response for each follower. Its followers are as
+// many as a data centre has in a fleet of 2,000 hosts with 6,000 endpoints; all request the whole
+// table and read slowly. The bound is half the memory of the smallest host, which has 184 MB.
+func TestFollowersShareResponse(t *testing.T) {
 	const (
 		followers = 330
 		endpoints = 4000
 		rowBytes  = 300
 		bound     = 92 << 20
 	)
-	c := &clock{now: time.Now()}
-	relayCopy := relay.NewReplica(c.Now, says)
+	c := &fakeClock{now: time.Now()}
+	replica := relay.NewReplica(c.Now, isRelevant)
 	batch := feed.Batch{Version: endpoints}
 	for i := range endpoints {
 		batch.Rows = append(batch.Rows, feed.Row{Key: fmt.Sprintf("endpoint-%06d", i), Value: make([]byte, rowBytes), Version: int64(i + 1)})
 	}
-	relayCopy.Reset("t", feed.Batch{})
-	relayCopy.Apply("t", batch)
-	for _, ask := range []string{"", "&after=0&wait=0"} {
+	replica.Reset("t", feed.Batch{})
+	replica.Apply("t", batch)
+	for _, query := range []string{"", "&after=0&wait=0"} {
 		var before, during runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -56,8 +56,8 @@
 		waiting.Add(followers)
 		for range followers {
 			done.Go(func() {
-				request := httptest.NewRequestWithContext(context.Background(), http.MethodGet, relay.Path+"?"+url.Values{"table": {"t"}, "lag": {"1000"}}.Encode()+ask, nil)
-				relayCopy.ServeHTTP(&stalled{ResponseWriter: httptest.NewRecorder(), waiting: &waiting, release: release}, request)
+				request := httptest.NewRequestWithContext(context.Background(), http.MethodGet, relay.Path+"?"+url.Values{"table": {"t"}, "lag": {"1000"}}.Encode()+query, nil)
+				replica.ServeHTTP(&stalledWriter{ResponseWriter: httptest.NewRecorder(), waiting: &waiting, release: release}, request)
 			})
 		}
 		waiting.Wait()
@@ -66,36 +66,37 @@
 		close(release)
 		done.Wait()
 		if got := int64(during.HeapAlloc) - int64(before.HeapAlloc); got > bound {
-			t.Errorf("memory for %d followers that ask %q: got %d MB, want %d MB at most", followers, ask, got>>20, bound>>20)
+			t.Errorf("memory for %d followers with the query %q: got %d MB, want %d MB at most", followers, query, got>>20, bound>>20)
 		}
 	}
 }
 
-// A long answer takes a fraction of its bytes, as rows of a kind are much alike, and says the
-// same; a follower that does not know the packing gets it as it is.
-func TestLongAnswersArePacked(t *testing.T) {
+// Checks that a long response is compressed to a fraction of its size, since rows of the same kind
+// differ little, and has the same content. A follower that does not accept the encoding gets the
+// response uncompressed.
+func TestLongResponsesAreCompressed(t *testing.T) {
 	const endpoints = 3000
-	c := &clock{now: time.Now()}
-	relayCopy, _, source := follower(t, c)
+	c := &fakeClock{now: time.Now()}
+	replica, _, source := newFollower(t, c)
 	batch := feed.Batch{Version: endpoints, StoreTime: time.Minute}
 	for i := range endpoints {
 		value := fmt.Sprintf(`{"service":"assess","address":"10.3.%d.%d:8426","zone":"north-a","slots":64,"state":"ready","version":"v1","sequence":%d,"phase":"combined"}`, i/250, i%250, i)
 		batch.Rows = append(batch.Rows, feed.Row{Key: fmt.Sprintf("i-%010x", i*7919), Value: []byte(value), Version: int64(i + 1)})
 	}
-	relayCopy.Reset("t", batch)
+	replica.Reset("t", batch)
 	got, err := source.Snapshot(context.Background(), "t")
 	if err != nil || len(got.Rows) != endpoints || got.Version != endpoints || got.StoreTime != time.Minute {
-		t.Fatalf("packed answer: got %d rows, version %d, %v, %v", len(got.Rows), got.Version, got.StoreTime, err)
+		t.Fatalf("compressed response: got %d rows, version %d, %v, %v", len(got.Rows), got.Version, got.StoreTime, err)
 	}
 	sizes := map[string]int{}
-	for _, coding := range []string{"", "gzip"} {
+	for _, encoding := range []string{"", "gzip"} {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequestWithContext(context.Background(), http.MethodGet, relay.Path+"?table=t&lag=1000", nil)
-		request.Header.Set("Accept-Encoding", coding)
-		relayCopy.ServeHTTP(recorder, request)
-		sizes[coding] = recorder.Body.Len()
+		request.Header.Set("Accept-Encoding", encoding)
+		replica.ServeHTTP(recorder, request)
+		sizes[encoding] = recorder.Body.Len()
 	}
 	if sizes["gzip"]*4 > sizes[""] {
-		t.Errorf("bytes of an answer: got %d packed of %d, want a quarter at most", sizes["gzip"], sizes[""])
+		t.Errorf("bytes of a response: got %d compressed of %d, want a quarter at most", sizes["gzip"], sizes[""])
 	}
 }
--- a/pkg/relay/server.go
+++ b/pkg/relay/server.go
@@ -13,21 +13,22 @@
 	"ironhollow/pkg/feed"
 )
 
-// Path is where hosts follow a table.
+// Path is the URL path at which hosts follow a table.
 const Path = "/relay"
 
-// leastLook is how often a waiting call looks whether the copy is up to date.
-const leastLook = 500 * time.Millisecond
+// staleCheckInterval is how often a waiting request checks whether the replica is still up to
+// date.
+const staleCheckInterval = 500 * time.Millisecond
 
-// wireBatch is an answer.
+// wireBatch is the body of an uncompressed response.
 type wireBatch struct {
 	Rows    []wireRow `cbor:"1,keyasint,omitempty"`
 	Version int64     `cbor:"2,keyasint"`
-	// StoreMS is the store's clock at the answer.
+	// StoreMS is the store's clock at the time of the response, in milliseconds.
 	StoreMS int64 `cbor:"3,keyasint"`
 }
 
-// wireRows is the part of a wireBatch that all followers with the same question share.
+// wireRows is the part of a wireBatch that is shared by all followers that make the same request.
 type wireRows struct {
 	Rows []wireRow `cbor:"1,keyasint,omitempty"`
 }
@@ -46,52 +47,52 @@
 	Deleted bool
 }
 
-// ask is what a follower asks for.
-type ask struct {
+// tableRequest is the request of a follower.
+type tableRequest struct {
 	table string
-	// after is a version, -1 for a snapshot.
+	// after is the version after which changes are requested, -1 for a snapshot.
 	after int64
 	wait  time.Duration
-	// lag is how long ago the store may have spoken.
-	lag time.Duration
+	// maxLag is the maximum time since the replica was last in sync with the store.
+	maxLag time.Duration
 }
 
-func readAsk(r *http.Request) (ask, error) {
+func parseRequest(r *http.Request) (tableRequest, error) {
 	query := r.URL.Query()
-	number := func(name string) int64 {
+	intParam := func(name string) int64 {
 		n, err := strconv.ParseInt(query.Get(name), 10, 64)
 		if err != nil {
 			return -1
 		}
 		return n
 	}
-	a := ask{
-		table: query.Get("table"),
-		after: number("after"),
-		wait:  time.Duration(number("wait")) * time.Millisecond,
-		lag:   time.Duration(number("lag")) * time.Millisecond,
+	req := tableRequest{
+		table:  query.Get("table"),
+		after:  intParam("after"),
+		wait:   time.Duration(intParam("wait")) * time.Millisecond,
+		maxLag: time.Duration(intParam("lag")) * time.Millisecond,
 	}
-	if a.table == "" || a.lag <= 0 {
-		return a, errors.New("table and lag are needed, lag in milliseconds")
+	if req.table == "" || req.maxLag <= 0 {
+		return req, errors.New("table and lag are needed, lag in milliseconds")
 	}
-	return a, nil
+	return req, nil
 }
 
-// errStale says that this host does not follow the store, or not in time.
+// errStale says that this host does not follow the store or is too far behind it.
 var errStale = errors.New("relay: not up to date with the store")
 
-// ServeHTTP answers with a snapshot, or waits for changes.
-func (c *Replica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ask, err := readAsk(r)
+// ServeHTTP responds with a snapshot or waits for changes.
+func (rep *Replica) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	req, err := parseRequest(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var found answer
-	if ask.after >= 0 {
-		found, err = c.wait(r.Context(), ask)
+	var resp tableResponse
+	if req.after >= 0 {
+		resp, err = rep.wait(r.Context(), req)
 	} else {
-		found, err = c.read(ask, (*tableCopy).snapshot)
+		resp, err = rep.read(req, (*tableReplica).snapshot)
 	}
 	switch {
 	case errors.Is(err, feed.ErrHistoryGone):
@@ -99,85 +100,86 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		found.write(w, strings.Contains(r.Header.Get("Accept-Encoding"), packing))
+		resp.write(w, strings.Contains(r.Header.Get("Accept-Encoding"), contentEncoding))
 	}
 }
 
-// answer is what a follower is sent.
-type answer struct {
-	// rows are shared among followers, empty for none.
+// tableResponse is the response to a follower.
+type tableResponse struct {
+	// rows are shared among followers; empty if there are none.
 	rows      encodedRows
 	version   int64
 	storeTime time.Duration
 }
 
-// mapHead begins a CBOR map of up to 23 members; the low bits are their number.
-const mapHead = 0xa0
+// cborMapHeader is the first byte of a CBOR map of up to 23 members; its low bits are the number
+// of members.
+const cborMapHeader = 0xa0
 
-// write writes a wireBatch: one map of the members of both its parts. The rows are not
-// copied, or each of hundreds of followers of a table would hold one.
-func (a answer) write(w http.ResponseWriter, mayPack bool) {
+// write writes a wireBatch: one map with the members of wireRows and wireState. The rows are not
+// copied, because each of a table's hundreds of followers would then hold a copy.
+func (resp tableResponse) write(w http.ResponseWriter, mayCompress bool) {
 	w.Header().Set("Content-Type", "application/cbor")
-	if mayPack && len(a.rows.packed) > 0 {
-		a.writePacked(w)
+	if mayCompress && len(resp.rows.compressed) > 0 {
+		resp.writeCompressed(w)
 		return
 	}
-	state, err := cbor.Marshal(wireState{Version: a.version, StoreMS: a.storeTime.Milliseconds()})
+	state, err := cbor.Marshal(wireState{Version: resp.version, StoreMS: resp.storeTime.Milliseconds()})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	parts := [][]byte{state}
-	if rows := a.rows.plain; len(rows) > 0 {
-		members := rows[0]&^mapHead + state[0]&^mapHead
-		parts = [][]byte{{mapHead | members}, rows[1:], state[1:]}
+	if rows := resp.rows.plain; len(rows) > 0 {
+		members := rows[0]&^cborMapHeader + state[0]&^cborMapHeader
+		parts = [][]byte{{cborMapHeader | members}, rows[1:], state[1:]}
 	}
 	for _, part := range parts {
-		// A follower that is gone is of no interest here.
+		// Ignore the error: the follower has disconnected.
 		if _, err := w.Write(part); err != nil {
 			return
 		}
 	}
 }
 
-// read reads a table that is up to date.
-func (c *Replica) read(a ask, get func(*tableCopy) (answer, error)) (answer, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	t, ok := c.tables[a.table]
+// read reads a table that is at most req.maxLag behind the store.
+func (rep *Replica) read(req tableRequest, get func(*tableReplica) (tableResponse, error)) (tableResponse, error) {
+	rep.mu.Lock()
+	defer rep.mu.Unlock()
+	t, ok := rep.tables[req.table]
 	if !ok {
-		return answer{}, errStale
+		return tableResponse{}, errStale
 	}
-	age := c.now().Sub(t.heardAt)
-	if age > a.lag {
-		return answer{}, errStale
+	age := rep.now().Sub(t.syncedAt)
+	if age > req.maxLag {
+		return tableResponse{}, errStale
 	}
-	found, err := get(t)
-	found.storeTime = t.storeTime + age
-	return found, err
+	resp, err := get(t)
+	resp.storeTime = t.storeTime + age
+	return resp, err
 }
 
-// wait returns changes after a version as soon as there are some, an empty
-// answer after a time without, and an error once the copy is out of date.
-func (c *Replica) wait(ctx context.Context, a ask) (answer, error) {
-	deadline := time.Now().Add(a.wait)
+// wait returns the changes after a version as soon as there are any, an empty response if there
+// are none within req.wait, and errStale once the replica is out of date.
+func (rep *Replica) wait(ctx context.Context, req tableRequest) (tableResponse, error) {
+	deadline := time.Now().Add(req.wait)
 	for {
 		var changed chan struct{}
-		found, err := c.read(a, func(t *tableCopy) (answer, error) {
+		resp, err := rep.read(req, func(t *tableReplica) (tableResponse, error) {
 			changed = t.changed
-			return t.after(a.after)
+			return t.changesAfter(req.after)
 		})
-		left := time.Until(deadline)
-		if err != nil || len(found.rows.plain) > 0 || left <= 0 {
-			return found, err
+		remaining := time.Until(deadline)
+		if err != nil || len(resp.rows.plain) > 0 || remaining <= 0 {
+			return resp, err
 		}
-		timer := time.NewTimer(min(left, leastLook))
+		timer := time.NewTimer(min(remaining, staleCheckInterval))
 		select {
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return found, ctx.Err()
+			return resp, ctx.Err()
 		}
 		timer.Stop()
 	}
