--- a/pkg/app/control/wire_gen.go
+++ b/pkg/app/control/wire_gen.go
@@ -38,9 +38,9 @@
 	manager := newLeases(writer, settings)
 	api := newEngines(client)
 	cloudAPI := newCloud(settings, client)
-	list := newHosts(settings, client)
+	source := newHosts(settings, client)
 	operatorapiAPI := newOperators(settings, store, holder)
 	controlCounters := NewCounters(registerer)
-	app := newApp(settings, logger, registry, tracer, guard, writer, holder, store, table, directory, mesh, server, manager, api, cloudAPI, list, operatorapiAPI, controlCounters, tls)
+	app := newApp(settings, logger, registry, tracer, guard, writer, holder, store, table, directory, mesh, server, manager, api, cloudAPI, source, operatorapiAPI, controlCounters, tls)
 	return app, nil
 }
--- a/pkg/app/control/work.go
+++ b/pkg/app/control/work.go
@@ -205,7 +205,7 @@
 		return
 	}
 	err := a.engines.Order(ctx, info.Address, engine.Order{
-		Epoch: grant.Epoch, Model: assignment.Want.Model, Version: assignment.Want.Version, Adapter: assignment.Want.Adapter,
+		Epoch: grant.Epoch, Model: assignment.Target.Model, Version: assignment.Target.Version, Adapter: assignment.Target.Adapter,
 	})
 	switch {
 	case errors.Is(err, engine.ErrStale):
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -135,7 +135,7 @@
 )
 
 func newWorker(ctx context.Context, store *job.Store, generator job.Generator, self membership.Node, s Settings, counters *job.Counters) *job.Worker {
-	interval := func() time.Duration { return reclaim.Interval(checkpointCost, lossesPerHour) }
+	interval := func() time.Duration { return reclaim.CheckpointInterval(checkpointCost, lossesPerHour) }
 	return job.NewWorker(ctx, store, generator, self.Owner(), s.jobs, interval, counters)
 }
 
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -66,7 +66,7 @@
 		c := a.config.Current()
 		a.budget.SetShare(c.Policy().RetryShare())
 		for _, row := range c.Capacities() {
-			a.hazard.SetPrior(hazard.Place{DataCenter: row.DataCenter(), Class: row.Class()}, row.Hazard(), now())
+			a.hazard.SetPrior(hazard.Pool{DataCenter: row.DataCenter(), Class: row.Class()}, row.Hazard(), now())
 		}
 		select {
 		case <-ctx.Done():
@@ -130,7 +130,7 @@
 func (a *App) onLeave(ctx context.Context, info endpoint.Info) {
 	a.log.Info().Str("endpoint", info.ID).Str("data_center", info.DataCenter).Time("leave_by", info.LeaveBy).Msg("endpoint is leaving")
 	if info.Reclaimable && !info.LeaveBy.IsZero() {
-		a.hazard.Reclaimed(hazard.Place{DataCenter: info.DataCenter, Class: info.Class}, 1, now())
+		a.hazard.RecordReclaim(hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}, 1, now())
 	}
 	if info.LeaveBy.IsZero() {
 		return
@@ -212,10 +212,10 @@
 
 // countHosts tells the hazard estimate how many hosts there are to lose.
 func (a *App) countHosts() {
-	hosts := map[hazard.Place]int{}
+	hosts := map[hazard.Pool]int{}
 	for _, info := range a.endpoints.View().Infos() {
 		if info.Reclaimable && info.AcceptsWork() {
-			hosts[hazard.Place{DataCenter: info.DataCenter, Class: info.Class}]++
+			hosts[hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}]++
 		}
 	}
 	for place, count := range hosts {
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -43,7 +43,7 @@
 		if has != held {
 			held = has
 			n.log.Info().Bool("held", held).Msg("lease of the duties")
-			n.orderer.Forget()
+			n.orderer.Reset()
 		}
 		if held {
 			n.doDuties(ctx)
@@ -150,11 +150,11 @@
 	if current == nil || !n.view.Endpoints().Loaded() {
 		return
 	}
-	serving := map[autoscale.Place]int{}
+	serving := map[autoscale.Pool]int{}
 	now := n.clock.Now()
 	for _, info := range n.view.Directory().View().Infos() {
 		if info.State == endpoint.Live && n.rollouts.CountsTowardCapacity(&info, now) {
-			serving[autoscale.Place{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
+			serving[autoscale.Pool{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
 		}
 	}
 	works := n.view.Roster().Demands(now)
@@ -167,18 +167,18 @@
 			continue
 		}
 		supply := func(dataCenter string, reclaimable bool) (int, int) {
-			place := autoscale.Place{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
-			return serving[place], n.orderer.Soon(place, serving[place], service.Scaling.Boot, now)
+			place := autoscale.Pool{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
+			return serving[place], n.orderer.Booting(place, serving[place], service.Scaling.Boot, now)
 		}
-		demand := n.traffic.Demand(service.Name, works[service.Name], now)
-		demand.Most = most
+		demand := n.traffic.Observe(service.Name, works[service.Name], now)
+		demand.MaxLoad = most
 		orders, _ := autoscale.Plan(service, demand, supply)
 		n.noteReplaced(service.Name)
 		if n.rollouts.InProgress(service.Name) {
 			keepAll(orders, service.Scaling.Most)
 		}
-		count := func(p autoscale.Place) int { return serving[p] }
-		n.orderer.Step(ctx, orders, count, service.Scaling.Boot, now, held)
+		count := func(p autoscale.Pool) int { return serving[p] }
+		n.orderer.Reconcile(ctx, orders, count, service.Scaling.Boot, now, held)
 	}
 }
 
@@ -187,7 +187,7 @@
 func (n *node) noteReplaced(service string) {
 	if order := n.rollouts.CompletedOrder(service); order != n.replaced[service] {
 		n.replaced[service] = order
-		n.orderer.ForgetService(service)
+		n.orderer.ResetService(service)
 	}
 }
 
@@ -195,7 +195,7 @@
 // the version before must carry all requests until it is decided.
 func keepAll(orders []autoscale.Order, most int) {
 	for i := range orders {
-		orders[i].Keep = most
+		orders[i].Retain = most
 	}
 }
 
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -77,9 +77,9 @@
 	pool      *upstream.Pool
 	counter   *usage.Counter
 	reporter  *usage.Reporter
-	orderer   *autoscale.Orderer
+	orderer   *autoscale.Reconciler
 	leases    *lease.Manager
-	traffic   *autoscale.Traffic
+	traffic   *autoscale.DemandTracker
 	forwarder *forward.Forwarder
 	registry  *prometheus.Registry
 	row       *ownRow
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -161,8 +161,8 @@
 	return usage.NewReporter(counter, view.Roster(), writer, cloud, view.StoreEra, logger)
 }
 
-func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Orderer {
-	return autoscale.NewOrderer(cloud, logger)
+func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Reconciler {
+	return autoscale.NewReconciler(cloud, logger)
 }
 
 func newBudget(s Settings) *retry.WindowBudget {
--- a/pkg/app/node/wire.go
+++ b/pkg/app/node/wire.go
@@ -14,7 +14,7 @@
 	wire.Build(
 		newLog, newLife, newPool, newStoreClient, newPeerClient, newStore, newCopy, newHome, newView, newRouter, newRollouts, newDesk, newLoads, newLimits,
 		newCounter, newWriter, newLeases, newDutyCloud, newReplacedBy, newReporter, newOrderer, newBudget, newForwarder, newWatch, newNotices, newWatchdog, newKeeper,
-		storeclock.New, autoscale.NewTraffic, process.NewRegistry,
+		storeclock.New, autoscale.NewDemandTracker, process.NewRegistry,
 		wire.Struct(new(ownRow)), wire.Struct(new(datagrams)), wire.Struct(new(fleetRole)), wire.Struct(new(suspensions)), wire.Struct(new(node), "*"),
 	)
 	return nil
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -23,10 +23,10 @@
 	counted := newStore(platform, nodeStoreClient, settings, registry)
 	relayCopy := newCopy(platform, clock)
 	nodePeerClient := newPeerClient()
-	home := newHome(settings)
-	rolloutSwitch := newRollouts(settings)
-	view := newView(platform, settings, clock, home, incarnation, rolloutSwitch, logger)
-	router := newRouter(view, home, clock)
+	location := newHome(settings)
+	splitter := newRollouts(settings)
+	view := newView(platform, settings, clock, location, incarnation, splitter, logger)
+	router := newRouter(view, location, clock)
 	sync := newLoads(router, view, incarnation)
 	costLimiter := newLimits(settings, clock)
 	pool := newPool()
@@ -35,15 +35,15 @@
 	manager := newLeases(writer, incarnation, settings)
 	nodeDutyCloud := newDutyCloud(platform, nodeStoreClient, settings, manager)
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
-	orderer := newOrderer(nodeDutyCloud, logger)
-	traffic := autoscale.NewTraffic()
-	window := newBudget(settings)
+	reconciler := newOrderer(nodeDutyCloud, logger)
+	demandTracker := autoscale.NewDemandTracker()
+	windowBudget := newBudget(settings)
 	watch := newWatch(registry, logger)
 	board := newNotices(view, router, logger)
-	forwarder := newForwarder(platform, view, home, router, costLimiter, window, pool, counter, rolloutSwitch, watch, board, nodeLife, clock, registry, logger)
+	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, board, nodeLife, clock, registry, logger)
 	nodeOwnRow := &ownRow{}
 	nodeFleetRole := &fleetRole{}
-	desk := newDesk(platform, rolloutSwitch, view, writer, clock, manager, logger)
+	coordinator := newDesk(platform, splitter, view, writer, clock, manager, logger)
 	nodeDatagrams := &datagrams{}
 	nodeReplacedBy := newReplacedBy()
 	syncer := newKeeper(watch, writer, clock, view, logger)
@@ -66,15 +66,15 @@
 		pool:        pool,
 		counter:     counter,
 		reporter:    reporter,
-		orderer:     orderer,
+		orderer:     reconciler,
 		leases:      manager,
-		traffic:     traffic,
+		traffic:     demandTracker,
 		forwarder:   forwarder,
 		registry:    registry,
 		row:         nodeOwnRow,
 		role:        nodeFleetRole,
-		rollouts:    rolloutSwitch,
-		desk:        desk,
+		rollouts:    splitter,
+		desk:        coordinator,
 		datagrams:   nodeDatagrams,
 		replaced:    nodeReplacedBy,
 		crashes:     watch,
--- a/pkg/autoscale/autoscale.go
+++ b/pkg/autoscale/autoscale.go
@@ -13,27 +13,27 @@
 	"ironhollow/pkg/lease"
 )
 
-// ErrNoneLeft says that there are no such endpoints to be had at present.
-var ErrNoneLeft = errors.New("autoscale: none to be had there now")
+// ErrNoCapacity says that there are no such endpoints to be had at present.
+var ErrNoCapacity = errors.New("autoscale: none to be had there now")
 
 // Order sets the number of endpoints of one class of a service in a data centre.
 type Order struct {
 	Service, DataCenter string
 	Reclaimable         bool
 	Count               int
-	// Keep is the number down to which endpoints may be given up, Count at least:
+	// Retain is the number down to which endpoints may be given up, Count at least:
 	// others that take their place may still boot.
-	Keep int
+	Retain int
 }
 
-// Place is what an order is about.
-type Place struct {
+// Pool is what an order is about.
+type Pool struct {
 	Service, DataCenter string
 	Reclaimable         bool
 }
 
-// Place returns what the order is about.
-func (o Order) Place() Place { return Place{o.Service, o.DataCenter, o.Reclaimable} }
+// Pool returns what the order is about.
+func (o Order) Pool() Pool { return Pool{o.Service, o.DataCenter, o.Reclaimable} }
 
 // lowerWait returns how long a lower number must be wanted before it is ordered.
 func (o Order) lowerWait() time.Duration {
@@ -65,11 +65,11 @@
 	bootMargin = 2500 * time.Millisecond
 )
 
-// Orderer sends orders. It is used by one goroutine.
-type Orderer struct {
+// Reconciler sends orders. It is used by one goroutine.
+type Reconciler struct {
 	sink   Sink
 	log    *log.Logger
-	places map[Place]*placed
+	places map[Pool]*placed
 }
 
 // placed is the state of one place.
@@ -86,16 +86,16 @@
 	lowerSince time.Time
 }
 
-// NewOrderer returns an orderer.
-func NewOrderer(sink Sink, logger *log.Logger) *Orderer {
-	return &Orderer{sink: sink, log: logger, places: map[Place]*placed{}}
+// NewReconciler returns an orderer.
+func NewReconciler(sink Sink, logger *log.Logger) *Reconciler {
+	return &Reconciler{sink: sink, log: logger, places: map[Pool]*placed{}}
 }
 
-// Forget drops what was ordered: another holder may have ordered since.
-func (o *Orderer) Forget() { clear(o.places) }
+// Reset drops what was ordered: another holder may have ordered since.
+func (o *Reconciler) Reset() { clear(o.places) }
 
-// ForgetService drops what was ordered for a service: others may have replaced it.
-func (o *Orderer) ForgetService(name string) {
+// ResetService drops what was ordered for a service: others may have replaced it.
+func (o *Reconciler) ResetService(name string) {
 	for place := range o.places {
 		if place.Service == name {
 			delete(o.places, place)
@@ -103,7 +103,7 @@
 	}
 }
 
-func (o *Orderer) place(p Place) *placed {
+func (o *Reconciler) place(p Pool) *placed {
 	state, ok := o.places[p]
 	if !ok {
 		state = &placed{}
@@ -112,9 +112,9 @@
 	return state
 }
 
-// Soon returns how many endpoints of a place were ordered and may still boot.
+// Booting returns how many endpoints of a place were ordered and may still boot.
 // Those that served and went since are not among them.
-func (o *Orderer) Soon(p Place, serving int, boot time.Duration, now time.Time) int {
+func (o *Reconciler) Booting(p Pool, serving int, boot time.Duration, now time.Time) int {
 	state := o.place(p)
 	if !state.known || now.Sub(state.givenAt) > boot+bootMargin {
 		return 0
@@ -122,16 +122,16 @@
 	return min(max(state.given-serving, 0), state.fresh)
 }
 
-// Step sends the orders that differ from what was given, and those of which
+// Reconcile sends the orders that differ from what was given, and those of which
 // too few serve. held is asked right before each call.
-func (o *Orderer) Step(ctx context.Context, orders []Order, serving func(Place) int, boot time.Duration, now time.Time, held func() (lease.Grant, bool)) {
+func (o *Reconciler) Reconcile(ctx context.Context, orders []Order, serving func(Pool) int, boot time.Duration, now time.Time, held func() (lease.Grant, bool)) {
 	for _, order := range orders {
 		grant, ok := held()
 		if !ok {
 			return
 		}
-		there := serving(order.Place())
-		state := o.place(order.Place())
+		there := serving(order.Pool())
+		state := o.place(order.Pool())
 		state.inherit(there, grant)
 		count, due := state.due(order, there, boot, now)
 		if !due {
@@ -176,7 +176,7 @@
 	if !s.known || order.Count > s.given {
 		return order.Count, true
 	}
-	keep := max(order.Keep, order.Count)
+	keep := max(order.Retain, order.Count)
 	if keep >= s.given {
 		s.lowerSince = time.Time{}
 		// Those that were reclaimed are not replaced unasked.
--- a/pkg/autoscale/autoscale_test.go
+++ b/pkg/autoscale/autoscale_test.go
@@ -44,7 +44,7 @@
 // while all are there none are bought on demand.
 func TestPlanBearsTheLossOfTwoDataCenters(t *testing.T) {
 	for _, work := range []float64{0, 1, 4, 7, 12} {
-		demand := autoscale.Demand{Work: work, Known: true}
+		demand := autoscale.Demand{Load: work, Measured: true}
 		orders, need := autoscale.Plan(service(30), demand, supplied(map[string]int{"a": 99, "b": 99, "c": 99, "d": 99}))
 		all := total(orders, true)
 		for i, o := range orders {
@@ -63,7 +63,7 @@
 // The dearer reclaimable endpoints are, the fewer are kept for losses; where they
 // cost as much as others there are none.
 func TestReserveFollowsThePrice(t *testing.T) {
-	demand := autoscale.Demand{Work: 12, Known: true}
+	demand := autoscale.Demand{Load: 12, Measured: true}
 	before := 999
 	for _, price := range []float64{0.1, 0.22, 0.4, 0.6, 0.9, 1} {
 		dear := service(99)
@@ -86,7 +86,7 @@
 
 // Every data centre has the least that the operator asks for.
 func TestPlanKeepsTheLeast(t *testing.T) {
-	orders, _ := autoscale.Plan(service(30), autoscale.Demand{Known: true}, supplied(nil))
+	orders, _ := autoscale.Plan(service(30), autoscale.Demand{Measured: true}, supplied(nil))
 	for _, o := range orders {
 		if o.Reclaimable && o.Count < 1 {
 			t.Errorf("%s: got %d, want 1", o.DataCenter, o.Count)
@@ -97,7 +97,7 @@
 // While none are to be had, the missing ones are bought on demand, cheapest
 // first, within the bounds of a data centre.
 func TestPlanBuysWhatIsMissing(t *testing.T) {
-	demand := autoscale.Demand{Work: 14, Known: true}
+	demand := autoscale.Demand{Load: 14, Measured: true}
 	orders, need := autoscale.Plan(service(10), demand, supplied(map[string]int{"a": 2}))
 	if got, want := total(orders, false), need-2; got != want {
 		t.Errorf("on demand: got %d, want %d", got, want)
@@ -119,7 +119,7 @@
 // Two data centres' reclaimable endpoints are away and none are to be had: the
 // next loss must leave most of the need.
 func TestPlanExpectsTheNextLoss(t *testing.T) {
-	demand := autoscale.Demand{Work: 20, Known: true}
+	demand := autoscale.Demand{Load: 20, Measured: true}
 	orders, need := autoscale.Plan(service(99), demand, supplied(map[string]int{"a": 14, "b": 14}))
 	if left := total(orders, false) + 14; float64(left) < 0.85*float64(need) {
 		t.Errorf("left after another loss: got %d of %d needed", left, need)
@@ -135,7 +135,7 @@
 func TestReclaimableOnesAreGuessedUntilTheTrafficIsKnown(t *testing.T) {
 	all := supplied(map[string]int{"a": 99, "b": 99, "c": 99, "d": 99})
 	guessed, _ := autoscale.Plan(service(30), autoscale.Demand{}, all)
-	known, _ := autoscale.Plan(service(30), autoscale.Demand{Known: true}, all)
+	known, _ := autoscale.Plan(service(30), autoscale.Demand{Measured: true}, all)
 	if got, least := total(guessed, true), 4*30/2; got < least {
 		t.Errorf("reclaimable before the traffic is known: got %d of %d allowed, want %d or more", got, 4*30, least)
 	}
@@ -163,7 +163,7 @@
 		{"no limits", allowed, 0, 4 * allowed / 2, 4 * allowed},
 		{"limits beyond what is allowed", 30, 1000, 4 * 30 / 2, 4 * 30},
 	} {
-		orders, _ := autoscale.Plan(service(c.most), autoscale.Demand{Most: c.limits}, all)
+		orders, _ := autoscale.Plan(service(c.most), autoscale.Demand{MaxLoad: c.limits}, all)
 		if got := total(orders, true); got < c.least || got > c.upTo {
 			t.Errorf("%s: got %d reclaimable endpoints, want %d to %d", c.what, got, c.least, c.upTo)
 		}
@@ -174,11 +174,11 @@
 // place serve.
 func TestPlanKeepsWhatStandsInUntilOthersServe(t *testing.T) {
 	booting := func(string, bool) (int, int) { return 0, 14 }
-	orders, need := autoscale.Plan(service(30), autoscale.Demand{Work: 14, Known: true}, booting)
+	orders, need := autoscale.Plan(service(30), autoscale.Demand{Load: 14, Measured: true}, booting)
 	kept, bought := 0, 0
 	for _, o := range orders {
 		if !o.Reclaimable {
-			kept += o.Keep
+			kept += o.Retain
 			bought += o.Count
 		}
 	}
@@ -192,16 +192,16 @@
 
 // Hosts that die take their part of the work with them, not its callers.
 func TestDemandFadesSlowly(t *testing.T) {
-	traffic := autoscale.NewTraffic()
+	traffic := autoscale.NewDemandTracker()
 	at := time.Unix(1000, 0)
-	traffic.Demand("svc", 10, at)
-	if got := traffic.Demand("svc", 0.5, at.Add(5*time.Second)); got.Work < 7 || got.Known {
+	traffic.Observe("svc", 10, at)
+	if got := traffic.Observe("svc", 0.5, at.Add(5*time.Second)); got.Load < 7 || got.Measured {
 		t.Errorf("after 5 s: got %+v, want most of the work, not known yet", got)
 	}
-	if got := traffic.Demand("svc", 0.5, at.Add(time.Minute)); got.Work > 1 || !got.Known {
+	if got := traffic.Observe("svc", 0.5, at.Add(time.Minute)); got.Load > 1 || !got.Measured {
 		t.Errorf("after a minute: got %+v, want the work of now, known", got)
 	}
-	if got := traffic.Demand("other", 0, at.Add(time.Minute)); got.Work != 0 || got.Known {
+	if got := traffic.Observe("other", 0, at.Add(time.Minute)); got.Load != 0 || got.Measured {
 		t.Errorf("a service without traffic: got %+v, want nothing known", got)
 	}
 }
@@ -219,7 +219,7 @@
 
 // orderer is an Orderer in virtual time.
 type orderer struct {
-	*autoscale.Orderer
+	*autoscale.Reconciler
 	sink    *sink
 	now     time.Time
 	serving int
@@ -230,7 +230,7 @@
 func newOrderer() *orderer {
 	s := &sink{}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	return &orderer{Orderer: autoscale.NewOrderer(s, logger), sink: s, now: time.Unix(1000, 0), epoch: 1, held: true}
+	return &orderer{Reconciler: autoscale.NewReconciler(s, logger), sink: s, now: time.Unix(1000, 0), epoch: 1, held: true}
 }
 
 // step orders a count after a time and returns how many orders were sent.
@@ -241,7 +241,7 @@
 func (o *orderer) stepTo(after time.Duration, order autoscale.Order) int {
 	o.now = o.now.Add(after)
 	before := len(o.sink.orders)
-	o.Step(context.Background(), []autoscale.Order{order}, func(autoscale.Place) int { return o.serving }, 4*time.Second, o.now,
+	o.Reconcile(context.Background(), []autoscale.Order{order}, func(autoscale.Pool) int { return o.serving }, 4*time.Second, o.now,
 		func() (lease.Grant, bool) { return lease.Grant{Epoch: o.epoch, First: o.epoch == 1}, o.held })
 	return len(o.sink.orders) - before
 }
@@ -274,12 +274,12 @@
 // None are to be had: asked again after a pause, and not counted as coming.
 func TestRefusedOrdersPause(t *testing.T) {
 	o := newOrderer()
-	o.sink.err = autoscale.ErrNoneLeft
-	place := autoscale.Place{Service: "svc", DataCenter: "a", Reclaimable: true}
+	o.sink.err = autoscale.ErrNoCapacity
+	place := autoscale.Pool{Service: "svc", DataCenter: "a", Reclaimable: true}
 	if got := o.step(0, 3); got != 1 {
 		t.Fatalf("orders: got %d, want 1", got)
 	}
-	if got := o.Soon(place, 0, 4*time.Second, o.now); got != 0 {
+	if got := o.Booting(place, 0, 4*time.Second, o.now); got != 0 {
 		t.Errorf("coming after a refusal: got %d, want 0", got)
 	}
 	if got := o.step(time.Second, 3); got != 0 {
@@ -290,7 +290,7 @@
 	}
 	o.sink.err = nil
 	o.step(3*time.Second, 3)
-	if got := o.Soon(place, 1, 4*time.Second, o.now); got != 2 {
+	if got := o.Booting(place, 1, 4*time.Second, o.now); got != 2 {
 		t.Errorf("coming after an order: got %d, want 2", got)
 	}
 }
@@ -300,8 +300,8 @@
 	o := newOrderer()
 	o.serving = 16
 	o.step(0, 19)
-	place := autoscale.Place{Service: "svc", DataCenter: "a", Reclaimable: true}
-	if got := o.Soon(place, 0, 4*time.Second, o.now.Add(2*time.Second)); got != 3 {
+	place := autoscale.Pool{Service: "svc", DataCenter: "a", Reclaimable: true}
+	if got := o.Booting(place, 0, 4*time.Second, o.now.Add(2*time.Second)); got != 3 {
 		t.Errorf("coming after a reclaim: got %d, want the 3 that boot", got)
 	}
 }
@@ -311,12 +311,12 @@
 	o := newOrderer()
 	onDemand := autoscale.Order{Service: "svc", DataCenter: "a", Count: 20}
 	o.stepTo(0, onDemand)
-	o.serving, onDemand.Count, onDemand.Keep = 20, 1, 20
+	o.serving, onDemand.Count, onDemand.Retain = 20, 1, 20
 	o.stepTo(10*time.Second, onDemand)
 	if got := o.stepTo(7*time.Second, onDemand); got != 0 {
 		t.Errorf("orders while the others boot: got %d, want 0", got)
 	}
-	onDemand.Keep = 1
+	onDemand.Retain = 1
 	if got := o.stepTo(time.Second, onDemand); got != 0 {
 		t.Errorf("orders as soon as the others serve: got %d, want 0", got)
 	}
--- a/pkg/autoscale/plan.go
+++ b/pkg/autoscale/plan.go
@@ -51,7 +51,7 @@
 		return nil, 0
 	}
 	places := byPrice(s.Prices)
-	need := needed(demand.Work, 1)
+	need := needed(demand.Load, 1)
 	each := reclaimableEach(s, demand, len(places))
 	var coming, serving reclaimables
 	for _, place := range places {
@@ -75,7 +75,7 @@
 // reclaimableEach is how many reclaimable endpoints each data centre has: none
 // where those that must be there for the losses cost more than the need on demand.
 func reclaimableEach(s *routetable.Scaling, demand Demand, places int) int {
-	need := needed(demand.Work, max(s.ReclaimablePrice, leastPrice))
+	need := needed(demand.Load, max(s.ReclaimablePrice, leastPrice))
 	lost := min(mostLost, places-1)
 	for lost > 0 && s.ReclaimablePrice*float64(places) > float64(places-lost) {
 		lost--
@@ -84,7 +84,7 @@
 		return 0
 	}
 	each := (need + places - lost - 1) / (places - lost)
-	if !demand.Known {
+	if !demand.Measured {
 		each = max(each, guess(s, demand, places-lost))
 	}
 	return min(max(each, s.Least), s.Most)
@@ -95,10 +95,10 @@
 // teams that use the whole of their limits need.
 func guess(s *routetable.Scaling, demand Demand, carrying int) int {
 	allowed := int(guessShare * float64(s.Most))
-	if demand.Most <= 0 {
+	if demand.MaxLoad <= 0 {
 		return allowed
 	}
-	need := needed(demand.Most, max(s.ReclaimablePrice, leastPrice))
+	need := needed(demand.MaxLoad, max(s.ReclaimablePrice, leastPrice))
 	return min(allowed, (need+carrying-1)/carrying)
 }
 
--- a/pkg/autoscale/traffic.go
+++ b/pkg/autoscale/traffic.go
@@ -7,14 +7,14 @@
 
 // Demand is what a service has to carry.
 type Demand struct {
-	// Work is engine time asked for a second, over all entries.
-	Work float64
-	// Known is false until the traffic has been seen for a while: until then the
+	// Load is engine time asked for a second, over all entries.
+	Load float64
+	// Measured is false until the traffic has been seen for a while: until then the
 	// need is guessed from how many endpoints are allowed.
-	Known bool
-	// Most is the engine time a second that the teams' limits let callers ask for, 0 if
+	Measured bool
+	// MaxLoad is the engine time a second that the teams' limits let callers ask for, 0 if
 	// they are not all limited.
-	Most float64
+	MaxLoad float64
 }
 
 // Parameters of the traffic seen.
@@ -27,9 +27,9 @@
 	workFades = 20 * time.Second
 )
 
-// Traffic is the work that the holder of the lease has seen. It is used by one
+// DemandTracker is the work that the holder of the lease has seen. It is used by one
 // goroutine.
-type Traffic struct {
+type DemandTracker struct {
 	services map[string]*seenWork
 }
 
@@ -42,11 +42,11 @@
 	at   time.Time
 }
 
-// NewTraffic returns traffic of which nothing has been seen.
-func NewTraffic() *Traffic { return &Traffic{services: map[string]*seenWork{}} }
+// NewDemandTracker returns traffic of which nothing has been seen.
+func NewDemandTracker() *DemandTracker { return &DemandTracker{services: map[string]*seenWork{}} }
 
-// Demand takes in the work asked for now and returns a service's demand.
-func (t *Traffic) Demand(service string, work float64, now time.Time) Demand {
+// Observe takes in the work asked for now and returns a service's demand.
+func (t *DemandTracker) Observe(service string, work float64, now time.Time) Demand {
 	seen, ok := t.services[service]
 	if !ok {
 		seen = &seenWork{at: now}
@@ -58,5 +58,5 @@
 	faded := seen.peak * math.Exp(-now.Sub(seen.at).Seconds()/workFades.Seconds())
 	seen.peak = max(work, faded)
 	seen.at = now
-	return Demand{Work: seen.peak, Known: !seen.since.IsZero() && now.Sub(seen.since) > knownAfter}
+	return Demand{Load: seen.peak, Measured: !seen.since.IsZero() && now.Sub(seen.since) > knownAfter}
 }
--- a/pkg/capacity/capacity.go
+++ b/pkg/capacity/capacity.go
@@ -14,15 +14,15 @@
 type Offer struct {
 	DataCenter, Class string
 	Reclaimable       bool
-	// Price is for one host an hour.
-	Price float64
-	// Rate is tokens a second that one host gives within the latency target.
-	Rate float64
-	// Most bounds the hosts bought, Least those kept in any case.
-	Least, Most int
-	// Held is how many there are: reclaimable hosts that are there are kept
+	// HourlyPrice is for one host an hour.
+	HourlyPrice float64
+	// TokenRate is tokens a second that one host gives within the latency target.
+	TokenRate float64
+	// Max bounds the hosts bought, Min those kept in any case.
+	Min, Max int
+	// Running is how many there are: reclaimable hosts that are there are kept
 	// before others are bought, since prices differ by less than a start costs.
-	Held int
+	Running int
 	// HazardPerHour is reclaims expected for one host an hour.
 	HazardPerHour float64
 	// RefusedUntil is when the offer may be tried again after a refusal.
@@ -39,20 +39,20 @@
 
 // Demand is what is asked for, in tokens a second.
 type Demand struct {
-	// Counter is for callers who wait, Waiting the least rate at which work
+	// Interactive is for callers who wait, Deferrable the least rate at which work
 	// that can wait meets its deadlines (see Deferred).
-	Counter, Waiting float64
+	Interactive, Deferrable float64
 }
 
 // Costs turn a reclaim into money.
 type Costs struct {
-	// LossPerReclaim is what one host's reclaim costs beside its price: tokens
+	// PerReclaim is what one host's reclaim costs beside its price: tokens
 	// computed again and the time a new host takes to serve, priced.
-	LossPerReclaim float64
+	PerReclaim float64
 }
 
-// Count is how many hosts of one offer to have.
-type Count struct {
+// HostCount is how many hosts of one offer to have.
+type HostCount struct {
 	Offer Offer
 	Hosts int
 }
@@ -78,31 +78,31 @@
 // that can wait is not bought for on demand.
 func (d Demand) need(largest float64, reclaimable bool) float64 {
 	if !reclaimable {
-		return dearRoom*d.Counter + largest
+		return dearRoom*d.Interactive + largest
 	}
-	return math.Max(counterRoom*d.Counter+largest, headroom*(d.Counter+d.Waiting))
+	return math.Max(counterRoom*d.Interactive+largest, headroom*(d.Interactive+d.Deferrable))
 }
 
 // effective is an offer's price with its reclaims.
 func (o Offer) effective(c Costs) float64 {
 	if !o.Reclaimable {
-		return o.Price
+		return o.HourlyPrice
 	}
-	return o.Price + o.HazardPerHour*c.LossPerReclaim
+	return o.HourlyPrice + o.HazardPerHour*c.PerReclaim
 }
 
 // perToken orders offers: the price of a token a second.
-func (o Offer) perToken(c Costs) float64 { return o.effective(c) / o.Rate }
+func (o Offer) perToken(c Costs) float64 { return o.effective(c) / o.TokenRate }
 
 // Plan returns the hosts to have. It tries each bound on the capacity of one
 // data centre: under a bound b, hosts are taken cheapest first with at most b
 // in each data centre until their sum is the counter demand plus b, so that
 // the loss of the largest leaves enough; the cheapest bound wins. Demand that
 // can't be met is met as far as the offers go.
-func Plan(offers []Offer, d Demand, c Costs, now time.Time) []Count {
+func Plan(offers []Offer, d Demand, c Costs, now time.Time) []HostCount {
 	open := available(offers, now)
 	sort.SliceStable(open, func(i, j int) bool { return open[i].perToken(c) < open[j].perToken(c) })
-	var best []Count
+	var best []HostCount
 	bestShort, bestCost := math.Inf(1), math.Inf(1)
 	for _, bound := range bounds(open, d) {
 		counts, short := fill(open, bound, d)
@@ -120,9 +120,9 @@
 	open := make([]Offer, 0, len(offers))
 	for _, o := range offers {
 		if now.Before(o.RefusedUntil) {
-			o.Most = o.Least
+			o.Max = o.Min
 		}
-		if o.Most > 0 && o.Rate > 0 {
+		if o.Max > 0 && o.TokenRate > 0 {
 			open = append(open, o)
 		}
 	}
@@ -137,9 +137,9 @@
 	}
 	step := math.Inf(1)
 	for _, o := range offers {
-		step = math.Min(step, o.Rate)
+		step = math.Min(step, o.TokenRate)
 	}
-	most := int(math.Ceil(math.Max(counterRoom*d.Counter, headroom*(d.Counter+d.Waiting))/step)) + 1
+	most := int(math.Ceil(math.Max(counterRoom*d.Interactive, headroom*(d.Interactive+d.Deferrable))/step)) + 1
 	list := make([]float64, 0, most)
 	for i := 1; i <= most; i++ {
 		list = append(list, float64(i)*step)
@@ -148,14 +148,14 @@
 }
 
 // fill takes hosts under a bound and returns them with the capacity missing.
-func fill(offers []Offer, bound float64, d Demand) ([]Count, float64) {
-	counts := make([]Count, len(offers))
+func fill(offers []Offer, bound float64, d Demand) ([]HostCount, float64) {
+	counts := make([]HostCount, len(offers))
 	centre := map[string]float64{}
 	total := 0.0
 	for i, o := range offers {
-		counts[i] = Count{o, o.Least}
-		centre[o.DataCenter] += float64(o.Least) * o.Rate
-		total += float64(o.Least) * o.Rate
+		counts[i] = HostCount{o, o.Min}
+		centre[o.DataCenter] += float64(o.Min) * o.TokenRate
+		total += float64(o.Min) * o.TokenRate
 	}
 	need := func(reclaimable bool) float64 {
 		largest := 0.0
@@ -166,24 +166,24 @@
 	}
 	take := func(i, most int) {
 		o := counts[i].Offer
-		for counts[i].Hosts < most && total < need(o.Reclaimable) && centre[o.DataCenter]+o.Rate <= bound+1e-9 {
+		for counts[i].Hosts < most && total < need(o.Reclaimable) && centre[o.DataCenter]+o.TokenRate <= bound+1e-9 {
 			counts[i].Hosts++
-			centre[o.DataCenter] += o.Rate
-			total += o.Rate
+			centre[o.DataCenter] += o.TokenRate
+			total += o.TokenRate
 		}
 	}
 	for i, n := range counts {
 		if n.Offer.Reclaimable {
-			take(i, min(n.Offer.Held, n.Offer.Most))
+			take(i, min(n.Offer.Running, n.Offer.Max))
 		}
 	}
 	for i, n := range counts {
-		take(i, n.Offer.Most)
+		take(i, n.Offer.Max)
 	}
 	return counts, math.Max(0, need(false)-total)*shortIsWorse + math.Max(0, need(true)-total)
 }
 
-func costOf(counts []Count, c Costs) float64 {
+func costOf(counts []HostCount, c Costs) float64 {
 	cost := 0.0
 	for _, n := range counts {
 		cost += float64(n.Hosts) * n.Offer.effective(c)
@@ -191,21 +191,21 @@
 	return cost
 }
 
-// Spread is a naive plan: reclaimable hosts alone, as many as the demand asks
+// SpreadEvenly is a naive plan: reclaimable hosts alone, as many as the demand asks
 // for, evenly over all data centres.
-func Spread(offers []Offer, d Demand) []Count {
-	counts := make([]Count, len(offers))
+func SpreadEvenly(offers []Offer, d Demand) []HostCount {
+	counts := make([]HostCount, len(offers))
 	total := 0.0
 	for i, o := range offers {
-		counts[i] = Count{o, o.Least}
-		total += float64(o.Least) * o.Rate
+		counts[i] = HostCount{o, o.Min}
+		total += float64(o.Min) * o.TokenRate
 	}
-	for grown := true; grown && total < headroom*(d.Counter+d.Waiting); {
+	for grown := true; grown && total < headroom*(d.Interactive+d.Deferrable); {
 		grown = false
 		for i, o := range offers {
-			if o.Reclaimable && counts[i].Hosts < o.Most && total < headroom*(d.Counter+d.Waiting) {
+			if o.Reclaimable && counts[i].Hosts < o.Max && total < headroom*(d.Interactive+d.Deferrable) {
 				counts[i].Hosts++
-				total += o.Rate
+				total += o.TokenRate
 				grown = true
 			}
 		}
@@ -213,18 +213,20 @@
 	return counts
 }
 
-// Naive is another: reclaimable hosts of the lowest price alone.
-func Naive(offers []Offer, d Demand) []Count {
+// CheapestFirst is another: reclaimable hosts of the lowest price alone.
+func CheapestFirst(offers []Offer, d Demand) []HostCount {
 	cheapest := append([]Offer(nil), offers...)
-	sort.SliceStable(cheapest, func(i, j int) bool { return cheapest[i].Price/cheapest[i].Rate < cheapest[j].Price/cheapest[j].Rate })
+	sort.SliceStable(cheapest, func(i, j int) bool {
+		return cheapest[i].HourlyPrice/cheapest[i].TokenRate < cheapest[j].HourlyPrice/cheapest[j].TokenRate
+	})
 	total := 0.0
-	var counts []Count
+	var counts []HostCount
 	for _, o := range cheapest {
-		n := Count{o, o.Least}
-		total += float64(o.Least) * o.Rate
-		for o.Reclaimable && n.Hosts < o.Most && total < headroom*(d.Counter+d.Waiting) {
+		n := HostCount{o, o.Min}
+		total += float64(o.Min) * o.TokenRate
+		for o.Reclaimable && n.Hosts < o.Max && total < headroom*(d.Interactive+d.Deferrable) {
 			n.Hosts++
-			total += o.Rate
+			total += o.TokenRate
 		}
 		counts = append(counts, n)
 	}
--- a/pkg/capacity/capacity_test.go
+++ b/pkg/capacity/capacity_test.go
@@ -26,9 +26,9 @@
 	for i := range rapid.IntRange(2, 5).Draw(t, "centres") {
 		price := 0.8 + float64(rapid.IntRange(0, 10).Draw(t, "price"))/10
 		for _, reclaimable := range []bool{true, false} {
-			o := capacity.Offer{DataCenter: fmt.Sprint(i), Class: "c", Reclaimable: reclaimable, Price: price, Rate: 200, Most: 10, HazardPerHour: 0.1}
+			o := capacity.Offer{DataCenter: fmt.Sprint(i), Class: "c", Reclaimable: reclaimable, HourlyPrice: price, TokenRate: 200, Max: 10, HazardPerHour: 0.1}
 			if !reclaimable {
-				o.Price = 3
+				o.HourlyPrice = 3
 			}
 			list = append(list, o)
 		}
@@ -36,14 +36,14 @@
 	return list
 }
 
-func sums(plan []capacity.Count) (total, largest, cost float64) {
+func sums(plan []capacity.HostCount) (total, largest, cost float64) {
 	centres := map[string]float64{}
 	for _, n := range plan {
-		rate := float64(n.Hosts) * n.Offer.Rate
+		rate := float64(n.Hosts) * n.Offer.TokenRate
 		total += rate
 		centres[n.Offer.DataCenter] += rate
 		largest = max(largest, centres[n.Offer.DataCenter])
-		cost += float64(n.Hosts) * n.Offer.Price
+		cost += float64(n.Hosts) * n.Offer.HourlyPrice
 	}
 	return total, largest, cost
 }
@@ -55,24 +55,24 @@
 	naiveFails := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		list := offers(rt)
-		d := capacity.Demand{Counter: float64(rapid.IntRange(0, 1200).Draw(rt, "counter")), Waiting: float64(rapid.IntRange(0, 1500).Draw(rt, "waiting"))}
+		d := capacity.Demand{Interactive: float64(rapid.IntRange(0, 1200).Draw(rt, "counter")), Deferrable: float64(rapid.IntRange(0, 1500).Draw(rt, "waiting"))}
 		plan := capacity.Plan(list, d, capacity.Costs{}, now)
 		total, largest, cost := sums(plan)
-		if total < d.Counter+d.Waiting {
-			rt.Fatalf("capacity: got %.0f, want the demand of %.0f", total, d.Counter+d.Waiting)
+		if total < d.Interactive+d.Deferrable {
+			rt.Fatalf("capacity: got %.0f, want the demand of %.0f", total, d.Interactive+d.Deferrable)
 		}
-		if total-largest < 1.2*d.Counter {
-			rt.Fatalf("without the largest data centre: got %.0f, want 1.2 times the callers' %.0f", total-largest, d.Counter)
+		if total-largest < 1.2*d.Interactive {
+			rt.Fatalf("without the largest data centre: got %.0f, want 1.2 times the callers' %.0f", total-largest, d.Interactive)
 		}
 		// Each data centre has 10 reclaimable hosts of 200 tokens a second.
-		if others := float64(len(list)/2-1) * 2000; others >= 2.4*d.Counter && total-largest < 2*d.Counter {
-			rt.Fatalf("without the largest data centre: got %.0f, want twice the callers' %.0f while reclaimable hosts are to be had", total-largest, d.Counter)
+		if others := float64(len(list)/2-1) * 2000; others >= 2.4*d.Interactive && total-largest < 2*d.Interactive {
+			rt.Fatalf("without the largest data centre: got %.0f, want twice the callers' %.0f while reclaimable hosts are to be had", total-largest, d.Interactive)
 		}
-		if most := 3 * (2.4*d.Counter + 1.1*(d.Counter+d.Waiting) + 1000) / 200; cost > most {
+		if most := 3 * (2.4*d.Interactive + 1.1*(d.Interactive+d.Deferrable) + 1000) / 200; cost > most {
 			rt.Fatalf("cost: got %.1f, want less than on-demand hosts for all, %.1f", cost, most)
 		}
-		naiveTotal, naiveLargest, _ := sums(capacity.Naive(list, d))
-		if naiveTotal-naiveLargest < d.Counter {
+		naiveTotal, naiveLargest, _ := sums(capacity.CheapestFirst(list, d))
+		if naiveTotal-naiveLargest < d.Interactive {
 			naiveFails++
 		}
 	})
@@ -82,58 +82,58 @@
 }
 
 func TestStepsGoUpAtOnceAndDownLate(t *testing.T) {
-	o := capacity.Offer{DataCenter: "a", Class: "c", Rate: 1, Most: 10}
-	plan := func(n int) []capacity.Count { return []capacity.Count{{Offer: o, Hosts: n}} }
-	s := capacity.NewStepper()
-	if got := s.Step(plan(5), plan(2), now); len(got) != 1 || got[0].Hosts != 3 {
+	o := capacity.Offer{DataCenter: "a", Class: "c", TokenRate: 1, Max: 10}
+	plan := func(n int) []capacity.HostCount { return []capacity.HostCount{{Offer: o, Hosts: n}} }
+	s := capacity.NewReconciler()
+	if got := s.Reconcile(plan(5), plan(2), now); len(got) != 1 || got[0].Hosts != 3 {
 		t.Errorf("up: got %v, want 3 at once", got)
 	}
 	for minute := range 5 {
-		if got := s.Step(plan(2), plan(8), now.Add(time.Duration(minute)*time.Minute)); len(got) != 0 {
+		if got := s.Reconcile(plan(2), plan(8), now.Add(time.Duration(minute)*time.Minute)); len(got) != 0 {
 			t.Errorf("surplus for %d minutes: got %v, want nothing given back", minute, got)
 		}
 	}
-	if got := s.Step(plan(2), plan(8), now.Add(6*time.Minute)); len(got) != 1 || got[0].Hosts != -2 {
+	if got := s.Reconcile(plan(2), plan(8), now.Add(6*time.Minute)); len(got) != 1 || got[0].Hosts != -2 {
 		t.Errorf("surplus for 6 minutes: got %v, want 2 given back", got)
 	}
 }
 
 func TestRefusedOffersAreLeftAlone(t *testing.T) {
-	s := capacity.NewStepper()
+	s := capacity.NewReconciler()
 	list := []capacity.Offer{
-		{DataCenter: "a", Class: "c", Price: 1, Rate: 100, Most: 10, Reclaimable: true},
-		{DataCenter: "b", Class: "c", Price: 2, Rate: 100, Most: 10, Reclaimable: true},
-		{DataCenter: "c", Class: "c", Price: 2, Rate: 100, Most: 10, Reclaimable: true},
+		{DataCenter: "a", Class: "c", HourlyPrice: 1, TokenRate: 100, Max: 10, Reclaimable: true},
+		{DataCenter: "b", Class: "c", HourlyPrice: 2, TokenRate: 100, Max: 10, Reclaimable: true},
+		{DataCenter: "c", Class: "c", HourlyPrice: 2, TokenRate: 100, Max: 10, Reclaimable: true},
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	s.Refused(list[0], now, random)
-	s.Mark(list)
-	for _, n := range capacity.Plan(list, capacity.Demand{Counter: 100}, capacity.Costs{}, now) {
+	s.RecordRefusal(list[0], now, random)
+	s.SetRefusedUntil(list)
+	for _, n := range capacity.Plan(list, capacity.Demand{Interactive: 100}, capacity.Costs{}, now) {
 		if n.Offer.DataCenter == "a" && n.Hosts > 0 {
 			t.Errorf("refused offer: got %d hosts planned, want 0", n.Hosts)
 		}
 	}
 	first := list[0].RefusedUntil.Sub(now)
 	for range 5 {
-		s.Refused(list[0], now, random)
+		s.RecordRefusal(list[0], now, random)
 	}
-	s.Mark(list)
+	s.SetRefusedUntil(list)
 	if later := list[0].RefusedUntil.Sub(now); later < 4*first {
 		t.Errorf("after six refusals: left alone for %v, want well over the first %v", later, first)
 	}
-	s.Started(list[0])
-	s.Mark(list)
+	s.RecordStart(list[0])
+	s.SetRefusedUntil(list)
 	if !list[0].RefusedUntil.IsZero() {
 		t.Error("after a start: want the offer open again")
 	}
 }
 
 func TestWaitingWorkFollowsDeadlinesAndPrices(t *testing.T) {
-	work := []capacity.Deferred{{Tokens: 3600, Deadline: now.Add(10 * time.Hour)}}
-	pressing := append([]capacity.Deferred{{Tokens: 800, Deadline: now.Add(1000 * time.Second)}}, work...)
+	work := []capacity.DeferrableWork{{Tokens: 3600, Deadline: now.Add(10 * time.Hour)}}
+	pressing := append([]capacity.DeferrableWork{{Tokens: 800, Deadline: now.Add(1000 * time.Second)}}, work...)
 	cases := []struct {
 		name  string
-		work  []capacity.Deferred
+		work  []capacity.DeferrableWork
 		price float64
 		want  float64
 	}{
@@ -143,7 +143,7 @@
 		{"dear hour, but a deadline presses", pressing, 2, 1},
 	}
 	for _, c := range cases {
-		if got := capacity.RateFor(c.work, c.price, 1, now); got < c.want*0.999 || got > c.want*1.001 {
+		if got := capacity.DeferrableRate(c.work, c.price, 1, now); got < c.want*0.999 || got > c.want*1.001 {
 			t.Errorf("%s: got %.4f tokens a second, want %.4f", c.name, got, c.want)
 		}
 	}
--- a/pkg/capacity/step.go
+++ b/pkg/capacity/step.go
@@ -12,10 +12,10 @@
 	Hosts int
 }
 
-// Stepper turns plans into changes: up at once, down only after the surplus
+// Reconciler turns plans into changes: up at once, down only after the surplus
 // has lasted, a few hosts at a time, so that a lull in a burst gives nothing
 // back that is needed a minute later.
-type Stepper struct {
+type Reconciler struct {
 	// surplusSince is when each offer's surplus began.
 	surplusSince map[key]time.Time
 	refusals     map[key]refusal
@@ -37,14 +37,14 @@
 	mostRefusal  = 15 * time.Minute
 )
 
-// NewStepper returns a stepper that has seen nothing.
-func NewStepper() *Stepper {
-	return &Stepper{surplusSince: map[key]time.Time{}, refusals: map[key]refusal{}}
+// NewReconciler returns a stepper that has seen nothing.
+func NewReconciler() *Reconciler {
+	return &Reconciler{surplusSince: map[key]time.Time{}, refusals: map[key]refusal{}}
 }
 
-// Refused notes that a start was refused: the offer is left alone for a while
+// RecordRefusal notes that a start was refused: the offer is left alone for a while
 // that doubles with each refusal in a row.
-func (s *Stepper) Refused(o Offer, now time.Time, random *rand.Rand) {
+func (s *Reconciler) RecordRefusal(o Offer, now time.Time, random *rand.Rand) {
 	held := s.refusals[o.key()]
 	bound := min(firstRefusal<<min(held.count, 8), mostRefusal)
 	held.count++
@@ -52,18 +52,18 @@
 	s.refusals[o.key()] = held
 }
 
-// Started notes that a start succeeded.
-func (s *Stepper) Started(o Offer) { delete(s.refusals, o.key()) }
+// RecordStart notes that a start succeeded.
+func (s *Reconciler) RecordStart(o Offer) { delete(s.refusals, o.key()) }
 
-// Mark sets the offers' RefusedUntil.
-func (s *Stepper) Mark(offers []Offer) {
+// SetRefusedUntil sets the offers' RefusedUntil.
+func (s *Reconciler) SetRefusedUntil(offers []Offer) {
 	for i := range offers {
 		offers[i].RefusedUntil = s.refusals[offers[i].key()].until
 	}
 }
 
-// Step compares a plan with the hosts there are and returns what to change.
-func (s *Stepper) Step(plan []Count, have []Count, now time.Time) []Change {
+// Reconcile compares a plan with the hosts there are and returns what to change.
+func (s *Reconciler) Reconcile(plan []HostCount, have []HostCount, now time.Time) []Change {
 	held := map[key]int{}
 	for _, n := range have {
 		held[n.Offer.key()] += n.Hosts
@@ -90,7 +90,7 @@
 	return changes
 }
 
-func (s *Stepper) step(k key, difference int, now time.Time) int {
+func (s *Reconciler) step(k key, difference int, now time.Time) int {
 	if difference >= 0 {
 		delete(s.surplusSince, k)
 		return difference
@@ -106,8 +106,8 @@
 	return max(difference, -downAtOnce)
 }
 
-// Deferred is one piece of work that can wait.
-type Deferred struct {
+// DeferrableWork is one piece of work that can wait.
+type DeferrableWork struct {
 	Tokens   float64
 	Deadline time.Time
 }
@@ -122,11 +122,11 @@
 	cheap = 0.95
 )
 
-// RateFor returns the rate at which to work off what can wait: at least what
+// DeferrableRate returns the rate at which to work off what can wait: at least what
 // the deadlines ask for, and more where the price now is low for the day.
 // price and usual are for the same host.
-func RateFor(work []Deferred, price, usual float64, now time.Time) float64 {
-	sorted := append([]Deferred(nil), work...)
+func DeferrableRate(work []DeferrableWork, price, usual float64, now time.Time) float64 {
+	sorted := append([]DeferrableWork(nil), work...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Deadline.Before(sorted[j].Deadline) })
 	must, total := 0.0, 0.0
 	for _, w := range sorted {
--- a/pkg/enginemodel/enginemodel.go
+++ b/pkg/enginemodel/enginemodel.go
@@ -11,32 +11,32 @@
 	"time"
 )
 
-// Figures say how fast an engine is.
-type Figures struct {
-	// Fixed is the part of the time to a first token that no prompt token adds to.
-	Fixed time.Duration
-	// Prefill is the time for one token of a prompt.
-	Prefill time.Duration
+// Timings say how fast an engine is.
+type Timings struct {
+	// FixedTime is the part of the time to a first token that no prompt token adds to.
+	FixedTime time.Duration
+	// PrefillPerToken is the time for one token of a prompt.
+	PrefillPerToken time.Duration
 	// TokenGap is the time between two tokens of an answer.
 	TokenGap time.Duration
 }
 
-// FirstToken returns the time to the first token behind some prompt tokens, the
+// TimeToFirstToken returns the time to the first token behind some prompt tokens, the
 // request's own among them.
-func (f Figures) FirstToken(tokens int) time.Duration {
-	return f.Fixed + time.Duration(tokens)*f.Prefill
+func (f Timings) TimeToFirstToken(tokens int) time.Duration {
+	return f.FixedTime + time.Duration(tokens)*f.PrefillPerToken
 }
 
-// Answer is what one answer has shown.
-type Answer struct {
-	// Tokens is the prompt tokens that were reckoned to be read before the first
+// Sample is what one answer has shown.
+type Sample struct {
+	// PrefillTokens is the prompt tokens that were reckoned to be read before the first
 	// token: the request's own that were not cached, and those queued before it.
-	Tokens int
-	// First is the time from the send to the first token.
-	First time.Duration
-	// Made is the tokens that followed the first ones, in Decode; 0 if not measured.
-	Made   int
-	Decode time.Duration
+	PrefillTokens int
+	// FirstToken is the time from the send to the first token.
+	FirstToken time.Duration
+	// DecodedTokens is the tokens that followed the first ones, in Decode; 0 if not measured.
+	DecodedTokens int
+	DecodeTime    time.Duration
 }
 
 // Parameters of the estimates.
@@ -59,9 +59,9 @@
 	leastMade = 16
 )
 
-// Service is what is known of a service's engines together.
-type Service struct {
-	figures Figures
+// Estimator is what is known of a service's engines together.
+type Estimator struct {
+	figures Timings
 	answers ring[point]
 	gaps    ring[float64]
 	seen    int
@@ -70,21 +70,21 @@
 // point is one answer: time to the first token over the tokens before it.
 type point struct{ tokens, seconds float64 }
 
-// NewService returns a service of which nothing is known but prior.
-func NewService(prior Figures) *Service { return &Service{figures: prior} }
+// NewEstimator returns a service of which nothing is known but prior.
+func NewEstimator(prior Timings) *Estimator { return &Estimator{figures: prior} }
 
-// Figures returns the estimate.
-func (s *Service) Figures() Figures { return s.figures }
+// Timings returns the estimate.
+func (s *Estimator) Timings() Timings { return s.figures }
 
-// Learn takes in an answer.
-func (s *Service) Learn(a Answer) {
-	if a.Made >= leastMade && a.Decode > 0 {
-		s.gaps.add(a.Decode.Seconds() / float64(a.Made))
+// Observe takes in an answer.
+func (s *Estimator) Observe(a Sample) {
+	if a.DecodedTokens >= leastMade && a.DecodeTime > 0 {
+		s.gaps.add(a.DecodeTime.Seconds() / float64(a.DecodedTokens))
 	}
-	if a.First <= 0 {
+	if a.FirstToken <= 0 {
 		return
 	}
-	s.answers.add(point{float64(a.Tokens), a.First.Seconds()})
+	s.answers.add(point{float64(a.PrefillTokens), a.FirstToken.Seconds()})
 	s.seen++
 	if s.seen >= enough && s.seen%fitEvery == 0 {
 		s.fit()
@@ -92,7 +92,7 @@
 }
 
 // fit estimates the figures anew.
-func (s *Service) fit() {
+func (s *Estimator) fit() {
 	if gaps := s.gaps.values(); len(gaps) >= enough {
 		s.figures.TokenGap = seconds(quantile(gaps, 0.5))
 	}
@@ -105,8 +105,8 @@
 	for _, p := range points {
 		rest = append(rest, p.seconds-slope*p.tokens)
 	}
-	s.figures.Prefill = seconds(slope)
-	s.figures.Fixed = seconds(max(quantile(rest, fixedQuantile), 0))
+	s.figures.PrefillPerToken = seconds(slope)
+	s.figures.FixedTime = seconds(max(quantile(rest, fixedQuantile), 0))
 }
 
 // theilSen returns the median slope over pairs of points (Theil 1950, Sen 1968).
--- a/pkg/hazard/hazard.go
+++ b/pkg/hazard/hazard.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Place is a class of hosts in one data centre.
-type Place struct {
+// Pool is a class of hosts in one data centre.
+type Pool struct {
 	DataCenter string
 	Class      string
 }
@@ -36,7 +36,7 @@
 // Estimator holds the estimates. It is safe for concurrent use.
 type Estimator struct {
 	mu     sync.Mutex
-	places map[Place]*estimate
+	places map[Pool]*estimate
 }
 
 // estimate is a rate with exponential forgetting.
@@ -50,27 +50,27 @@
 }
 
 // New returns an estimator that knows nothing.
-func New() *Estimator { return &Estimator{places: map[Place]*estimate{}} }
+func New() *Estimator { return &Estimator{places: map[Pool]*estimate{}} }
 
 // defaultPrior is used for a place without an operator's figure.
 const defaultPrior = 0.05
 
 // SetPrior sets the operator's figure, in reclaims for one host an hour.
-func (e *Estimator) SetPrior(p Place, rate float64, now time.Time) {
+func (e *Estimator) SetPrior(p Pool, rate float64, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.get(p, now).prior = rate
 }
 
 // SetHosts tells how many hosts of a place are running.
-func (e *Estimator) SetHosts(p Place, hosts int, now time.Time) {
+func (e *Estimator) SetHosts(p Pool, hosts int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.get(p, now).hosts = hosts
 }
 
-// Reclaimed notes that hosts of a place got notice or were lost.
-func (e *Estimator) Reclaimed(p Place, hosts int, now time.Time) {
+// RecordReclaim notes that hosts of a place got notice or were lost.
+func (e *Estimator) RecordReclaim(p Pool, hosts int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := e.get(p, now)
@@ -84,15 +84,15 @@
 	}
 }
 
-// Refused notes that the cloud refused to start a host.
-func (e *Estimator) Refused(p Place, now time.Time) {
+// RecordRefusal notes that the cloud refused to start a host.
+func (e *Estimator) RecordRefusal(p Pool, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.get(p, now).events += refusalWeight
 }
 
 // Rate returns reclaims expected for one host of the place an hour.
-func (e *Estimator) Rate(p Place, now time.Time) float64 {
+func (e *Estimator) Rate(p Pool, now time.Time) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	held := e.get(p, now)
@@ -100,7 +100,7 @@
 }
 
 // get returns a place's estimate brought forward to now. The lock is held.
-func (e *Estimator) get(p Place, now time.Time) *estimate {
+func (e *Estimator) get(p Pool, now time.Time) *estimate {
 	held, ok := e.places[p]
 	if !ok {
 		held = &estimate{prior: defaultPrior, at: now}
--- a/pkg/hazard/hazard_test.go
+++ b/pkg/hazard/hazard_test.go
@@ -9,8 +9,8 @@
 
 var (
 	start = time.UnixMilli(1_800_000_000_000)
-	north = hazard.Place{DataCenter: "north", Class: "c"}
-	south = hazard.Place{DataCenter: "south", Class: "c"}
+	north = hazard.Pool{DataCenter: "north", Class: "c"}
+	south = hazard.Pool{DataCenter: "south", Class: "c"}
 )
 
 func TestStartsFromTheOperatorsFigure(t *testing.T) {
@@ -30,7 +30,7 @@
 	at := start
 	for range 48 {
 		at = at.Add(time.Hour)
-		e.Reclaimed(north, 1, at)
+		e.RecordReclaim(north, 1, at)
 	}
 	quiet := at.Add(59 * time.Minute) // The surge of the last reclaim has died away.
 	if got := e.Rate(north, quiet); got < 0.05 || got > 0.15 {
@@ -44,11 +44,11 @@
 // TestWaveRaisesItsNeighboursToo loses a whole data centre.
 func TestWaveRaisesItsNeighboursToo(t *testing.T) {
 	e := hazard.New()
-	for _, p := range []hazard.Place{north, south} {
+	for _, p := range []hazard.Pool{north, south} {
 		e.SetPrior(p, 0.05, start)
 		e.SetHosts(p, 5, start)
 	}
-	e.Reclaimed(north, 5, start)
+	e.RecordReclaim(north, 5, start)
 	hit, near := e.Rate(north, start), e.Rate(south, start)
 	if hit < 10 || near < 1 || near > hit/2 {
 		t.Errorf("right after: got %.1f there and %.1f beside it, want both raised, there more", hit, near)
@@ -61,9 +61,9 @@
 func TestRefusalsCountForLess(t *testing.T) {
 	e := hazard.New()
 	before := e.Rate(north, start)
-	e.Refused(north, start)
+	e.RecordRefusal(north, start)
 	refused := e.Rate(north, start)
-	e.Reclaimed(south, 1, start)
+	e.RecordReclaim(south, 1, start)
 	if refused <= before || refused >= e.Rate(south, start) {
 		t.Errorf("got %.3f before, %.3f after a refusal, %.3f after a reclaim; want them to grow", before, refused, e.Rate(south, start))
 	}
--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -13,22 +13,22 @@
 	"ironhollow/pkg/fleet"
 )
 
-// Load names a model with version and adapter.
-type Load struct {
+// ModelSpec names a model with version and adapter.
+type ModelSpec struct {
 	Model, Version, Adapter string
 }
 
 // Assignment is what one endpoint should serve.
 type Assignment struct {
 	Endpoint endpoint.Info
-	Want     Load
+	Target   ModelSpec
 	// Change says that the endpoint serves something else and may be told now.
 	Change bool
 }
 
 // Share is how much of the fleet a load should get.
 type Share struct {
-	Load   Load
+	Spec   ModelSpec
 	Weight float64
 }
 
@@ -38,21 +38,21 @@
 
 // Shares gives each load a weight: one for every service that uses it.
 func Shares(services []fleet.Service) []Share {
-	weights := map[Load]float64{}
+	weights := map[ModelSpec]float64{}
 	for _, s := range services {
 		if s.Kind() == fleet.Model {
-			weights[Load{s.Model(), s.Version(), s.Adapter()}]++
+			weights[ModelSpec{s.Model(), s.Version(), s.Adapter()}]++
 		}
 	}
 	shares := make([]Share, 0, len(weights))
 	for load, weight := range weights {
 		shares = append(shares, Share{load, weight})
 	}
-	sort.Slice(shares, func(i, j int) bool { return shares[i].Load.less(shares[j].Load) })
+	sort.Slice(shares, func(i, j int) bool { return shares[i].Spec.less(shares[j].Spec) })
 	return shares
 }
 
-func (l Load) less(o Load) bool {
+func (l ModelSpec) less(o ModelSpec) bool {
 	if l.Model != o.Model {
 		return l.Model < o.Model
 	}
@@ -101,7 +101,7 @@
 	for _, info := range infos {
 		if at := indexOf(shares, loaded(info)); at >= 0 && quotas[at] > 0 {
 			quotas[at]--
-			plan = append(plan, Assignment{Endpoint: info, Want: shares[at].Load})
+			plan = append(plan, Assignment{Endpoint: info, Target: shares[at].Spec})
 			continue
 		}
 		rest = append(rest, info)
@@ -111,16 +111,16 @@
 	for _, info := range rest {
 		at := nextQuota(shares, quotas, info.Model)
 		quotas[at]--
-		plan = append(plan, Assignment{Endpoint: info, Want: shares[at].Load, Change: true})
+		plan = append(plan, Assignment{Endpoint: info, Target: shares[at].Spec, Change: true})
 	}
 	return plan
 }
 
-func loaded(i endpoint.Info) Load { return Load{i.Model, i.Version, i.Adapter} }
+func loaded(i endpoint.Info) ModelSpec { return ModelSpec{i.Model, i.Version, i.Adapter} }
 
-func indexOf(shares []Share, l Load) int {
+func indexOf(shares []Share, l ModelSpec) int {
 	for i, s := range shares {
-		if s.Load == l {
+		if s.Spec == l {
 			return i
 		}
 	}
@@ -133,7 +133,7 @@
 		if quotas[i] <= 0 {
 			continue
 		}
-		if shares[i].Load.Model == model && model != "" {
+		if shares[i].Spec.Model == model && model != "" {
 			return i
 		}
 		if quotas[i] > quotas[best] {
@@ -166,7 +166,7 @@
 		if remainders[order[a]] != remainders[order[b]] {
 			return remainders[order[a]] > remainders[order[b]]
 		}
-		return tie(centre, shares[order[a]].Load) > tie(centre, shares[order[b]].Load)
+		return tie(centre, shares[order[a]].Spec) > tie(centre, shares[order[b]].Spec)
 	})
 	for i := 0; given < count; i++ {
 		quotas[order[i%len(order)]]++
@@ -175,7 +175,7 @@
 	return quotas
 }
 
-func tie(centre string, l Load) uint64 {
+func tie(centre string, l ModelSpec) uint64 {
 	return xxhash.Sum64String(centre + "\x00" + l.Model + "\x00" + l.Version + "\x00" + l.Adapter)
 }
 
@@ -209,7 +209,7 @@
 		if i.Kind != endpoint.Model || !i.AcceptsWork() || len(shares) == 0 {
 			continue
 		}
-		want := shares[xxhash.Sum64String(i.ID)%uint64(len(shares))].Load
+		want := shares[xxhash.Sum64String(i.ID)%uint64(len(shares))].Spec
 		plan = append(plan, Assignment{i, want, want != loaded(i)})
 	}
 	return plan
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-func load(model, version string) placement.Load {
-	return placement.Load{Model: model, Version: version}
+func load(model, version string) placement.ModelSpec {
+	return placement.ModelSpec{Model: model, Version: version}
 }
 
 // carryOut obeys the plan's orders and returns how many endpoints changed.
@@ -32,14 +32,14 @@
 		changed++
 		for i := range list {
 			if list[i].ID == a.Endpoint.ID {
-				list[i].Model, list[i].Version, list[i].Adapter = a.Want.Model, a.Want.Version, a.Want.Adapter
+				list[i].Model, list[i].Version, list[i].Adapter = a.Target.Model, a.Target.Version, a.Target.Adapter
 			}
 		}
 	}
 	return changed
 }
 
-func count(list []endpoint.Info, l placement.Load) (total int, centres map[string]bool) {
+func count(list []endpoint.Info, l placement.ModelSpec) (total int, centres map[string]bool) {
 	centres = map[string]bool{}
 	for _, i := range list {
 		if i.Model == l.Model && i.Version == l.Version {
@@ -54,13 +54,13 @@
 // on 18 engines and then finds nothing more to change.
 func TestEveryModelIsInSeveralDataCentres(t *testing.T) {
 	list := infos(18)
-	shares := []placement.Share{{Load: load("a", "1"), Weight: 1}, {Load: load("b", "1"), Weight: 2}}
+	shares := []placement.Share{{Spec: load("a", "1"), Weight: 1}, {Spec: load("b", "1"), Weight: 2}}
 	carryOut(list, shares)
 	for _, s := range shares {
-		total, centres := count(list, s.Load)
+		total, centres := count(list, s.Spec)
 		want := 18 * s.Weight / 3
 		if float64(total) < want-2 || float64(total) > want+2 || len(centres) < 3 {
-			t.Errorf("%s: got %d engines in %d data centres, want about %.0f in at least 3", s.Load.Model, total, len(centres), want)
+			t.Errorf("%s: got %d engines in %d data centres, want about %.0f in at least 3", s.Spec.Model, total, len(centres), want)
 		}
 	}
 	if again := carryOut(list, shares); again != 0 {
@@ -72,8 +72,8 @@
 // plan changes all at once and leaves nobody to serve.
 func TestVersionsAreRolledWithoutAGap(t *testing.T) {
 	list := infos(18)
-	carryOut(list, []placement.Share{{Load: load("a", "1"), Weight: 1}})
-	next := []placement.Share{{Load: load("a", "2"), Weight: 1}}
+	carryOut(list, []placement.Share{{Spec: load("a", "1"), Weight: 1}})
+	next := []placement.Share{{Spec: load("a", "2"), Weight: 1}}
 	naive := 0
 	for _, a := range placement.Naive(next, list) {
 		if a.Change {
@@ -97,7 +97,7 @@
 func TestLeavingEnginesAreNotPlanned(t *testing.T) {
 	list := infos(8)
 	list[3].State = endpoint.Leaving
-	for _, a := range placement.Plan([]placement.Share{{Load: load("a", "1"), Weight: 1}}, list) {
+	for _, a := range placement.Plan([]placement.Share{{Spec: load("a", "1"), Weight: 1}}, list) {
 		if a.Endpoint.ID == list[3].ID {
 			t.Error("an engine that leaves was given an order")
 		}
@@ -106,7 +106,7 @@
 
 func BenchmarkPlan1900(b *testing.B) {
 	list := infos(1900)
-	shares := []placement.Share{{Load: load("a", "1"), Weight: 1}, {Load: load("b", "1"), Weight: 2}, {Load: load("c", "1"), Weight: 2}}
+	shares := []placement.Share{{Spec: load("a", "1"), Weight: 1}, {Spec: load("b", "1"), Weight: 2}, {Spec: load("c", "1"), Weight: 2}}
 	for b.Loop() {
 		placement.Plan(shares, list)
 	}
--- a/pkg/policybench/cloud.go
+++ b/pkg/policybench/cloud.go
@@ -110,13 +110,13 @@
 }
 
 // living counts the hosts of each offer that are not reclaimed.
-func (c *fakeCloud) living() []capacity.Count {
+func (c *fakeCloud) living() []capacity.HostCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var list []capacity.Count
+	var list []capacity.HostCount
 	for _, h := range c.hosts {
 		if h.ended.IsZero() {
-			list = append(list, capacity.Count{Offer: h.offer, Hosts: 1})
+			list = append(list, capacity.HostCount{Offer: h.offer, Hosts: 1})
 		}
 	}
 	return list
@@ -132,7 +132,7 @@
 		if !h.ended.IsZero() && h.ended.Before(until) {
 			until = h.ended
 		}
-		total += h.offer.Price * until.Sub(h.bought).Hours()
+		total += h.offer.HourlyPrice * until.Sub(h.bought).Hours()
 	}
 	return total
 }
@@ -141,10 +141,10 @@
 func (c *fakeCloud) count(offers []capacity.Offer) {
 	living := c.living()
 	for i := range offers {
-		offers[i].Held = 0
+		offers[i].Running = 0
 		for _, n := range living {
 			if n.Offer.DataCenter == offers[i].DataCenter && n.Offer.Reclaimable == offers[i].Reclaimable {
-				offers[i].Held += n.Hosts
+				offers[i].Running += n.Hosts
 			}
 		}
 	}
@@ -154,7 +154,7 @@
 func (c *fakeCloud) learn(offers []capacity.Offer, now time.Time) {
 	for i := range offers {
 		if offers[i].Reclaimable {
-			place := hazard.Place{DataCenter: offers[i].DataCenter, Class: offers[i].Class}
+			place := hazard.Pool{DataCenter: offers[i].DataCenter, Class: offers[i].Class}
 			offers[i].HazardPerHour = c.run.entries[0].hazard.Rate(place, now)
 		}
 	}
@@ -163,18 +163,18 @@
 // keepUp replaces what was reclaimed, by the plan, until the run ends.
 func (c *fakeCloud) keepUp(p Policy, offers []capacity.Offer, demand capacity.Demand) {
 	random := rand.New(rand.NewPCG(c.run.seed, 5))
-	stepper := capacity.NewStepper()
+	stepper := capacity.NewReconciler()
 	const period = 10 * time.Second
 	for c.run.live() {
 		time.Sleep(period)
 		now := time.Now()
-		stepper.Mark(offers)
+		stepper.SetRefusedUntil(offers)
 		c.count(offers)
 		c.learn(offers, now)
-		for _, change := range stepper.Step(p.plan(offers, demand, now), c.living(), now) {
+		for _, change := range stepper.Reconcile(p.plan(offers, demand, now), c.living(), now) {
 			for range change.Hosts {
 				if !c.buy(change.Offer, startTime) {
-					stepper.Refused(change.Offer, now, random)
+					stepper.RecordRefusal(change.Offer, now, random)
 					break
 				}
 			}
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -50,14 +50,14 @@
 	CheapestFirst
 )
 
-func (p Policy) plan(offers []capacity.Offer, d capacity.Demand, now time.Time) []capacity.Count {
+func (p Policy) plan(offers []capacity.Offer, d capacity.Demand, now time.Time) []capacity.HostCount {
 	switch p.Capacity {
 	case SpreadEvenly:
-		return capacity.Spread(offers, d)
+		return capacity.SpreadEvenly(offers, d)
 	case CheapestFirst:
-		return capacity.Naive(offers, d)
+		return capacity.CheapestFirst(offers, d)
 	}
-	return capacity.Plan(offers, d, capacity.Costs{LossPerReclaim: lossPerReclaim}, now)
+	return capacity.Plan(offers, d, capacity.Costs{PerReclaim: lossPerReclaim}, now)
 }
 
 // lossPerReclaim prices one host's reclaim: the 40 s in which its successor
@@ -144,10 +144,10 @@
 	board := notice.New(e.directory, e.router, logger)
 	e.runner = stream.New(e.router, r.direct, e.budget, e.hazard, e.counters, watch, board, noop.NewTracerProvider().Tracer(""))
 	for _, centre := range r.fleet.Centres {
-		e.hazard.SetPrior(hazard.Place{DataCenter: centre, Class: "standard"}, priorHazard, time.Now())
+		e.hazard.SetPrior(hazard.Pool{DataCenter: centre, Class: "standard"}, priorHazard, time.Now())
 	}
 	e.directory.OnLeaving(func(info endpoint.Info) {
-		e.hazard.Reclaimed(hazard.Place{DataCenter: info.DataCenter, Class: info.Class}, 1, time.Now())
+		e.hazard.RecordReclaim(hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}, 1, time.Now())
 		e.runner.Leaving(context.Background(), info, !r.policy.Move)
 	})
 	return e
@@ -165,7 +165,7 @@
 		r.entries = append(r.entries, r.newEntry(i))
 	}
 	counter, waiting := f.TokensPerSecond()
-	demand := capacity.Demand{Counter: counter * s.Load * s.Margin, Waiting: waiting * s.Load * s.Margin}
+	demand := capacity.Demand{Interactive: counter * s.Load * s.Margin, Deferrable: waiting * s.Load * s.Margin}
 	offers := r.offers()
 	for _, n := range p.plan(offers, demand, time.Now()) {
 		for range n.Hosts {
@@ -195,8 +195,8 @@
 	for i, centre := range r.fleet.Centres {
 		offers = append(
 			offers,
-			capacity.Offer{DataCenter: centre, Class: "standard", Reclaimable: true, Price: r.fleet.Prices[i], Rate: RatePerHost, Most: 12, HazardPerHour: priorHazard},
-			capacity.Offer{DataCenter: centre, Class: "standard", Price: r.fleet.OnDemand, Rate: RatePerHost, Most: 12},
+			capacity.Offer{DataCenter: centre, Class: "standard", Reclaimable: true, HourlyPrice: r.fleet.Prices[i], TokenRate: RatePerHost, Max: 12, HazardPerHour: priorHazard},
+			capacity.Offer{DataCenter: centre, Class: "standard", HourlyPrice: r.fleet.OnDemand, TokenRate: RatePerHost, Max: 12},
 		)
 	}
 	return offers
--- a/pkg/reclaim/checkpoint.go
+++ b/pkg/reclaim/checkpoint.go
@@ -11,12 +11,12 @@
 	mostInterval  = 10 * time.Minute
 )
 
-// Interval returns how often a long job's tokens are written, after Young
+// CheckpointInterval returns how often a long job's tokens are written, after Young
 // (1974) and Daly (2006): the square root of twice the cost of a write times
 // the mean time between losses. lossesPerHour is of the process that holds the
 // tokens; writeCost is the time a write takes from the job, waiting for its
 // part of the store's budget included.
-func Interval(writeCost time.Duration, lossesPerHour float64) time.Duration {
+func CheckpointInterval(writeCost time.Duration, lossesPerHour float64) time.Duration {
 	if lossesPerHour <= 0 {
 		return mostInterval
 	}
--- a/pkg/reclaim/reclaim.go
+++ b/pkg/reclaim/reclaim.go
@@ -13,19 +13,19 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Work is one running stream on the endpoint that leaves.
-type Work struct {
+// Stream is one running stream on the endpoint that leaves.
+type Stream struct {
 	// ID is the request.
 	ID string
 	// KVTokens is the prompt's and the answer's tokens so far.
 	KVTokens int
-	// Remaining is how many tokens of answer are expected still.
-	Remaining int
-	// Gap is the time between its tokens.
-	Gap time.Duration
-	// Shared is how many of KVTokens other endpoints are thought to have
+	// RemainingTokens is how many tokens of answer are expected still.
+	RemainingTokens int
+	// TokenGap is the time between its tokens.
+	TokenGap time.Duration
+	// CachedElsewhere is how many of KVTokens other endpoints are thought to have
 	// cached, so that a move would not save them.
-	Shared int
+	CachedElsewhere int
 	// MayWait marks work that can be resumed later rather than now.
 	MayWait bool
 }
@@ -43,8 +43,8 @@
 
 // takes reports whether the destination has room for a stream. Work that can
 // wait needs memory alone: its cache is kept there until its turn comes.
-func (d *Destination) takes(w Work) bool {
-	return d.Endpoint.AcceptsWork() && d.FreeTokens >= w.KVTokens+w.Remaining && (w.MayWait || d.Running < d.Slots)
+func (d *Destination) takes(w Stream) bool {
+	return d.Endpoint.AcceptsWork() && d.FreeTokens >= w.KVTokens+w.RemainingTokens && (w.MayWait || d.Running < d.Slots)
 }
 
 // Limits are what the notice leaves.
@@ -79,7 +79,7 @@
 
 // Step is one stream's part of a plan.
 type Step struct {
-	Work   Work
+	Stream Stream
 	Action Action
 	// SavedTokens is what need not be computed again compared with Resume.
 	SavedTokens int
@@ -87,16 +87,16 @@
 
 // Plan decides for all streams of one endpoint that are held here. Every
 // stream gets exactly one step; moves come first, in the order to carry out.
-func Plan(works []Work, destinations []Destination, limits Limits, random *rand.Rand) []Step {
+func Plan(works []Stream, destinations []Destination, limits Limits, random *rand.Rand) []Step {
 	usable := limits.Notice - margin
 	budget := usable.Seconds() * limits.BytesPerSecond
 	var steps, rest []Step
 	for _, w := range works {
-		if time.Duration(w.Remaining)*w.Gap <= usable {
+		if time.Duration(w.RemainingTokens)*w.TokenGap <= usable {
 			rest = append(rest, Step{w, Finish{}, w.KVTokens})
 			continue
 		}
-		steps = append(steps, Step{Work: w, Action: Resume{}})
+		steps = append(steps, Step{Stream: w, Action: Resume{}})
 	}
 	chosen := choose(steps, budget, limits.BytesPerToken)
 	free := append([]Destination(nil), destinations...)
@@ -106,12 +106,12 @@
 			rest = append(rest, step)
 			continue
 		}
-		to, ok := place(step.Work, free, random)
+		to, ok := place(step.Stream, free, random)
 		if !ok {
 			rest = append(rest, step)
 			continue
 		}
-		moved = append(moved, Step{step.Work, Move{to}, saved(step.Work)})
+		moved = append(moved, Step{step.Stream, Move{to}, saved(step.Stream)})
 	}
 	// The largest saving first: if the notice is cut short, least is lost.
 	sort.SliceStable(moved, func(i, j int) bool { return moved[i].SavedTokens > moved[j].SavedTokens })
@@ -119,9 +119,9 @@
 }
 
 // saved is how many tokens a move keeps from being computed again.
-func saved(w Work) int { return max(w.KVTokens-w.Shared, 0) }
+func saved(w Stream) int { return max(w.KVTokens-w.CachedElsewhere, 0) }
 
-func cost(w Work, bytesPerToken float64) float64 { return float64(w.KVTokens) * bytesPerToken }
+func cost(w Stream, bytesPerToken float64) float64 { return float64(w.KVTokens) * bytesPerToken }
 
 // choose picks the streams to move within a budget of bytes: by savings for a
 // byte, then by size, filling what is left; or the one best alone if that
@@ -131,17 +131,17 @@
 	for i := range order {
 		order[i] = i
 	}
-	sort.SliceStable(order, func(a, b int) bool { return better(steps[order[a]].Work, steps[order[b]].Work) })
+	sort.SliceStable(order, func(a, b int) bool { return better(steps[order[a]].Stream, steps[order[b]].Stream) })
 	chosen := make([]bool, len(steps))
 	total, spent := 0, 0.0
 	best := -1
 	for _, i := range order {
-		w := steps[i].Work
+		w := steps[i].Stream
 		c := cost(w, bytesPerToken)
 		if c > budget || saved(w) == 0 {
 			continue
 		}
-		if best < 0 || saved(w) > saved(steps[best].Work) {
+		if best < 0 || saved(w) > saved(steps[best].Stream) {
 			best = i
 		}
 		if spent+c <= budget {
@@ -150,7 +150,7 @@
 			total += saved(w)
 		}
 	}
-	if best >= 0 && saved(steps[best].Work) > total {
+	if best >= 0 && saved(steps[best].Stream) > total {
 		chosen = make([]bool, len(steps))
 		chosen[best] = true
 	}
@@ -158,7 +158,7 @@
 }
 
 // better orders by savings for a byte, the larger stream first among equals.
-func better(a, b Work) bool {
+func better(a, b Stream) bool {
 	left := saved(a) * b.KVTokens
 	right := saved(b) * a.KVTokens
 	if left != right {
@@ -171,7 +171,7 @@
 // those with room, the one that is safer, then the one that is less busy. The
 // draw keeps entries that decide at the same moment from all choosing the same
 // destination (Mitzenmacher 2001).
-func place(w Work, free []Destination, random *rand.Rand) (endpoint.Info, bool) {
+func place(w Stream, free []Destination, random *rand.Rand) (endpoint.Info, bool) {
 	var room []int
 	for i := range free {
 		if free[i].takes(w) {
@@ -185,7 +185,7 @@
 	if other := &free[room[random.IntN(len(room))]]; other.before(best) {
 		best = other
 	}
-	best.FreeTokens -= w.KVTokens + w.Remaining
+	best.FreeTokens -= w.KVTokens + w.RemainingTokens
 	best.Running++
 	return best.Endpoint, true
 }
@@ -206,12 +206,12 @@
 	return d.Running < other.Running
 }
 
-// Naive is what the plan is measured against: every stream runs until its
+// ResumeAll is what the plan is measured against: every stream runs until its
 // endpoint goes, and what is left is computed again elsewhere.
-func Naive(works []Work) []Step {
+func ResumeAll(works []Stream) []Step {
 	steps := make([]Step, len(works))
 	for i, w := range works {
-		steps[i] = Step{Work: w, Action: Resume{}}
+		steps[i] = Step{Stream: w, Action: Resume{}}
 	}
 	return steps
 }
--- a/pkg/reclaim/reclaim_test.go
+++ b/pkg/reclaim/reclaim_test.go
@@ -20,13 +20,13 @@
 	os.Exit(m.Run())
 }
 
-func drawWorks(t *rapid.T) []reclaim.Work {
-	var works []reclaim.Work
+func drawWorks(t *rapid.T) []reclaim.Stream {
+	var works []reclaim.Stream
 	for i := range rapid.IntRange(3, 10).Draw(t, "streams") {
 		tokens := rapid.IntRange(300, 4000).Draw(t, "tokens")
-		works = append(works, reclaim.Work{
-			ID: fmt.Sprint(i), KVTokens: tokens, Remaining: rapid.IntRange(100, 2000).Draw(t, "remaining"),
-			Gap: 20 * time.Millisecond, Shared: rapid.IntRange(0, tokens/2).Draw(t, "shared"), MayWait: rapid.Bool().Draw(t, "may wait"),
+		works = append(works, reclaim.Stream{
+			ID: fmt.Sprint(i), KVTokens: tokens, RemainingTokens: rapid.IntRange(100, 2000).Draw(t, "remaining"),
+			TokenGap: 20 * time.Millisecond, CachedElsewhere: rapid.IntRange(0, tokens/2).Draw(t, "shared"), MayWait: rapid.Bool().Draw(t, "may wait"),
 		})
 	}
 	return works
@@ -52,7 +52,7 @@
 }
 
 // optimum is the most that any choice of moves saves within the bytes.
-func optimum(works []reclaim.Work, limits reclaim.Limits) int {
+func optimum(works []reclaim.Stream, limits reclaim.Limits) int {
 	budget := (limits.Notice - 300*time.Millisecond).Seconds() * limits.BytesPerSecond
 	best := 0
 	for set := range 1 << len(works) {
@@ -60,7 +60,7 @@
 		for i, w := range works {
 			if set&(1<<i) != 0 {
 				bytes += float64(w.KVTokens) * limits.BytesPerToken
-				total += w.KVTokens - w.Shared
+				total += w.KVTokens - w.CachedElsewhere
 			}
 		}
 		if bytes <= budget {
@@ -84,21 +84,21 @@
 		steps := reclaim.Plan(works, destinations(1<<20), limits, rand.New(rand.NewPCG(1, 1)))
 		seen := map[string]bool{}
 		bytes := 0.0
-		var unfinished []reclaim.Work
+		var unfinished []reclaim.Stream
 		for _, s := range steps {
-			if seen[s.Work.ID] {
-				rt.Fatalf("stream %s has two steps", s.Work.ID)
+			if seen[s.Stream.ID] {
+				rt.Fatalf("stream %s has two steps", s.Stream.ID)
 			}
-			seen[s.Work.ID] = true
+			seen[s.Stream.ID] = true
 			switch s.Action.(type) {
 			case reclaim.Move:
-				bytes += float64(s.Work.KVTokens)
-				unfinished = append(unfinished, s.Work)
+				bytes += float64(s.Stream.KVTokens)
+				unfinished = append(unfinished, s.Stream)
 			case reclaim.Resume:
-				unfinished = append(unfinished, s.Work)
+				unfinished = append(unfinished, s.Stream)
 			case reclaim.Finish:
-				if time.Duration(s.Work.Remaining)*s.Work.Gap > limits.Notice {
-					rt.Fatalf("stream %s is left to finish %d tokens within %v", s.Work.ID, s.Work.Remaining, limits.Notice)
+				if time.Duration(s.Stream.RemainingTokens)*s.Stream.TokenGap > limits.Notice {
+					rt.Fatalf("stream %s is left to finish %d tokens within %v", s.Stream.ID, s.Stream.RemainingTokens, limits.Notice)
 				}
 			}
 		}
@@ -114,7 +114,7 @@
 		}
 		planned += saved(steps)
 		best += most
-		if got := saved(reclaim.Naive(works)); got != 0 {
+		if got := saved(reclaim.ResumeAll(works)); got != 0 {
 			rt.Fatalf("naive plan saved %d, want 0", got)
 		}
 	})
@@ -127,7 +127,7 @@
 // TestMoveGoesWhereTheWaveDoesNot prefers destinations that are less likely to
 // be reclaimed, keeps to their memory, and never picks one that leaves.
 func TestMoveGoesWhereTheWaveDoesNot(t *testing.T) {
-	works := []reclaim.Work{{ID: "a", KVTokens: 1000, Remaining: 5000, Gap: 20 * time.Millisecond}}
+	works := []reclaim.Stream{{ID: "a", KVTokens: 1000, RemainingTokens: 5000, TokenGap: 20 * time.Millisecond}}
 	limits := reclaim.Limits{Notice: 5 * time.Second, BytesPerSecond: 1e9, BytesPerToken: 1}
 	counts := map[string]int{}
 	for seed := range uint64(300) {
@@ -162,7 +162,7 @@
 		{"losses all the time", time.Millisecond, 10_000, 2 * time.Second},
 	}
 	for _, c := range cases {
-		if got := reclaim.Interval(c.cost, c.losses).Round(time.Millisecond); got != c.want {
+		if got := reclaim.CheckpointInterval(c.cost, c.losses).Round(time.Millisecond); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/pkg/route/feedback.go
+++ b/pkg/route/feedback.go
@@ -123,7 +123,7 @@
 	if result.TokensReported {
 		uncached = max(result.PromptTokens-result.CachedTokens, 0)
 	}
-	g.model.Learn(enginemodel.Answer{Tokens: uncached + c.ahead, First: result.FirstToken, Made: result.Tokens, Decode: result.Decode})
+	g.model.Observe(enginemodel.Sample{PrefillTokens: uncached + c.ahead, FirstToken: result.FirstToken, DecodedTokens: result.Tokens, DecodeTime: result.Decode})
 }
 
 // leastTrust keeps an endpoint's cache in play, so that its trust can recover.
@@ -286,7 +286,7 @@
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return s.group.model.Figures().TokenGap
+	return s.group.model.Timings().TokenGap
 }
 
 // TotalSlots returns how many requests the endpoints of a target run at once.
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -164,7 +164,7 @@
 	return &group{
 		index:  newPrefixIndex(indexLimit),
 		random: rand.New(rand.NewPCG(r.seed, uint64(len(r.groups)))),
-		model:  enginemodel.NewService(enginemodel.Figures{Prefill: r.figures.Prefill, TokenGap: r.figures.TokenGap}),
+		model:  enginemodel.NewEstimator(enginemodel.Timings{PrefillPerToken: r.figures.Prefill, TokenGap: r.figures.TokenGap}),
 	}
 }
 
@@ -277,7 +277,7 @@
 	s.load.ownPrefill += c.uncached
 	g.index.note(q.PrefixHashes, s.info.ID)
 	g.place(q, s.info.ID)
-	if time.Duration(c.uncached)*g.model.Figures().Prefill >= heavyPrefill {
+	if time.Duration(c.uncached)*g.model.Timings().PrefillPerToken >= heavyPrefill {
 		r.MarkUrgent(s.info.ID)
 	}
 }
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -153,8 +153,8 @@
 // TestReclaimRiskTurnsLongWorkAway has one data centre reclaimed lately.
 func TestReclaimRiskTurnsLongWorkAway(t *testing.T) {
 	r, _, estimator := newRouter(8)
-	estimator.SetHosts(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
-	estimator.Reclaimed(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
+	estimator.SetHosts(hazard.Pool{DataCenter: "dc0", Class: "c"}, 2, now)
+	estimator.RecordReclaim(hazard.Pool{DataCenter: "dc0", Class: "c"}, 2, now)
 	q := query()
 	q.AnswerTokens = 3000
 	q.RiskWeight = 4
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -58,7 +58,7 @@
 // score works out the expected time at one endpoint.
 func (r *Router) score(s *slot, q Query, now time.Time) score {
 	l := &s.load
-	f := s.group.model.Figures()
+	f := s.group.model.Timings()
 	running := l.estimate(q.stale)
 	waiting := l.waiting
 	if running > l.slots {
@@ -67,13 +67,13 @@
 	}
 	cached := int(l.trust * float64(min(s.cached, q.PromptTokens)))
 	uncached := q.PromptTokens - cached + q.GeneratedTokens
-	own := f.FirstToken(uncached)
+	own := f.TimeToFirstToken(uncached)
 	wait := own
 	if running >= l.slots {
 		wait += l.meanDuration * time.Duration(waiting+1) / time.Duration(max(l.slots, 1))
 	}
-	ahead := l.ahead(f.Prefill, now)
-	wait += time.Duration(ahead) * f.Prefill
+	ahead := l.ahead(f.PrefillPerToken, now)
+	wait += time.Duration(ahead) * f.PrefillPerToken
 	queued := wait - own
 	// A fuller batch decodes slower: this also spreads load that fits.
 	crowding := 1 + crowdingWeight*float64(running)/float64(max(l.slots, 1))
@@ -85,8 +85,8 @@
 	if needsConnection {
 		wait += connectWeight
 	}
-	total := wait + decode + readWeight*time.Duration(uncached)*f.Prefill
-	total -= homeWeight * time.Duration(min(s.homeTokens, uncached)) * f.Prefill
+	total := wait + decode + readWeight*time.Duration(uncached)*f.PrefillPerToken
+	total -= homeWeight * time.Duration(min(s.homeTokens, uncached)) * f.PrefillPerToken
 	if needsConnection && q.mayExplore && l.isIdle(now) {
 		total -= exploreWeight
 	}
@@ -104,11 +104,11 @@
 	}
 	l := &s.load
 	if now.Sub(l.rateAt) > hazardKept || l.rateAt.IsZero() {
-		l.rate = r.hazard.Rate(hazard.Place{DataCenter: s.info.DataCenter, Class: s.info.Class}, now)
+		l.rate = r.hazard.Rate(hazard.Pool{DataCenter: s.info.DataCenter, Class: s.info.Class}, now)
 		l.rateAt = now
 	}
 	probability := min(1, l.rate*duration.Seconds()/secondsAnHour)
 	// Half the answer is lost on average, and all of the prompt.
-	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.model.Figures().Prefill
+	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.model.Timings().PrefillPerToken
 	return time.Duration(probability * q.RiskWeight * float64(lost))
 }
--- a/pkg/route/slot.go
+++ b/pkg/route/slot.go
@@ -26,7 +26,7 @@
 	backoffsUntil, penaltiesUntil time.Time
 	work                          work
 	// model is how fast the endpoints are together.
-	model *enginemodel.Service
+	model *enginemodel.Estimator
 	// placed is what was sent since the other entries were last sent placements.
 	placed []Placement
 	// choicesSinceExplored is the number of choices since an idle endpoint was last explored.
--- a/pkg/route/work.go
+++ b/pkg/route/work.go
@@ -32,8 +32,8 @@
 
 // engineTime is what a request takes of an engine. The group's lock is held.
 func (g *group) engineTime(uncached, answer int) time.Duration {
-	f := g.model.Figures()
-	return time.Duration(uncached)*f.Prefill + time.Duration(answer)*f.TokenGap/batchShare
+	f := g.model.Timings()
+	return time.Duration(uncached)*f.PrefillPerToken + time.Duration(answer)*f.TokenGap/batchShare
 }
 
 // EngineDemand returns the engine time a second that this entry's requests for a
--- a/pkg/stream/active.go
+++ b/pkg/stream/active.go
@@ -105,15 +105,15 @@
 }
 
 // work describes the stream to the reclaim plan.
-func (r *run) work() reclaim.Work {
+func (r *run) work() reclaim.Stream {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return reclaim.Work{
-		ID:        r.request,
-		KVTokens:  r.prompt + r.tokens,
-		Remaining: max(r.expected-r.tokens, 1),
-		Gap:       r.gap,
-		Shared:    min(r.shared, r.prompt),
-		MayWait:   r.mayWait,
+	return reclaim.Stream{
+		ID:              r.request,
+		KVTokens:        r.prompt + r.tokens,
+		RemainingTokens: max(r.expected-r.tokens, 1),
+		TokenGap:        r.gap,
+		CachedElsewhere: min(r.shared, r.prompt),
+		MayWait:         r.mayWait,
 	}
 }
--- a/pkg/stream/leave.go
+++ b/pkg/stream/leave.go
@@ -58,10 +58,10 @@
 		return
 	}
 	byID := map[string]*run{}
-	works := make([]reclaim.Work, 0, len(runs))
+	works := make([]reclaim.Stream, 0, len(runs))
 	for _, held := range runs {
 		work := held.work()
-		work.Remaining *= factor
+		work.RemainingTokens *= factor
 		byID[held.request] = held
 		works = append(works, work)
 	}
@@ -80,7 +80,7 @@
 		if c.Endpoint.ID == info.ID || !c.Usable {
 			continue
 		}
-		place := hazard.Place{DataCenter: c.Endpoint.DataCenter, Class: c.Endpoint.Class}
+		place := hazard.Pool{DataCenter: c.Endpoint.DataCenter, Class: c.Endpoint.Class}
 		d := reclaim.Destination{Endpoint: c.Endpoint, FreeTokens: c.FreeTokens, Running: c.Running, Slots: c.Slots}
 		if c.Endpoint.Reclaimable {
 			d.HazardPerHour = r.hazard.Rate(place, now)
@@ -97,7 +97,7 @@
 	var moves sync.WaitGroup
 	slots := make(chan struct{}, movesAtOnce)
 	for _, step := range steps {
-		held := byID[step.Work.ID]
+		held := byID[step.Stream.ID]
 		switch action := step.Action.(type) {
 		case reclaim.Finish:
 		case reclaim.Move:
