--- a/pkg/autoscale/autoscale.go
+++ b/pkg/autoscale/autoscale.go
@@ -1,6 +1,6 @@
-// Package autoscale orders endpoints for raw services: how many of each class
-// in each data centre. Plan is a function of what is known; Orderer sends what
-// differs from it while this process holds the lease.
+// Package autoscale plans and orders the endpoints of raw services: how many of each
+// class, reclaimable or on demand, in each data centre. Plan is a pure function of its
+// inputs; Reconciler sends the orders that are due while this process holds the lease.
 package autoscale
 
 import (
@@ -13,177 +13,186 @@
 	"ironhollow/pkg/lease"
 )
 
-// ErrNoCapacity says that there are no such endpoints to be had at present.
-var ErrNoCapacity = errors.New("autoscale: none to be had there now")
+// ErrNoCapacity means that the cloud has no more endpoints of the class in the data
+// centre at present.
+var ErrNoCapacity = errors.New("autoscale: cloud has no capacity of this class in the data centre")
 
-// Order sets the number of endpoints of one class of a service in a data centre.
+// Order sets the number of endpoints of a service in one data centre and class.
 type Order struct {
 	Service, DataCenter string
 	Reclaimable         bool
 	Count               int
-	// Retain is the number down to which endpoints may be given up, Count at least:
-	// others that take their place may still boot.
+	// Retain is the number of endpoints that must not be given up yet because the
+	// endpoints that replace them may still be booting. Values below Count have no effect.
 	Retain int
 }
 
-// Pool is what an order is about.
+// Pool identifies the endpoints that an order applies to: those of one class of a
+// service in one data centre.
 type Pool struct {
 	Service, DataCenter string
 	Reclaimable         bool
 }
 
-// Pool returns what the order is about.
+// Pool returns the pool that the order applies to.
 func (o Order) Pool() Pool { return Pool{o.Service, o.DataCenter, o.Reclaimable} }
 
-// lowerWait returns how long a lower number must be wanted before it is ordered.
-func (o Order) lowerWait() time.Duration {
+// scaleDownDelay returns how long a lower count must be wanted before it is ordered.
+func (o Order) scaleDownDelay() time.Duration {
 	if o.Reclaimable {
-		return lowerWait
+		return reclaimableScaleDownDelay
 	}
-	return standInWait
+	return onDemandScaleDownDelay
 }
 
-// Sink takes orders; it sends each once.
+// Sink sends orders to the cloud, each of them once.
 type Sink interface {
 	Order(ctx context.Context, grant lease.Grant, order Order) error
 }
 
-// Times between orders.
+// Delays and intervals of orders.
 const (
-	// retryWait follows an order that failed or found none left.
-	retryWait = 2 * time.Second
-	// raiseWait is the least time between two orders for one place: the need
+	// retryDelay follows a failed order, also one that failed with ErrNoCapacity.
+	retryDelay = 2 * time.Second
+	// scaleUpInterval is the least time between two orders for one pool, as the need
 	// grows in steps.
-	raiseWait = 700 * time.Millisecond
-	// lowerWait is how long a lower number must be wanted before it is ordered:
-	// an endpoint that is given up loses its cache.
-	lowerWait = 6 * time.Second
-	// standInWait is the same for on-demand endpoints, which go once others serve in
-	// their place: they cost several times as much.
-	standInWait = 2 * time.Second
-	// bootMargin is how long after their boot endpoints are looked for.
+	scaleUpInterval = 700 * time.Millisecond
+	// reclaimableScaleDownDelay is how long a lower count of reclaimable endpoints must
+	// be wanted before it is ordered: an endpoint that is given up loses its cache.
+	reclaimableScaleDownDelay = 6 * time.Second
+	// onDemandScaleDownDelay is the same for on-demand endpoints. It is shorter because
+	// they cost several times as much as the reclaimable ones that replace them.
+	onDemandScaleDownDelay = 2 * time.Second
+	// bootMargin is added to the boot time before ordered endpoints count as missing.
 	bootMargin = 2500 * time.Millisecond
 )
 
-// Reconciler sends orders. It is used by one goroutine.
+// Reconciler sends the orders whose counts differ from those last ordered. It is not
+// safe for concurrent use.
 type Reconciler struct {
-	sink   Sink
-	log    *log.Logger
-	places map[Pool]*placed
+	sink  Sink
+	log   *log.Logger
+	pools map[Pool]*poolState
 }
 
-// placed is the state of one place.
-type placed struct {
-	// given is the last order acknowledged to this process, at givenAt. Fresh is
-	// how many of them were not there then.
-	given   int
-	fresh   int
-	known   bool
-	givenAt time.Time
-	// notBefore holds back a place whose last order failed.
+// poolState is what was ordered for one pool, and when.
+type poolState struct {
+	// orderedCount is the count of the last acknowledged order, or the count that
+	// served when this holder took over; valid if initialized is set.
+	// bootingCount is how many of them did not serve yet when they were ordered,
+	// at orderedAt.
+	orderedCount int
+	bootingCount int
+	initialized  bool
+	orderedAt    time.Time
+	// notBefore delays the next order for the pool.
 	notBefore time.Time
-	// lowerSince is since when less than given is wanted, zero if it is not.
-	lowerSince time.Time
+	// surplusSince is when a count below orderedCount was first wanted; zero if none is.
+	surplusSince time.Time
 }
 
-// NewReconciler returns an orderer.
+// NewReconciler returns a Reconciler without any pool state.
 func NewReconciler(sink Sink, logger *log.Logger) *Reconciler {
-	return &Reconciler{sink: sink, log: logger, places: map[Pool]*placed{}}
+	return &Reconciler{sink: sink, log: logger, pools: map[Pool]*poolState{}}
 }
 
-// Reset drops what was ordered: another holder may have ordered since.
-func (o *Reconciler) Reset() { clear(o.places) }
+// Reset drops the state of all pools, because another holder of the lease may have
+// sent orders since.
+func (r *Reconciler) Reset() { clear(r.pools) }
 
-// ResetService drops what was ordered for a service: others may have replaced it.
-func (o *Reconciler) ResetService(name string) {
-	for place := range o.places {
-		if place.Service == name {
-			delete(o.places, place)
+// ResetService drops the state of a service's pools, because its endpoints may have
+// been replaced.
+func (r *Reconciler) ResetService(name string) {
+	for pool := range r.pools {
+		if pool.Service == name {
+			delete(r.pools, pool)
 		}
 	}
 }
 
-func (o *Reconciler) place(p Pool) *placed {
-	state, ok := o.places[p]
+func (r *Reconciler) stateOf(p Pool) *poolState {
+	state, ok := r.pools[p]
 	if !ok {
-		state = &placed{}
-		o.places[p] = state
+		state = &poolState{}
+		r.pools[p] = state
 	}
 	return state
 }
 
-// Booting returns how many endpoints of a place were ordered and may still boot.
-// Those that served and went since are not among them.
-func (o *Reconciler) Booting(p Pool, serving int, boot time.Duration, now time.Time) int {
-	state := o.place(p)
-	if !state.known || now.Sub(state.givenAt) > boot+bootMargin {
+// Booting returns how many of a pool's ordered endpoints may still boot. Endpoints
+// that served and have gone since are not counted.
+func (r *Reconciler) Booting(p Pool, serving int, boot time.Duration, now time.Time) int {
+	state := r.stateOf(p)
+	if !state.initialized || now.Sub(state.orderedAt) > boot+bootMargin {
 		return 0
 	}
-	return min(max(state.given-serving, 0), state.fresh)
+	return min(max(state.orderedCount-serving, 0), state.bootingCount)
 }
 
-// Reconcile sends the orders that differ from what was given, and those of which
-// too few serve. held is asked right before each call.
-func (o *Reconciler) Reconcile(ctx context.Context, orders []Order, serving func(Pool) int, boot time.Duration, now time.Time, held func() (lease.Grant, bool)) {
+// Reconcile sends each order whose count differs from the last one sent, and repeats
+// orders of which too few endpoints serve after their boot time. held is called right
+// before each order.
+func (r *Reconciler) Reconcile(ctx context.Context, orders []Order, serving func(Pool) int, boot time.Duration, now time.Time, held func() (lease.Grant, bool)) {
 	for _, order := range orders {
 		grant, ok := held()
 		if !ok {
 			return
 		}
-		there := serving(order.Pool())
-		state := o.place(order.Pool())
-		state.inherit(there, grant)
-		count, due := state.due(order, there, boot, now)
+		servingCount := serving(order.Pool())
+		state := r.stateOf(order.Pool())
+		state.adoptServing(servingCount, grant)
+		count, due := state.nextCount(order, servingCount, boot, now)
 		if !due {
 			continue
 		}
 		order.Count = count
-		err := o.sink.Order(ctx, grant, order)
-		line := o.log.Info()
+		err := r.sink.Order(ctx, grant, order)
+		entry := r.log.Info()
 		if err == nil {
-			state.ordered(count, there, now)
+			state.recordOrder(count, servingCount, now)
 		} else {
-			line = o.log.Warn().Err(err)
-			state.notBefore = now.Add(retryWait)
-			state.givenAt = time.Time{}
+			entry = r.log.Warn().Err(err)
+			state.notBefore = now.Add(retryDelay)
+			state.orderedAt = time.Time{}
 		}
-		line.Str("service", order.Service).Str("dc", order.DataCenter).Bool("reclaimable", order.Reclaimable).
-			Int("count", count).Int("serving", there).Int64("epoch", grant.Epoch).Msg("endpoints ordered")
+		entry.Str("service", order.Service).Str("dc", order.DataCenter).Bool("reclaimable", order.Reclaimable).
+			Int("count", count).Int("serving", servingCount).Int64("epoch", grant.Epoch).Msg("endpoints ordered")
 	}
 }
 
-// inherit takes what serves for the order of the holder before, so that nothing
-// it ordered is given up at once. The first holder of all has none before it.
-func (s *placed) inherit(serving int, grant lease.Grant) {
-	if !s.known && !grant.First {
-		s.given, s.known = serving, true
+// adoptServing takes the endpoints that serve as ordered, so that a new holder does not
+// give up at once what an earlier holder ordered. The first holder of the lease has
+// no predecessor and adopts nothing.
+func (s *poolState) adoptServing(serving int, grant lease.Grant) {
+	if !s.initialized && !grant.First {
+		s.orderedCount, s.initialized = serving, true
 	}
 }
 
-// ordered notes an order that was acknowledged.
-func (s *placed) ordered(count, serving int, now time.Time) {
-	s.given, s.known, s.givenAt = count, true, now
-	s.fresh = max(count-serving, 0)
-	s.notBefore = now.Add(raiseWait)
-	s.lowerSince = time.Time{}
+// recordOrder records an acknowledged order.
+func (s *poolState) recordOrder(count, serving int, now time.Time) {
+	s.orderedCount, s.initialized, s.orderedAt = count, true, now
+	s.bootingCount = max(count-serving, 0)
+	s.notBefore = now.Add(scaleUpInterval)
+	s.surplusSince = time.Time{}
 }
 
-// due returns the number to be ordered now; ok is false where none is.
-func (s *placed) due(order Order, serving int, boot time.Duration, now time.Time) (count int, ok bool) {
+// nextCount returns the count to order now; ok is false if no order is due.
+func (s *poolState) nextCount(order Order, serving int, boot time.Duration, now time.Time) (count int, ok bool) {
 	if now.Before(s.notBefore) {
 		return 0, false
 	}
-	if !s.known || order.Count > s.given {
+	if !s.initialized || order.Count > s.orderedCount {
 		return order.Count, true
 	}
-	keep := max(order.Retain, order.Count)
-	if keep >= s.given {
-		s.lowerSince = time.Time{}
-		// Those that were reclaimed are not replaced unasked.
-		return s.given, serving < order.Count && now.Sub(s.givenAt) > boot+bootMargin
+	retained := max(order.Retain, order.Count)
+	if retained >= s.orderedCount {
+		s.surplusSince = time.Time{}
+		// The cloud does not replace reclaimed endpoints on its own, so the order is repeated.
+		return s.orderedCount, serving < order.Count && now.Sub(s.orderedAt) > boot+bootMargin
 	}
-	if s.lowerSince.IsZero() {
-		s.lowerSince = now
+	if s.surplusSince.IsZero() {
+		s.surplusSince = now
 	}
-	return keep, now.Sub(s.lowerSince) >= order.lowerWait()
+	return retained, now.Sub(s.surplusSince) >= order.scaleDownDelay()
 }
--- a/pkg/autoscale/autoscale_test.go
+++ b/pkg/autoscale/autoscale_test.go
@@ -13,15 +13,16 @@
 	"ironhollow/pkg/routetable"
 )
 
-func service(most int) routetable.Service {
+func newService(limit int) routetable.Service {
 	return routetable.Service{Name: "svc", Scaling: &routetable.Scaling{
-		Least: 1, Most: most, Boot: 4 * time.Second, ReclaimablePrice: 0.15,
+		Least: 1, Most: limit, Boot: 4 * time.Second, ReclaimablePrice: 0.15,
 		Prices: map[string]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
 	}}
 }
 
-// supplied is a supply of reclaimable endpoints by data centre.
-func supplied(serving map[string]int) autoscale.Supply {
+// reclaimableSupply returns a Supply of reclaimable endpoints only, given how many serve
+// in each data centre.
+func reclaimableSupply(serving map[string]int) autoscale.Supply {
 	return func(dataCenter string, reclaimable bool) (int, int) {
 		if !reclaimable {
 			return 0, 0
@@ -40,308 +41,313 @@
 	return sum
 }
 
-// The loss of any two data centres' reclaimable endpoints leaves the need, and
-// while all are there none are bought on demand.
-func TestPlanBearsTheLossOfTwoDataCenters(t *testing.T) {
-	for _, work := range []float64{0, 1, 4, 7, 12} {
-		demand := autoscale.Demand{Load: work, Measured: true}
-		orders, need := autoscale.Plan(service(30), demand, supplied(map[string]int{"a": 99, "b": 99, "c": 99, "d": 99}))
+// After the loss of any two data centres' reclaimable endpoints the rest still covers the
+// need, and no on-demand endpoints are ordered while all of them serve.
+func TestPlanSurvivesLossOfTwoDataCenters(t *testing.T) {
+	for _, load := range []float64{0, 1, 4, 7, 12} {
+		demand := autoscale.Demand{Load: load, Measured: true}
+		orders, need := autoscale.Plan(newService(30), demand, reclaimableSupply(map[string]int{"a": 99, "b": 99, "c": 99, "d": 99}))
 		all := total(orders, true)
 		for i, o := range orders {
 			for _, other := range orders[:i] {
 				if left := all - o.Count - other.Count; o.Reclaimable && other.Reclaimable && left < need {
-					t.Errorf("work %.0f, %s and %s lost: got %d endpoints, want the %d needed", work, o.DataCenter, other.DataCenter, left, need)
+					t.Errorf("load %.0f, %s and %s lost: got %d endpoints, want the %d needed", load, o.DataCenter, other.DataCenter, left, need)
 				}
 			}
 		}
 		if got := total(orders, false); got != 0 {
-			t.Errorf("work %.0f: got %d on demand, want none", work, got)
+			t.Errorf("load %.0f: got %d on-demand endpoints, want none", load, got)
 		}
 	}
 }
 
-// The dearer reclaimable endpoints are, the fewer are kept for losses; where they
-// cost as much as others there are none.
-func TestReserveFollowsThePrice(t *testing.T) {
+// The more reclaimable endpoints cost, the fewer spare ones are ordered against losses.
+// At the full price none are ordered.
+func TestReclaimableReserveShrinksWithPrice(t *testing.T) {
 	demand := autoscale.Demand{Load: 12, Measured: true}
-	before := 999
+	previous := 999
 	for _, price := range []float64{0.1, 0.22, 0.4, 0.6, 0.9, 1} {
-		dear := service(99)
-		dear.Scaling.ReclaimablePrice = price
+		priced := newService(99)
+		priced.Scaling.ReclaimablePrice = price
 		serving := map[string]int{"a": 99, "b": 99, "c": 99, "d": 99}
 		if price >= 1 {
 			serving = nil
 		}
-		orders, need := autoscale.Plan(dear, demand, supplied(serving))
+		orders, need := autoscale.Plan(priced, demand, reclaimableSupply(serving))
 		got := total(orders, true)
-		if got > before || price < 1 && got < need || price >= 1 && got != 0 {
-			t.Errorf("price %.2f: got %d reclaimable of a need of %d, %d at the price before", price, got, need, before)
+		if got > previous || price < 1 && got < need || price >= 1 && got != 0 {
+			t.Errorf("price %.2f: got %d reclaimable endpoints for a need of %d, after %d at the previous price", price, got, need, previous)
 		}
-		if bought := total(orders, false); price >= 1 && bought != need {
-			t.Errorf("price %.2f: got %d on demand, want the need of %d", price, bought, need)
+		if onDemand := total(orders, false); price >= 1 && onDemand != need {
+			t.Errorf("price %.2f: got %d on-demand endpoints, want the need of %d", price, onDemand, need)
 		}
-		before = got
+		previous = got
 	}
 }
 
-// Every data centre has the least that the operator asks for.
-func TestPlanKeepsTheLeast(t *testing.T) {
-	orders, _ := autoscale.Plan(service(30), autoscale.Demand{Measured: true}, supplied(nil))
+// Every data centre gets at least the operator's minimum of reclaimable endpoints.
+func TestPlanRespectsMinimum(t *testing.T) {
+	orders, _ := autoscale.Plan(newService(30), autoscale.Demand{Measured: true}, reclaimableSupply(nil))
 	for _, o := range orders {
 		if o.Reclaimable && o.Count < 1 {
-			t.Errorf("%s: got %d, want 1", o.DataCenter, o.Count)
+			t.Errorf("%s: got %d reclaimable endpoints, want at least 1", o.DataCenter, o.Count)
 		}
 	}
 }
 
-// While none are to be had, the missing ones are bought on demand, cheapest
-// first, within the bounds of a data centre.
-func TestPlanBuysWhatIsMissing(t *testing.T) {
+// While no reclaimable endpoints are available, on-demand ones fill the gap, in the
+// cheapest data centres first and within the maximum of each.
+func TestPlanFillsGapOnDemand(t *testing.T) {
 	demand := autoscale.Demand{Load: 14, Measured: true}
-	orders, need := autoscale.Plan(service(10), demand, supplied(map[string]int{"a": 2}))
+	orders, need := autoscale.Plan(newService(10), demand, reclaimableSupply(map[string]int{"a": 2}))
 	if got, want := total(orders, false), need-2; got != want {
-		t.Errorf("on demand: got %d, want %d", got, want)
+		t.Errorf("on-demand endpoints: got %d, want %d", got, want)
 	}
-	byPlace := map[string]int{}
+	byDataCenter := map[string]int{}
 	for _, o := range orders {
-		byPlace[o.DataCenter] += o.Count
+		byDataCenter[o.DataCenter] += o.Count
 		if !o.Reclaimable && o.DataCenter == "b" && o.Count < (need-2)/2 {
-			t.Errorf("on demand in the cheapest data centre: got %d, want %d or more", o.Count, (need-2)/2)
+			t.Errorf("on-demand endpoints in the cheapest data centre: got %d, want at least %d", o.Count, (need-2)/2)
 		}
 	}
-	for place, count := range byPlace {
+	for dataCenter, count := range byDataCenter {
 		if count > 10 {
-			t.Errorf("%s: got %d endpoints, want 10 at most", place, count)
+			t.Errorf("%s: got %d endpoints, want at most 10", dataCenter, count)
 		}
 	}
 }
 
-// Two data centres' reclaimable endpoints are away and none are to be had: the
-// next loss must leave most of the need.
-func TestPlanExpectsTheNextLoss(t *testing.T) {
+// The reclaimable endpoints of two data centres are lost and no more are available: after
+// a further loss most of the need must still be covered.
+func TestPlanPreparesForNextLoss(t *testing.T) {
 	demand := autoscale.Demand{Load: 20, Measured: true}
-	orders, need := autoscale.Plan(service(99), demand, supplied(map[string]int{"a": 14, "b": 14}))
+	orders, need := autoscale.Plan(newService(99), demand, reclaimableSupply(map[string]int{"a": 14, "b": 14}))
 	if left := total(orders, false) + 14; float64(left) < 0.85*float64(need) {
-		t.Errorf("left after another loss: got %d of %d needed", left, need)
+		t.Errorf("endpoints left after another loss: got %d of %d needed, want at least 85%%", left, need)
 	}
-	orders, _ = autoscale.Plan(service(99), demand, supplied(map[string]int{"a": 14, "b": 14, "c": 14, "d": 14}))
+	orders, _ = autoscale.Plan(newService(99), demand, reclaimableSupply(map[string]int{"a": 14, "b": 14, "c": 14, "d": 14}))
 	if got := total(orders, false); got != 0 {
-		t.Errorf("on demand while all are there: got %d, want none", got)
+		t.Errorf("on-demand endpoints while all reclaimable ones serve: got %d, want none", got)
 	}
 }
 
-// Before the traffic is known there are as many reclaimable endpoints as it may
-// need after a reclaim; on demand no more than without traffic.
-func TestReclaimableOnesAreGuessedUntilTheTrafficIsKnown(t *testing.T) {
-	all := supplied(map[string]int{"a": 99, "b": 99, "c": 99, "d": 99})
-	guessed, _ := autoscale.Plan(service(30), autoscale.Demand{}, all)
-	known, _ := autoscale.Plan(service(30), autoscale.Demand{Measured: true}, all)
-	if got, least := total(guessed, true), 4*30/2; got < least {
-		t.Errorf("reclaimable before the traffic is known: got %d of %d allowed, want %d or more", got, 4*30, least)
+// Before the load is measured, as many reclaimable endpoints are ordered as may be needed
+// after a reclaim, and no more on-demand endpoints than without load.
+func TestReclaimableCountBeforeLoadIsMeasured(t *testing.T) {
+	all := reclaimableSupply(map[string]int{"a": 99, "b": 99, "c": 99, "d": 99})
+	unmeasured, _ := autoscale.Plan(newService(30), autoscale.Demand{}, all)
+	measured, _ := autoscale.Plan(newService(30), autoscale.Demand{Measured: true}, all)
+	if got, minimum := total(unmeasured, true), 4*30/2; got < minimum {
+		t.Errorf("reclaimable endpoints before the load is measured: got %d of %d allowed, want at least %d", got, 4*30, minimum)
 	}
-	if got, most := total(known, true), total(guessed, true)/2; got > most {
-		t.Errorf("reclaimable once no traffic is known: got %d, want %d at most", got, most)
+	if got, maximum := total(measured, true), total(unmeasured, true)/2; got > maximum {
+		t.Errorf("reclaimable endpoints once a load of zero is measured: got %d, want at most %d", got, maximum)
 	}
-	if got := total(guessed, false); got != 0 {
-		t.Errorf("on demand before the traffic is known: got %d, want none", got)
+	if got := total(unmeasured, false); got != 0 {
+		t.Errorf("on-demand endpoints before the load is measured: got %d, want none", got)
 	}
 }
 
-// Where the operator allows many more endpoints than the teams' limits let callers use, no
-// more are guessed than those need, over the loss of two data centres; where the limits
-// allow more, they change nothing.
-func TestGuessIsBoundedByTheTeamsLimits(t *testing.T) {
+// Before the load is measured, no more endpoints are ordered than callers within the
+// teams' limits can use after the loss of two data centres, however many the operator
+// allows. Limits above what the operator allows change nothing.
+func TestUnmeasuredCountIsBoundedByTeamLimits(t *testing.T) {
 	const allowed = 976
-	all := supplied(nil)
+	all := reclaimableSupply(nil)
 	for _, c := range []struct {
-		what        string
-		most        int
-		limits      float64
-		least, upTo int
+		name            string
+		limit           int
+		limits          float64
+		atLeast, atMost int
 	}{
-		{"limits that ask for 100 engines' time", allowed, 100, 100, 600},
+		{"limits that allow the load of 100 engines", allowed, 100, 100, 600},
 		{"no limits", allowed, 0, 4 * allowed / 2, 4 * allowed},
-		{"limits beyond what is allowed", 30, 1000, 4 * 30 / 2, 4 * 30},
+		{"limits above the endpoints allowed", 30, 1000, 4 * 30 / 2, 4 * 30},
 	} {
-		orders, _ := autoscale.Plan(service(c.most), autoscale.Demand{MaxLoad: c.limits}, all)
-		if got := total(orders, true); got < c.least || got > c.upTo {
-			t.Errorf("%s: got %d reclaimable endpoints, want %d to %d", c.what, got, c.least, c.upTo)
+		orders, _ := autoscale.Plan(newService(c.limit), autoscale.Demand{MaxLoad: c.limits}, all)
+		if got := total(orders, true); got < c.atLeast || got > c.atMost {
+			t.Errorf("%s: got %d reclaimable endpoints, want %d to %d", c.name, got, c.atLeast, c.atMost)
 		}
 	}
 }
 
-// On-demand endpoints stay until the reclaimable ones that were ordered in their
-// place serve.
-func TestPlanKeepsWhatStandsInUntilOthersServe(t *testing.T) {
+// On-demand endpoints are retained until the reclaimable ones ordered to replace them
+// serve.
+func TestPlanRetainsOnDemandUntilReplacementsServe(t *testing.T) {
 	booting := func(string, bool) (int, int) { return 0, 14 }
-	orders, need := autoscale.Plan(service(30), autoscale.Demand{Load: 14, Measured: true}, booting)
-	kept, bought := 0, 0
+	orders, need := autoscale.Plan(newService(30), autoscale.Demand{Load: 14, Measured: true}, booting)
+	retained, ordered := 0, 0
 	for _, o := range orders {
 		if !o.Reclaimable {
-			kept += o.Retain
-			bought += o.Count
+			retained += o.Retain
+			ordered += o.Count
 		}
 	}
-	if kept < need {
-		t.Errorf("on demand to be kept while others boot: got %d, want the need of %d", kept, need)
+	if retained < need {
+		t.Errorf("on-demand endpoints retained while others boot: got %d, want the need of %d", retained, need)
 	}
-	if bought != 0 {
-		t.Errorf("on demand to be bought while others boot: got %d, want none", bought)
+	if ordered != 0 {
+		t.Errorf("on-demand endpoints ordered while others boot: got %d, want none", ordered)
 	}
 }
 
-// Hosts that die take their part of the work with them, not its callers.
-func TestDemandFadesSlowly(t *testing.T) {
-	traffic := autoscale.NewDemandTracker()
+// When hosts die, the load they observed disappears from the sum at once but its callers
+// come back, so the demand must decay slowly.
+func TestDemandDecaysSlowly(t *testing.T) {
+	tracker := autoscale.NewDemandTracker()
 	at := time.Unix(1000, 0)
-	traffic.Observe("svc", 10, at)
-	if got := traffic.Observe("svc", 0.5, at.Add(5*time.Second)); got.Load < 7 || got.Measured {
-		t.Errorf("after 5 s: got %+v, want most of the work, not known yet", got)
+	tracker.Observe("svc", 10, at)
+	if got := tracker.Observe("svc", 0.5, at.Add(5*time.Second)); got.Load < 7 || got.Measured {
+		t.Errorf("after 5 s: got %+v, want most of the load, not measured yet", got)
 	}
-	if got := traffic.Observe("svc", 0.5, at.Add(time.Minute)); got.Load > 1 || !got.Measured {
-		t.Errorf("after a minute: got %+v, want the work of now, known", got)
+	if got := tracker.Observe("svc", 0.5, at.Add(time.Minute)); got.Load > 1 || !got.Measured {
+		t.Errorf("after a minute: got %+v, want the present load, measured", got)
 	}
-	if got := traffic.Observe("other", 0, at.Add(time.Minute)); got.Load != 0 || got.Measured {
-		t.Errorf("a service without traffic: got %+v, want nothing known", got)
+	if got := tracker.Observe("other", 0, at.Add(time.Minute)); got.Load != 0 || got.Measured {
+		t.Errorf("a service without load: got %+v, want it unmeasured", got)
 	}
 }
 
-// sink takes orders.
-type sink struct {
+// fakeSink records orders and returns err.
+type fakeSink struct {
 	orders []autoscale.Order
 	err    error
 }
 
-func (s *sink) Order(_ context.Context, _ lease.Grant, o autoscale.Order) error {
+func (s *fakeSink) Order(_ context.Context, _ lease.Grant, o autoscale.Order) error {
 	s.orders = append(s.orders, o)
 	return s.err
 }
 
-// orderer is an Orderer in virtual time.
-type orderer struct {
+// testReconciler runs a Reconciler in virtual time.
+type testReconciler struct {
 	*autoscale.Reconciler
-	sink    *sink
+	sink    *fakeSink
 	now     time.Time
 	serving int
 	epoch   int64
 	held    bool
 }
 
-func newOrderer() *orderer {
-	s := &sink{}
+func newTestReconciler() *testReconciler {
+	s := &fakeSink{}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
-	return &orderer{Reconciler: autoscale.NewReconciler(s, logger), sink: s, now: time.Unix(1000, 0), epoch: 1, held: true}
+	return &testReconciler{Reconciler: autoscale.NewReconciler(s, logger), sink: s, now: time.Unix(1000, 0), epoch: 1, held: true}
 }
 
-// step orders a count after a time and returns how many orders were sent.
-func (o *orderer) step(after time.Duration, count int) int {
-	return o.stepTo(after, autoscale.Order{Service: "svc", DataCenter: "a", Reclaimable: true, Count: count})
+// step advances the time by after, reconciles a count and returns how many orders were
+// sent.
+func (r *testReconciler) step(after time.Duration, count int) int {
+	return r.stepTo(after, autoscale.Order{Service: "svc", DataCenter: "a", Reclaimable: true, Count: count})
 }
 
-func (o *orderer) stepTo(after time.Duration, order autoscale.Order) int {
-	o.now = o.now.Add(after)
-	before := len(o.sink.orders)
-	o.Reconcile(context.Background(), []autoscale.Order{order}, func(autoscale.Pool) int { return o.serving }, 4*time.Second, o.now,
-		func() (lease.Grant, bool) { return lease.Grant{Epoch: o.epoch, First: o.epoch == 1}, o.held })
-	return len(o.sink.orders) - before
+func (r *testReconciler) stepTo(after time.Duration, order autoscale.Order) int {
+	r.now = r.now.Add(after)
+	before := len(r.sink.orders)
+	r.Reconcile(context.Background(), []autoscale.Order{order}, func(autoscale.Pool) int { return r.serving }, 4*time.Second, r.now,
+		func() (lease.Grant, bool) { return lease.Grant{Epoch: r.epoch, First: r.epoch == 1}, r.held })
+	return len(r.sink.orders) - before
 }
 
-func TestOrdersAreRepeatedOnlyWhereNeeded(t *testing.T) {
-	o := newOrderer()
+func TestOrdersAreRepeatedOnlyWhenNeeded(t *testing.T) {
+	r := newTestReconciler()
 	steps := []struct {
-		what    string
+		name    string
 		after   time.Duration
 		count   int
 		serving int
 		want    int
 	}{
-		{"first", 0, 3, 0, 1},
-		{"they boot", 3 * time.Second, 3, 0, 0},
-		{"they serve", 3 * time.Second, 3, 3, 0},
-		{"they were reclaimed", 10 * time.Second, 3, 0, 1},
-		{"more at once", 3 * time.Second, 5, 3, 1},
-		{"fewer, not at once", 3 * time.Second, 2, 5, 0},
-		{"fewer, still wanted", 7 * time.Second, 2, 5, 1},
+		{"first order", 0, 3, 0, 1},
+		{"endpoints boot", 3 * time.Second, 3, 0, 0},
+		{"endpoints serve", 3 * time.Second, 3, 3, 0},
+		{"endpoints were reclaimed", 10 * time.Second, 3, 0, 1},
+		{"higher count is ordered at once", 3 * time.Second, 5, 3, 1},
+		{"lower count is not ordered at once", 3 * time.Second, 2, 5, 0},
+		{"lower count is ordered after the delay", 7 * time.Second, 2, 5, 1},
 	}
 	for _, s := range steps {
-		o.serving = s.serving
-		if got := o.step(s.after, s.count); got != s.want {
-			t.Errorf("%s: got %d orders, want %d", s.what, got, s.want)
+		r.serving = s.serving
+		if got := r.step(s.after, s.count); got != s.want {
+			t.Errorf("%s: got %d orders, want %d", s.name, got, s.want)
 		}
 	}
 }
 
-// None are to be had: asked again after a pause, and not counted as coming.
-func TestRefusedOrdersPause(t *testing.T) {
-	o := newOrderer()
-	o.sink.err = autoscale.ErrNoCapacity
-	place := autoscale.Pool{Service: "svc", DataCenter: "a", Reclaimable: true}
-	if got := o.step(0, 3); got != 1 {
+// When the cloud has no capacity the order is repeated after a pause, and its endpoints
+// do not count as booting.
+func TestRefusedOrdersAreRetriedAfterPause(t *testing.T) {
+	r := newTestReconciler()
+	r.sink.err = autoscale.ErrNoCapacity
+	pool := autoscale.Pool{Service: "svc", DataCenter: "a", Reclaimable: true}
+	if got := r.step(0, 3); got != 1 {
 		t.Fatalf("orders: got %d, want 1", got)
 	}
-	if got := o.Booting(place, 0, 4*time.Second, o.now); got != 0 {
-		t.Errorf("coming after a refusal: got %d, want 0", got)
+	if got := r.Booting(pool, 0, 4*time.Second, r.now); got != 0 {
+		t.Errorf("booting after a refusal: got %d, want 0", got)
 	}
-	if got := o.step(time.Second, 3); got != 0 {
+	if got := r.step(time.Second, 3); got != 0 {
 		t.Errorf("orders a second later: got %d, want 0", got)
 	}
-	if got := o.step(2*time.Second, 3); got != 1 {
+	if got := r.step(2*time.Second, 3); got != 1 {
 		t.Errorf("orders three seconds later: got %d, want 1", got)
 	}
-	o.sink.err = nil
-	o.step(3*time.Second, 3)
-	if got := o.Booting(place, 1, 4*time.Second, o.now); got != 2 {
-		t.Errorf("coming after an order: got %d, want 2", got)
+	r.sink.err = nil
+	r.step(3*time.Second, 3)
+	if got := r.Booting(pool, 1, 4*time.Second, r.now); got != 2 {
+		t.Errorf("booting after an order: got %d, want 2", got)
 	}
 }
 
-// Three of nineteen were ordered anew; the others served and were reclaimed.
-func TestReclaimedOnesAreNotComing(t *testing.T) {
-	o := newOrderer()
-	o.serving = 16
-	o.step(0, 19)
-	place := autoscale.Pool{Service: "svc", DataCenter: "a", Reclaimable: true}
-	if got := o.Booting(place, 0, 4*time.Second, o.now.Add(2*time.Second)); got != 3 {
-		t.Errorf("coming after a reclaim: got %d, want the 3 that boot", got)
+// Of 19 ordered endpoints 16 served already and are reclaimed afterwards: only the 3 new
+// ones count as booting.
+func TestReclaimedEndpointsAreNotBooting(t *testing.T) {
+	r := newTestReconciler()
+	r.serving = 16
+	r.step(0, 19)
+	pool := autoscale.Pool{Service: "svc", DataCenter: "a", Reclaimable: true}
+	if got := r.Booting(pool, 0, 4*time.Second, r.now.Add(2*time.Second)); got != 3 {
+		t.Errorf("booting after a reclaim: got %d, want the 3 new endpoints", got)
 	}
 }
 
-// What stands in for reclaimable endpoints is given up once they serve.
-func TestOrdersKeepWhatStandsIn(t *testing.T) {
-	o := newOrderer()
+// On-demand endpoints are given up only once the reclaimable ones that replace them
+// serve.
+func TestOnDemandIsRetainedUntilReplacementsServe(t *testing.T) {
+	r := newTestReconciler()
 	onDemand := autoscale.Order{Service: "svc", DataCenter: "a", Count: 20}
-	o.stepTo(0, onDemand)
-	o.serving, onDemand.Count, onDemand.Retain = 20, 1, 20
-	o.stepTo(10*time.Second, onDemand)
-	if got := o.stepTo(7*time.Second, onDemand); got != 0 {
-		t.Errorf("orders while the others boot: got %d, want 0", got)
+	r.stepTo(0, onDemand)
+	r.serving, onDemand.Count, onDemand.Retain = 20, 1, 20
+	r.stepTo(10*time.Second, onDemand)
+	if got := r.stepTo(7*time.Second, onDemand); got != 0 {
+		t.Errorf("orders while the replacements boot: got %d, want 0", got)
 	}
 	onDemand.Retain = 1
-	if got := o.stepTo(time.Second, onDemand); got != 0 {
-		t.Errorf("orders as soon as the others serve: got %d, want 0", got)
+	if got := r.stepTo(time.Second, onDemand); got != 0 {
+		t.Errorf("orders as soon as the replacements serve: got %d, want 0", got)
 	}
-	if got := o.stepTo(2*time.Second, onDemand); got != 1 || o.sink.orders[1].Count != 1 {
-		t.Errorf("orders once the others serve: got %v, want one of 1", o.sink.orders[1:])
+	if got := r.stepTo(2*time.Second, onDemand); got != 1 || r.sink.orders[1].Count != 1 {
+		t.Errorf("orders after the scale-down delay: got %v, want one with count 1", r.sink.orders[1:])
 	}
 }
 
-// A new holder of the lease gives nothing up at once: it does not know yet what
-// the one before saw.
-func TestNewHolderGivesNothingUpAtOnce(t *testing.T) {
-	o := newOrderer()
-	o.epoch, o.serving = 2, 20
-	if got := o.step(0, 1); got != 0 {
-		t.Errorf("orders at first: got %d, want 0", got)
+// A new holder of the lease must not give up endpoints at once: it does not know yet the
+// load that the previous holder observed.
+func TestNewHolderDoesNotScaleDownAtOnce(t *testing.T) {
+	r := newTestReconciler()
+	r.epoch, r.serving = 2, 20
+	if got := r.step(0, 1); got != 0 {
+		t.Errorf("orders right after the take-over: got %d, want 0", got)
 	}
-	if got := o.step(7*time.Second, 1); got != 1 {
-		t.Errorf("orders once it is wanted for long: got %d, want 1", got)
+	if got := r.step(7*time.Second, 1); got != 1 {
+		t.Errorf("orders after the scale-down delay: got %d, want 1", got)
 	}
 }
 
-func TestNothingIsOrderedWithoutTheLease(t *testing.T) {
-	o := newOrderer()
-	o.held = false
-	if got := o.step(0, 3); got != 0 {
-		t.Errorf("orders: got %d, want 0", got)
+func TestNoOrdersWithoutLease(t *testing.T) {
+	r := newTestReconciler()
+	r.held = false
+	if got := r.step(0, 3); got != 0 {
+		t.Errorf("orders without the lease: got %d, want 0", got)
 	}
 }
--- a/pkg/autoscale/plan.go
+++ b/pkg/autoscale/plan.go
@@ -7,159 +7,161 @@
 	"ironhollow/pkg/routetable"
 )
 
-// Supply returns how many endpoints of a class serve in a data centre, and how
-// many were ordered and may be there soon.
-type Supply func(dataCenter string, reclaimable bool) (serving, soon int)
+// Supply returns how many endpoints of a class serve in a data centre, and how many
+// were ordered and may still be booting.
+type Supply func(dataCenter string, reclaimable bool) (serving, booting int)
 
 // Parameters of the plan.
 const (
-	// busyAtFullPrice is the engine time asked for per endpoint up to which an
-	// endpoint at the full price is not worth its money: the next one saves less in
-	// late first tokens than it costs.
-	busyAtFullPrice = 0.8
-	// busyExponent says how the planned use falls with the price. Late first tokens
-	// grow with about the third power of the use, so that what one more endpoint
-	// saves is worth its price at a use that grows with the price's fourth root.
-	busyExponent = 0.25
-	// borne is the part of the need that is to be there after another data
-	// centre's reclaimable endpoints have gone, while none are to be had.
-	borne = 0.85
-	// guessShare is the part of the most endpoints allowed that is reclaimable
-	// until the traffic is known: operators allow about twice what they reckon
-	// with, and what is not there when a reclaim comes is not to be had for a while.
-	guessShare = 0.65
-	// mostLost is how many data centres' reclaimable endpoints may be away at once
-	// without the need being touched: reclaims come to one data centre after the
-	// other, and after each none are to be had anywhere for a while.
-	mostLost = 2
+	// fullPriceUtilization is the load per endpoint, in engine seconds a second, up to
+	// which one more endpoint at the full price costs more than it saves in late first
+	// tokens.
+	fullPriceUtilization = 0.8
+	// utilizationPriceExponent relates the planned utilization to the price. Late first
+	// tokens grow with about the third power of the utilization, so the utilization at
+	// which one more endpoint saves its price grows with the fourth root of the price.
+	utilizationPriceExponent = 0.25
+	// shareAfterLoss is the share of the need that must remain after another data
+	// centre's reclaimable endpoints are lost while no more of them are available.
+	shareAfterLoss = 0.85
+	// unmeasuredShare is the share of the allowed endpoints that is ordered as
+	// reclaimable until the load is measured: operators allow about twice what they
+	// expect to need, and endpoints missing at a reclaim are unavailable for a while.
+	unmeasuredShare = 0.65
+	// toleratedLosses is how many data centres may lose their reclaimable endpoints at
+	// once while the rest still covers the need: reclaims hit one data centre after
+	// another, and after each one no endpoints are available anywhere for a while.
+	toleratedLosses = 2
 )
 
-// needed returns how many endpoints of a price, relative to the full one, a demand
-// is worth.
-func needed(work, price float64) int {
-	return max(int(math.Ceil(work/(busyAtFullPrice*math.Pow(price, busyExponent)))), 1)
+// endpointsNeeded returns how many endpoints it pays to run for a load, at a price
+// relative to the full price.
+func endpointsNeeded(load, price float64) int {
+	return max(int(math.Ceil(load/(fullPriceUtilization*math.Pow(price, utilizationPriceExponent)))), 1)
 }
 
-// Plan returns the orders for a service, and how many endpoints it needs at least.
-// Reclaimable endpoints are so many that the loss of some data centres' leaves what
-// they are worth at their price. What is missing of the need at the full price while
-// none can be had is bought on demand, where it is cheapest, until they are back and
-// serve.
+// Plan returns the orders for a service and the least number of endpoints it needs.
+// Reclaimable endpoints are spread so that those left after the loss of some data
+// centres cover the need at the reclaimable price. While fewer are available than the
+// need at the full price, on-demand endpoints fill the gap, cheapest data centres first,
+// and are retained until the reclaimable ones that replace them serve.
 func Plan(service routetable.Service, demand Demand, supply Supply) ([]Order, int) {
 	s := service.Scaling
 	if s == nil || len(s.Prices) == 0 {
 		return nil, 0
 	}
-	places := byPrice(s.Prices)
-	need := needed(demand.Load, 1)
-	each := reclaimableEach(s, demand, len(places))
-	var coming, serving reclaimables
-	for _, place := range places {
-		there, soon := supply(place, true)
-		coming.add(min(there+soon, each))
-		serving.add(min(there, each))
+	dataCenters := dataCentersByPrice(s.Prices)
+	need := endpointsNeeded(demand.Load, 1)
+	perDataCenter := reclaimablePerDataCenter(s, demand, len(dataCenters))
+	var withBooting, serving reclaimableTotals
+	for _, dataCenter := range dataCenters {
+		servingCount, booting := supply(dataCenter, true)
+		withBooting.add(min(servingCount+booting, perDataCenter))
+		serving.add(min(servingCount, perDataCenter))
 	}
-	bought := onDemand(places, coming.missing(need), s.Most)
-	kept := onDemand(places, serving.missing(need), s.Most)
+	ordered := distributeOnDemand(dataCenters, withBooting.onDemandShortfall(need), s.Most)
+	retained := distributeOnDemand(dataCenters, serving.onDemandShortfall(need), s.Most)
 	var orders []Order
-	for _, place := range places {
-		keep := max(bought[place], kept[place])
-		reclaimable := min(each, s.Most-keep)
+	for _, dataCenter := range dataCenters {
+		retain := max(ordered[dataCenter], retained[dataCenter])
+		reclaimable := min(perDataCenter, s.Most-retain)
 		orders = append(orders,
-			Order{service.Name, place, true, reclaimable, reclaimable},
-			Order{service.Name, place, false, bought[place], keep})
+			Order{service.Name, dataCenter, true, reclaimable, reclaimable},
+			Order{service.Name, dataCenter, false, ordered[dataCenter], retain})
 	}
 	return orders, need
 }
 
-// reclaimableEach is how many reclaimable endpoints each data centre has: none
-// where those that must be there for the losses cost more than the need on demand.
-func reclaimableEach(s *routetable.Scaling, demand Demand, places int) int {
-	need := needed(demand.Load, max(s.ReclaimablePrice, leastPrice))
-	lost := min(mostLost, places-1)
-	for lost > 0 && s.ReclaimablePrice*float64(places) > float64(places-lost) {
-		lost--
+// reclaimablePerDataCenter returns the number of reclaimable endpoints of each data
+// centre. Fewer losses are tolerated where the spare endpoints for them would make the
+// reclaimable ones cost more than the need on demand; at the full price there are none.
+func reclaimablePerDataCenter(s *routetable.Scaling, demand Demand, dataCenters int) int {
+	need := endpointsNeeded(demand.Load, max(s.ReclaimablePrice, minPrice))
+	losses := min(toleratedLosses, dataCenters-1)
+	for losses > 0 && s.ReclaimablePrice*float64(dataCenters) > float64(dataCenters-losses) {
+		losses--
 	}
 	if s.ReclaimablePrice >= 1 {
 		return 0
 	}
-	each := (need + places - lost - 1) / (places - lost)
+	count := (need + dataCenters - losses - 1) / (dataCenters - losses)
 	if !demand.Measured {
-		each = max(each, guess(s, demand, places-lost))
+		count = max(count, reclaimableBeforeMeasurement(s, demand, dataCenters-losses))
 	}
-	return min(max(each, s.Least), s.Most)
+	return min(max(count, s.Least), s.Most)
 }
 
-// guess is how many reclaimable endpoints each data centre has until the traffic is known,
-// where some of them must carry all: a part of what the operator allows, but no more than
-// teams that use the whole of their limits need.
-func guess(s *routetable.Scaling, demand Demand, carrying int) int {
-	allowed := int(guessShare * float64(s.Most))
+// reclaimableBeforeMeasurement returns the number of reclaimable endpoints of each data
+// centre until the load is measured, such that the given number of surviving data centres
+// can serve it: a share of what the operator allows, but no more than teams that use the
+// whole of their limits need.
+func reclaimableBeforeMeasurement(s *routetable.Scaling, demand Demand, surviving int) int {
+	allowed := int(unmeasuredShare * float64(s.Most))
 	if demand.MaxLoad <= 0 {
 		return allowed
 	}
-	need := needed(demand.MaxLoad, max(s.ReclaimablePrice, leastPrice))
-	return min(allowed, (need+carrying-1)/carrying)
+	need := endpointsNeeded(demand.MaxLoad, max(s.ReclaimablePrice, minPrice))
+	return min(allowed, (need+surviving-1)/surviving)
 }
 
-// leastPrice bounds the need for endpoints that cost next to nothing.
-const leastPrice = 0.05
+// minPrice bounds the need for endpoints that cost almost nothing.
+const minPrice = 0.05
 
-// reclaimables counts reclaimable endpoints over the data centres.
-type reclaimables struct{ all, largest int }
+// reclaimableTotals sums reclaimable endpoints over the data centres.
+type reclaimableTotals struct{ total, largest int }
 
-func (r *reclaimables) add(count int) {
-	r.all += count
+func (r *reclaimableTotals) add(count int) {
+	r.total += count
 	r.largest = max(r.largest, count)
 }
 
-// missing is how many on-demand endpoints are missing: of the need, or of what is
-// to be there after the next reclaim.
-func (r *reclaimables) missing(need int) int {
-	afterLoss := int(math.Ceil(borne*float64(need))) - (r.all - r.largest)
-	return max(need-r.all, afterLoss)
+// onDemandShortfall returns how many on-demand endpoints are missing to cover the need
+// now, or shareAfterLoss of it after the next reclaim, whichever is more.
+func (r *reclaimableTotals) onDemandShortfall(need int) int {
+	afterLoss := int(math.Ceil(shareAfterLoss*float64(need))) - (r.total - r.largest)
+	return max(need-r.total, afterLoss)
 }
 
-// onDemand returns the on-demand endpoints of each place. Those in the cheaper half
-// of the data centres come first, so that the loss of one takes half of them at
-// most: evenly over all they cost 0.05 of worth more on a day in which they carry
-// all for 25 s.
-func onDemand(places []string, missing, most int) map[string]int {
-	kept := make(map[string]int, len(places))
-	rest := spread(places[:(len(places)+1)/2], kept, missing, most)
-	spread(places, kept, rest, most)
-	return kept
+// distributeOnDemand returns the number of on-demand endpoints of each data centre. The
+// cheaper half of the data centres is filled first, so that the loss of one takes at most
+// half of the endpoints. An even distribution over all of them loses 0.05 more of the
+// answers' worth on a day on which on-demand endpoints serve all requests for 25 s.
+func distributeOnDemand(dataCenters []string, count, limit int) map[string]int {
+	counts := make(map[string]int, len(dataCenters))
+	remaining := distributeEvenly(dataCenters[:(len(dataCenters)+1)/2], counts, count, limit)
+	distributeEvenly(dataCenters, counts, remaining, limit)
+	return counts
 }
 
-// spread adds endpoints evenly, cheapest data centre first, and returns how many
-// found no room.
-func spread(places []string, kept map[string]int, missing, most int) int {
-	for missing > 0 {
-		before := missing
-		for _, place := range places {
-			if missing > 0 && kept[place] < most {
-				kept[place]++
-				missing--
+// distributeEvenly adds endpoints to counts one data centre at a time, cheapest first,
+// up to limit each. It returns how many did not fit.
+func distributeEvenly(dataCenters []string, counts map[string]int, remaining, limit int) int {
+	for remaining > 0 {
+		previous := remaining
+		for _, dataCenter := range dataCenters {
+			if remaining > 0 && counts[dataCenter] < limit {
+				counts[dataCenter]++
+				remaining--
 			}
 		}
-		if missing == before {
-			return missing
+		if remaining == previous {
+			return remaining
 		}
 	}
 	return 0
 }
 
-// byPrice returns the data centres, cheapest first.
-func byPrice(prices map[string]float64) []string {
-	places := make([]string, 0, len(prices))
+// dataCentersByPrice returns the data centres, cheapest first.
+func dataCentersByPrice(prices map[string]float64) []string {
+	names := make([]string, 0, len(prices))
 	for name := range prices {
-		places = append(places, name)
+		names = append(names, name)
 	}
-	sort.Slice(places, func(i, j int) bool {
-		if prices[places[i]] != prices[places[j]] {
-			return prices[places[i]] < prices[places[j]]
+	sort.Slice(names, func(i, j int) bool {
+		if prices[names[i]] != prices[names[j]] {
+			return prices[names[i]] < prices[names[j]]
 		}
-		return places[i] < places[j]
+		return names[i] < names[j]
 	})
-	return places
+	return names
 }
--- a/pkg/autoscale/traffic.go
+++ b/pkg/autoscale/traffic.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// Demand is what a service has to carry.
+// Demand is the load that a service must be able to serve.
 type Demand struct {
-	// Load is engine time asked for a second, over all entries.
+	// Load is the offered load over all entries, in engine seconds a second.
 	Load float64
-	// Measured is false until the traffic has been seen for a while: until then the
-	// need is guessed from how many endpoints are allowed.
+	// Measured is false until load has been observed for a while. Until then the need
+	// is derived from the number of endpoints allowed.
 	Measured bool
-	// MaxLoad is the engine time a second that the teams' limits let callers ask for, 0 if
-	// they are not all limited.
+	// MaxLoad is the load that the teams' limits allow, in engine seconds a second; 0
+	// if not all teams are limited.
 	MaxLoad float64
 }
 
-// Parameters of the traffic seen.
+// Parameters of the load measurement.
 const (
-	// knownAfter is how long work must have been asked for until it is taken for
-	// the service's traffic; its average looks back some seconds itself.
-	knownAfter = 12 * time.Second
-	// workFades is the time in which work that was asked for fades from the
-	// demand: it drops at once when hosts die, though their callers come back.
-	workFades = 20 * time.Second
+	// measuredAfter is how long after its first load a service counts as measured. The
+	// observed load is itself an average over some seconds.
+	measuredAfter = 12 * time.Second
+	// loadDecayTime is the time constant with which the peak load decays: when hosts
+	// die the observed load drops at once, but their callers come back.
+	loadDecayTime = 20 * time.Second
 )
 
-// DemandTracker is the work that the holder of the lease has seen. It is used by one
-// goroutine.
+// DemandTracker tracks the load of each service that the holder of the lease has
+// observed. It is not safe for concurrent use.
 type DemandTracker struct {
-	services map[string]*seenWork
+	services map[string]*serviceLoad
 }
 
-// seenWork is the work seen of one service.
-type seenWork struct {
-	// since is when work was first asked for; zero before.
-	since time.Time
-	// peak is the most, fading, as of at.
-	peak float64
-	at   time.Time
+// serviceLoad is the observed load of one service.
+type serviceLoad struct {
+	// firstLoadAt is when load was first observed; zero before.
+	firstLoadAt time.Time
+	// peak is the decaying peak load at updatedAt.
+	peak      float64
+	updatedAt time.Time
 }
 
-// NewDemandTracker returns traffic of which nothing has been seen.
-func NewDemandTracker() *DemandTracker { return &DemandTracker{services: map[string]*seenWork{}} }
+// NewDemandTracker returns a DemandTracker without any observations.
+func NewDemandTracker() *DemandTracker { return &DemandTracker{services: map[string]*serviceLoad{}} }
 
-// Observe takes in the work asked for now and returns a service's demand.
-func (t *DemandTracker) Observe(service string, work float64, now time.Time) Demand {
-	seen, ok := t.services[service]
+// Observe records the load offered now and returns the service's demand.
+func (t *DemandTracker) Observe(service string, load float64, now time.Time) Demand {
+	state, ok := t.services[service]
 	if !ok {
-		seen = &seenWork{at: now}
-		t.services[service] = seen
+		state = &serviceLoad{updatedAt: now}
+		t.services[service] = state
 	}
-	if work > 0 && seen.since.IsZero() {
-		seen.since = now
+	if load > 0 && state.firstLoadAt.IsZero() {
+		state.firstLoadAt = now
 	}
-	faded := seen.peak * math.Exp(-now.Sub(seen.at).Seconds()/workFades.Seconds())
-	seen.peak = max(work, faded)
-	seen.at = now
-	return Demand{Load: seen.peak, Measured: !seen.since.IsZero() && now.Sub(seen.since) > knownAfter}
+	decayed := state.peak * math.Exp(-now.Sub(state.updatedAt).Seconds()/loadDecayTime.Seconds())
+	state.peak = max(load, decayed)
+	state.updatedAt = now
+	return Demand{Load: state.peak, Measured: !state.firstLoadAt.IsZero() && now.Sub(state.firstLoadAt) > measuredAfter}
 }
