--- a/pkg/placement/placement.go
+++ b/pkg/placement/placement.go
@@ -1,7 +1,6 @@
-// Package placement decides which model each engine should have loaded. The
-// plan is a pure function of the configuration and of what is known of the
-// endpoints, so that every holder of a shard comes to the same one and gives
-// orders for its own endpoints only.
+// Package placement decides which model each engine should have loaded. The plan is a
+// pure function of the configuration and the known endpoints, so that all holders of
+// shards compute the same plan and each sends the orders of its own endpoints only.
 package placement
 
 import (
@@ -13,30 +12,31 @@
 	"ironhollow/pkg/fleet"
 )
 
-// ModelSpec names a model with version and adapter.
+// ModelSpec identifies a model with its version and adapter.
 type ModelSpec struct {
 	Model, Version, Adapter string
 }
 
-// Assignment is what one endpoint should serve.
+// Assignment is the model that one endpoint should serve.
 type Assignment struct {
 	Endpoint endpoint.Info
 	Target   ModelSpec
-	// Change says that the endpoint serves something else and may be told now.
+	// Change is set if the endpoint serves something else and may be ordered to change
+	// now.
 	Change bool
 }
 
-// Share is how much of the fleet a load should get.
+// Share is a model and its share of the fleet, as a weight.
 type Share struct {
 	Spec   ModelSpec
 	Weight float64
 }
 
-// changeShare bounds the endpoints of one model that change at a time: the
-// others go on serving the old version meanwhile.
-const changeShare = 0.25
+// maxChangeShare bounds the endpoints of one model that change at the same time; the
+// others continue to serve the old version.
+const maxChangeShare = 0.25
 
-// Shares gives each load a weight: one for every service that uses it.
+// Shares returns each model with a weight: the number of services that use it.
 func Shares(services []fleet.Service) []Share {
 	weights := map[ModelSpec]float64{}
 	for _, s := range services {
@@ -45,89 +45,91 @@
 		}
 	}
 	shares := make([]Share, 0, len(weights))
-	for load, weight := range weights {
-		shares = append(shares, Share{load, weight})
+	for spec, weight := range weights {
+		shares = append(shares, Share{spec, weight})
 	}
 	sort.Slice(shares, func(i, j int) bool { return shares[i].Spec.less(shares[j].Spec) })
 	return shares
 }
 
-func (l ModelSpec) less(o ModelSpec) bool {
-	if l.Model != o.Model {
-		return l.Model < o.Model
+func (m ModelSpec) less(other ModelSpec) bool {
+	if m.Model != other.Model {
+		return m.Model < other.Model
 	}
-	if l.Version != o.Version {
-		return l.Version < o.Version
+	if m.Version != other.Version {
+		return m.Version < other.Version
 	}
-	return l.Adapter < o.Adapter
+	return m.Adapter < other.Adapter
 }
 
-// Plan assigns every live engine a load. Endpoints keep what they have where
-// the quotas allow; each data centre gets its part of every load, so that the
-// loss of one takes no model away.
+// Plan assigns a model to every live engine. Endpoints keep their model where the quotas
+// allow. Each data centre gets its part of every model, so that the loss of one data
+// centre makes no model unavailable.
 func Plan(shares []Share, infos []endpoint.Info) []Assignment {
 	if len(shares) == 0 {
 		return nil
 	}
-	centres := map[string][]endpoint.Info{}
+	byDataCenter := map[string][]endpoint.Info{}
 	for _, i := range infos {
 		if i.Kind == endpoint.Model && i.AcceptsWork() {
-			centres[i.DataCenter] = append(centres[i.DataCenter], i)
+			byDataCenter[i.DataCenter] = append(byDataCenter[i.DataCenter], i)
 		}
 	}
 	var plan []Assignment
-	for _, name := range sortedCentres(centres) {
-		plan = append(plan, planCentre(name, shares, centres[name])...)
+	for _, name := range sortedDataCenters(byDataCenter) {
+		plan = append(plan, planDataCenter(name, shares, byDataCenter[name])...)
 	}
 	limitChanges(plan)
 	return plan
 }
 
-func sortedCentres(centres map[string][]endpoint.Info) []string {
-	names := make([]string, 0, len(centres))
-	for name := range centres {
+func sortedDataCenters(byDataCenter map[string][]endpoint.Info) []string {
+	names := make([]string, 0, len(byDataCenter))
+	for name := range byDataCenter {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// planCentre shares out one data centre's engines.
-func planCentre(centre string, shares []Share, infos []endpoint.Info) []Assignment {
-	quotas := quotasOf(centre, shares, len(infos))
+// planDataCenter distributes the models over one data centre's engines.
+func planDataCenter(dataCenter string, shares []Share, infos []endpoint.Info) []Assignment {
+	quotas := splitByWeight(dataCenter, shares, len(infos))
 	sort.Slice(infos, func(i, j int) bool { return infos[i].ID < infos[j].ID })
 	plan := make([]Assignment, 0, len(infos))
 	var rest []endpoint.Info
 	for _, info := range infos {
-		if at := indexOf(shares, loaded(info)); at >= 0 && quotas[at] > 0 {
-			quotas[at]--
-			plan = append(plan, Assignment{Endpoint: info, Target: shares[at].Spec})
+		if index := shareIndex(shares, loadedSpec(info)); index >= 0 && quotas[index] > 0 {
+			quotas[index]--
+			plan = append(plan, Assignment{Endpoint: info, Target: shares[index].Spec})
 			continue
 		}
 		rest = append(rest, info)
 	}
-	// An endpoint with an older version of the model is the one to change to
-	// the newer: its weights may share much, and its callers are the same.
+	// Endpoints with an older version of a model change to its newer version first: the
+	// versions may share weights, and the callers are the same.
 	for _, info := range rest {
-		at := nextQuota(shares, quotas, info.Model)
-		quotas[at]--
-		plan = append(plan, Assignment{Endpoint: info, Target: shares[at].Spec, Change: true})
+		index := pickShare(shares, quotas, info.Model)
+		quotas[index]--
+		plan = append(plan, Assignment{Endpoint: info, Target: shares[index].Spec, Change: true})
 	}
 	return plan
 }
 
-func loaded(i endpoint.Info) ModelSpec { return ModelSpec{i.Model, i.Version, i.Adapter} }
+func loadedSpec(i endpoint.Info) ModelSpec { return ModelSpec{i.Model, i.Version, i.Adapter} }
 
-func indexOf(shares []Share, l ModelSpec) int {
+func shareIndex(shares []Share, spec ModelSpec) int {
 	for i, s := range shares {
-		if s.Spec == l {
+		if s.Spec == spec {
 			return i
 		}
 	}
 	return -1
 }
 
-func nextQuota(shares []Share, quotas []int, model string) int {
+// pickShare returns the index of a share with quota left: one of the given model if there
+// is one, else the one with the largest quota.
+func pickShare(shares []Share, quotas []int, model string) int {
 	best := 0
 	for i := range quotas {
 		if quotas[i] <= 0 {
@@ -143,10 +145,10 @@
 	return best
 }
 
-// quotasOf splits count by weight, largest remainder first; ties are broken by
-// a hash with the data centre's name, so that small data centres do not all
-// leave out the same load.
-func quotasOf(centre string, shares []Share, count int) []int {
+// splitByWeight splits count by the weights, largest remainder first. Equal remainders
+// are ordered by a hash that includes the data centre's name, so that small data centres
+// do not all leave out the same model.
+func splitByWeight(dataCenter string, shares []Share, count int) []int {
 	total := 0.0
 	for _, s := range shares {
 		total += s.Weight
@@ -154,33 +156,34 @@
 	quotas := make([]int, len(shares))
 	remainders := make([]float64, len(shares))
 	order := make([]int, len(shares))
-	given := 0
+	assigned := 0
 	for i, s := range shares {
 		exact := float64(count) * s.Weight / total
 		quotas[i] = int(exact)
 		remainders[i] = exact - float64(quotas[i])
-		given += quotas[i]
+		assigned += quotas[i]
 		order[i] = i
 	}
 	sort.Slice(order, func(a, b int) bool {
 		if remainders[order[a]] != remainders[order[b]] {
 			return remainders[order[a]] > remainders[order[b]]
 		}
-		return tie(centre, shares[order[a]].Spec) > tie(centre, shares[order[b]].Spec)
+		return tieBreak(dataCenter, shares[order[a]].Spec) > tieBreak(dataCenter, shares[order[b]].Spec)
 	})
-	for i := 0; given < count; i++ {
+	for i := 0; assigned < count; i++ {
 		quotas[order[i%len(order)]]++
-		given++
+		assigned++
 	}
 	return quotas
 }
 
-func tie(centre string, l ModelSpec) uint64 {
-	return xxhash.Sum64String(centre + "\x00" + l.Model + "\x00" + l.Version + "\x00" + l.Adapter)
+func tieBreak(dataCenter string, spec ModelSpec) uint64 {
+	return xxhash.Sum64String(dataCenter + "\x00" + spec.Model + "\x00" + spec.Version + "\x00" + spec.Adapter)
 }
 
-// limitChanges lets only a part of the endpoints that serve a model change at
-// a time. Engines with nothing loaded serve nobody and may always change.
+// limitChanges clears Change where more than maxChangeShare of the endpoints that serve a
+// model would change at the same time. Engines with no model loaded serve no requests and
+// may always change.
 func limitChanges(plan []Assignment) {
 	serving := map[string]int{}
 	for _, a := range plan {
@@ -192,8 +195,8 @@
 		if !a.Change || a.Endpoint.Model == "" {
 			continue
 		}
-		most := max(1, int(changeShare*float64(serving[a.Endpoint.Model])))
-		if changing[a.Endpoint.Model] >= most {
+		limit := max(1, int(maxChangeShare*float64(serving[a.Endpoint.Model])))
+		if changing[a.Endpoint.Model] >= limit {
 			a.Change = false
 			continue
 		}
@@ -201,16 +204,16 @@
 	}
 }
 
-// Naive gives every engine the load its name hashes to, whatever it has: what
-// the plan is measured against.
+// Naive assigns the model that an engine's ID hashes to, regardless of what the engine
+// has loaded. It is the baseline to which tests compare Plan.
 func Naive(shares []Share, infos []endpoint.Info) []Assignment {
 	var plan []Assignment
 	for _, i := range infos {
 		if i.Kind != endpoint.Model || !i.AcceptsWork() || len(shares) == 0 {
 			continue
 		}
-		want := shares[xxhash.Sum64String(i.ID)%uint64(len(shares))].Spec
-		plan = append(plan, Assignment{i, want, want != loaded(i)})
+		target := shares[xxhash.Sum64String(i.ID)%uint64(len(shares))].Spec
+		plan = append(plan, Assignment{i, target, target != loadedSpec(i)})
 	}
 	return plan
 }
--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -18,12 +18,12 @@
 	return list
 }
 
-func load(model, version string) placement.ModelSpec {
+func spec(model, version string) placement.ModelSpec {
 	return placement.ModelSpec{Model: model, Version: version}
 }
 
-// carryOut obeys the plan's orders and returns how many endpoints changed.
-func carryOut(list []endpoint.Info, shares []placement.Share) int {
+// applyPlan applies the plan's changes to list and returns how many endpoints changed.
+func applyPlan(list []endpoint.Info, shares []placement.Share) int {
 	changed := 0
 	for _, a := range placement.Plan(shares, list) {
 		if !a.Change {
@@ -39,41 +39,42 @@
 	return changed
 }
 
-func count(list []endpoint.Info, l placement.ModelSpec) (total int, centres map[string]bool) {
-	centres = map[string]bool{}
+func count(list []endpoint.Info, wanted placement.ModelSpec) (total int, dataCenters map[string]bool) {
+	dataCenters = map[string]bool{}
 	for _, i := range list {
-		if i.Model == l.Model && i.Version == l.Version {
+		if i.Model == wanted.Model && i.Version == wanted.Version {
 			total++
-			centres[i.DataCenter] = true
+			dataCenters[i.DataCenter] = true
 		}
 	}
-	return total, centres
+	return total, dataCenters
 }
 
-// TestEveryModelIsInSeveralDataCentres places two models with weights 1 and 2
-// on 18 engines and then finds nothing more to change.
+// TestEveryModelIsInSeveralDataCentres places two models with weights 1 and 2 on 18
+// engines. A second plan must find nothing to change.
 func TestEveryModelIsInSeveralDataCentres(t *testing.T) {
 	list := infos(18)
-	shares := []placement.Share{{Spec: load("a", "1"), Weight: 1}, {Spec: load("b", "1"), Weight: 2}}
-	carryOut(list, shares)
+	shares := []placement.Share{{Spec: spec("a", "1"), Weight: 1}, {Spec: spec("b", "1"), Weight: 2}}
+	applyPlan(list, shares)
 	for _, s := range shares {
-		total, centres := count(list, s.Spec)
+		total, dataCenters := count(list, s.Spec)
 		want := 18 * s.Weight / 3
-		if float64(total) < want-2 || float64(total) > want+2 || len(centres) < 3 {
-			t.Errorf("%s: got %d engines in %d data centres, want about %.0f in at least 3", s.Spec.Model, total, len(centres), want)
+		if float64(total) < want-2 || float64(total) > want+2 || len(dataCenters) < 3 {
+			t.Errorf("%s: got %d engines in %d data centres, want about %.0f in at least 3", s.Spec.Model, total, len(dataCenters), want)
 		}
 	}
-	if again := carryOut(list, shares); again != 0 {
-		t.Errorf("second plan: got %d changes, want 0", again)
+	if again := applyPlan(list, shares); again != 0 {
+		t.Errorf("second plan: got %d changed endpoints, want 0", again)
 	}
 }
 
-// TestVersionsAreRolledWithoutAGap goes from one version to the next; the naive
-// plan changes all at once and leaves nobody to serve.
-func TestVersionsAreRolledWithoutAGap(t *testing.T) {
+// TestVersionChangeKeepsEnginesServing changes 18 engines from one version to the next. The
+// plan must change at most a quarter at the same time; the naive plan changes all at once
+// and leaves no engine to serve.
+func TestVersionChangeKeepsEnginesServing(t *testing.T) {
 	list := infos(18)
-	carryOut(list, []placement.Share{{Spec: load("a", "1"), Weight: 1}})
-	next := []placement.Share{{Spec: load("a", "2"), Weight: 1}}
+	applyPlan(list, []placement.Share{{Spec: spec("a", "1"), Weight: 1}})
+	next := []placement.Share{{Spec: spec("a", "2"), Weight: 1}}
 	naive := 0
 	for _, a := range placement.Naive(next, list) {
 		if a.Change {
@@ -81,15 +82,15 @@
 		}
 	}
 	if naive != 18 {
-		t.Errorf("naive plan: got %d changes at once, want the 18 that this test is about", naive)
+		t.Errorf("naive plan: got %d changes at once, want all 18 as the baseline of this test", naive)
 	}
 	for round := range 40 {
-		changed := carryOut(list, next)
+		changed := applyPlan(list, next)
 		if changed > 5 {
-			t.Fatalf("round %d: got %d changes at once, want a quarter of 18 at most", round, changed)
+			t.Fatalf("round %d: got %d changes at once, want at most a quarter of 18", round, changed)
 		}
 	}
-	if total, _ := count(list, load("a", "2")); total != 18 {
+	if total, _ := count(list, spec("a", "2")); total != 18 {
 		t.Errorf("after 40 rounds: got %d engines of the new version, want 18", total)
 	}
 }
@@ -97,16 +98,16 @@
 func TestLeavingEnginesAreNotPlanned(t *testing.T) {
 	list := infos(8)
 	list[3].State = endpoint.Leaving
-	for _, a := range placement.Plan([]placement.Share{{Spec: load("a", "1"), Weight: 1}}, list) {
+	for _, a := range placement.Plan([]placement.Share{{Spec: spec("a", "1"), Weight: 1}}, list) {
 		if a.Endpoint.ID == list[3].ID {
-			t.Error("an engine that leaves was given an order")
+			t.Error("got an assignment for a leaving engine, want none")
 		}
 	}
 }
 
 func BenchmarkPlan1900(b *testing.B) {
 	list := infos(1900)
-	shares := []placement.Share{{Spec: load("a", "1"), Weight: 1}, {Spec: load("b", "1"), Weight: 2}, {Spec: load("c", "1"), Weight: 2}}
+	shares := []placement.Share{{Spec: spec("a", "1"), Weight: 1}, {Spec: spec("b", "1"), Weight: 2}, {Spec: spec("c", "1"), Weight: 2}}
 	for b.Loop() {
 		placement.Plan(shares, list)
 	}
