--- a/pkg/capacity/capacity.go
+++ b/pkg/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity decides how many hosts to have, where, of which class and
-// on which terms: at the least cost at which the loss of any one data centre
-// still leaves enough for the callers who wait at a counter, and at which work
-// that can wait meets its deadlines.
+// Package capacity decides how many hosts to run, in which data centres, of which class
+// and on which terms. It minimizes the cost under two conditions: the loss of any one data
+// centre leaves enough capacity for interactive callers, and work that can wait meets its
+// deadlines.
 package capacity
 
 import (
@@ -14,124 +14,124 @@
 type Offer struct {
 	DataCenter, Class string
 	Reclaimable       bool
-	// HourlyPrice is for one host an hour.
+	// HourlyPrice is the price of one host for an hour.
 	HourlyPrice float64
-	// TokenRate is tokens a second that one host gives within the latency target.
+	// TokenRate is the tokens a second that one host generates within the latency target.
 	TokenRate float64
-	// Max bounds the hosts bought, Min those kept in any case.
+	// Max bounds the hosts bought. Min is the number kept in any case.
 	Min, Max int
-	// Running is how many there are: reclaimable hosts that are there are kept
-	// before others are bought, since prices differ by less than a start costs.
+	// Running is the number of hosts already bought. Running reclaimable hosts are kept
+	// before others are bought, as prices differ by less than the start of a host costs.
 	Running int
-	// HazardPerHour is reclaims expected for one host an hour.
+	// HazardPerHour is the expected number of reclaims of one host an hour.
 	HazardPerHour float64
-	// RefusedUntil is when the offer may be tried again after a refusal.
+	// RefusedUntil is when the offer may be tried again after a refused start.
 	RefusedUntil time.Time
 }
 
-// key identifies an offer.
-type key struct {
+// offerKey identifies an offer.
+type offerKey struct {
 	dataCenter, class string
 	reclaimable       bool
 }
 
-func (o Offer) key() key { return key{o.DataCenter, o.Class, o.Reclaimable} }
+func (o Offer) key() offerKey { return offerKey{o.DataCenter, o.Class, o.Reclaimable} }
 
-// Demand is what is asked for, in tokens a second.
+// Demand is the requested capacity, in tokens a second.
 type Demand struct {
-	// Interactive is for callers who wait, Deferrable the least rate at which work
-	// that can wait meets its deadlines (see Deferred).
+	// Interactive is for callers who wait for their answers. Deferrable is the least
+	// rate at which work that can wait meets its deadlines (see DeferrableRate).
 	Interactive, Deferrable float64
 }
 
-// Costs turn a reclaim into money.
+// Costs are the costs of reclaims.
 type Costs struct {
-	// PerReclaim is what one host's reclaim costs beside its price: tokens
-	// computed again and the time a new host takes to serve, priced.
+	// PerReclaim is the cost of one host's reclaim on top of its price: that of the
+	// tokens computed again and of the time until a new host serves.
 	PerReclaim float64
 }
 
-// HostCount is how many hosts of one offer to have.
+// HostCount is the number of hosts of one offer.
 type HostCount struct {
 	Offer Offer
 	Hosts int
 }
 
-// Room above the mean demand.
+// Factors of the mean demand, and the weight of a shortfall.
 const (
-	// headroom is for demand that is only known with a lag.
-	headroom = 1.1
-	// counterRoom is for callers who wait, after a loss: their bursts go to
-	// twice the mean, and queues are short only where slots are idle.
-	counterRoom = 2.4
-	// dearRoom is the same as far as it is bought on demand, at a multiple of
-	// the price: enough for the mean, not for the bursts, until reclaimable
-	// hosts are to be had again.
-	dearRoom = 1.2
-	// shortIsWorse weighs capacity that is missing for the mean demand after a
-	// loss against capacity that is missing for bursts.
-	shortIsWorse = 1000
+	// meanHeadroom covers all demand, which is known only with a lag.
+	meanHeadroom = 1.1
+	// interactiveHeadroom covers interactive demand after the loss of a data centre: its
+	// bursts reach twice the mean, and queues are short only while slots are idle.
+	interactiveHeadroom = 2.4
+	// onDemandHeadroom is the same for on-demand hosts, which cost a multiple: it covers
+	// the mean but not the bursts, until reclaimable hosts are available again.
+	onDemandHeadroom = 1.2
+	// meanShortfallWeight is the weight of capacity that is missing for the mean demand
+	// after a loss, relative to capacity that is missing for bursts.
+	meanShortfallWeight = 1000
 )
 
-// need is the capacity a demand asks for while the largest data centre holds
-// largest: enough for all, and enough for callers who wait without it. Work
-// that can wait is not bought for on demand.
-func (d Demand) need(largest float64, reclaimable bool) float64 {
+// requiredCapacity returns the capacity to provide if the data centre with the most
+// capacity has largest: enough for all demand, and enough for interactive demand without
+// that data centre. No on-demand hosts are bought for deferrable demand.
+func (d Demand) requiredCapacity(largest float64, reclaimable bool) float64 {
 	if !reclaimable {
-		return dearRoom*d.Interactive + largest
+		return onDemandHeadroom*d.Interactive + largest
 	}
-	return math.Max(counterRoom*d.Interactive+largest, headroom*(d.Interactive+d.Deferrable))
+	return math.Max(interactiveHeadroom*d.Interactive+largest, meanHeadroom*(d.Interactive+d.Deferrable))
 }
 
-// effective is an offer's price with its reclaims.
-func (o Offer) effective(c Costs) float64 {
+// effectivePrice returns the hourly price with the expected cost of reclaims.
+func (o Offer) effectivePrice(c Costs) float64 {
 	if !o.Reclaimable {
 		return o.HourlyPrice
 	}
 	return o.HourlyPrice + o.HazardPerHour*c.PerReclaim
 }
 
-// perToken orders offers: the price of a token a second.
-func (o Offer) perToken(c Costs) float64 { return o.effective(c) / o.TokenRate }
+// pricePerTokenRate returns the effective price per token a second, by which offers are
+// sorted.
+func (o Offer) pricePerTokenRate(c Costs) float64 { return o.effectivePrice(c) / o.TokenRate }
 
-// Plan returns the hosts to have. It tries each bound on the capacity of one
-// data centre: under a bound b, hosts are taken cheapest first with at most b
-// in each data centre until their sum is the counter demand plus b, so that
-// the loss of the largest leaves enough; the cheapest bound wins. Demand that
-// can't be met is met as far as the offers go.
+// Plan returns the hosts to have. It tries several bounds on the capacity of one data
+// centre. Within a bound b, the cheapest hosts are chosen, up to b in each data centre,
+// until their sum is the interactive demand plus b, so that enough is left after the loss
+// of the largest data centre. The bound with the lowest cost is used. Demand that the
+// offers cannot meet is met as far as possible.
 func Plan(offers []Offer, d Demand, c Costs, now time.Time) []HostCount {
-	open := available(offers, now)
-	sort.SliceStable(open, func(i, j int) bool { return open[i].perToken(c) < open[j].perToken(c) })
+	candidates := availableOffers(offers, now)
+	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].pricePerTokenRate(c) < candidates[j].pricePerTokenRate(c) })
 	var best []HostCount
-	bestShort, bestCost := math.Inf(1), math.Inf(1)
-	for _, bound := range bounds(open, d) {
-		counts, short := fill(open, bound, d)
-		cost := costOf(counts, c)
-		if short < bestShort-1e-9 || (short < bestShort+1e-9 && cost < bestCost) {
-			best, bestShort, bestCost = counts, short, cost
+	bestShortfall, bestCost := math.Inf(1), math.Inf(1)
+	for _, bound := range capacityBounds(candidates, d) {
+		counts, shortfall := fillWithinBound(candidates, bound, d)
+		cost := totalCost(counts, c)
+		if shortfall < bestShortfall-1e-9 || (shortfall < bestShortfall+1e-9 && cost < bestCost) {
+			best, bestShortfall, bestCost = counts, shortfall, cost
 		}
 	}
 	return best
 }
 
-// available leaves out offers that were refused lately, but for the hosts that
-// are kept in any case.
-func available(offers []Offer, now time.Time) []Offer {
-	open := make([]Offer, 0, len(offers))
+// availableOffers leaves out offers that are in backoff after a refused start, except for
+// their minimum of hosts.
+func availableOffers(offers []Offer, now time.Time) []Offer {
+	candidates := make([]Offer, 0, len(offers))
 	for _, o := range offers {
 		if now.Before(o.RefusedUntil) {
 			o.Max = o.Min
 		}
 		if o.Max > 0 && o.TokenRate > 0 {
-			open = append(open, o)
+			candidates = append(candidates, o)
 		}
 	}
-	return open
+	return candidates
 }
 
-// bounds are the capacities of one data centre worth trying: whole numbers of
-// the smallest host.
-func bounds(offers []Offer, d Demand) []float64 {
+// capacityBounds returns the capacities of one data centre to try: multiples of the
+// smallest host's.
+func capacityBounds(offers []Offer, d Demand) []float64 {
 	if len(offers) == 0 {
 		return nil
 	}
@@ -139,60 +139,61 @@
 	for _, o := range offers {
 		step = math.Min(step, o.TokenRate)
 	}
-	most := int(math.Ceil(math.Max(counterRoom*d.Interactive, headroom*(d.Interactive+d.Deferrable))/step)) + 1
-	list := make([]float64, 0, most)
-	for i := 1; i <= most; i++ {
-		list = append(list, float64(i)*step)
+	steps := int(math.Ceil(math.Max(interactiveHeadroom*d.Interactive, meanHeadroom*(d.Interactive+d.Deferrable))/step)) + 1
+	bounds := make([]float64, 0, steps)
+	for i := 1; i <= steps; i++ {
+		bounds = append(bounds, float64(i)*step)
 	}
-	return list
+	return bounds
 }
 
-// fill takes hosts under a bound and returns them with the capacity missing.
-func fill(offers []Offer, bound float64, d Demand) ([]HostCount, float64) {
+// fillWithinBound chooses hosts within a bound and returns them with the weighted
+// shortfall of capacity.
+func fillWithinBound(offers []Offer, bound float64, d Demand) ([]HostCount, float64) {
 	counts := make([]HostCount, len(offers))
-	centre := map[string]float64{}
+	byDataCenter := map[string]float64{}
 	total := 0.0
 	for i, o := range offers {
 		counts[i] = HostCount{o, o.Min}
-		centre[o.DataCenter] += float64(o.Min) * o.TokenRate
+		byDataCenter[o.DataCenter] += float64(o.Min) * o.TokenRate
 		total += float64(o.Min) * o.TokenRate
 	}
-	need := func(reclaimable bool) float64 {
+	required := func(reclaimable bool) float64 {
 		largest := 0.0
-		for _, held := range centre {
-			largest = math.Max(largest, held)
+		for _, capacity := range byDataCenter {
+			largest = math.Max(largest, capacity)
 		}
-		return d.need(largest, reclaimable)
+		return d.requiredCapacity(largest, reclaimable)
 	}
-	take := func(i, most int) {
+	add := func(i, limit int) {
 		o := counts[i].Offer
-		for counts[i].Hosts < most && total < need(o.Reclaimable) && centre[o.DataCenter]+o.TokenRate <= bound+1e-9 {
+		for counts[i].Hosts < limit && total < required(o.Reclaimable) && byDataCenter[o.DataCenter]+o.TokenRate <= bound+1e-9 {
 			counts[i].Hosts++
-			centre[o.DataCenter] += o.TokenRate
+			byDataCenter[o.DataCenter] += o.TokenRate
 			total += o.TokenRate
 		}
 	}
 	for i, n := range counts {
 		if n.Offer.Reclaimable {
-			take(i, min(n.Offer.Running, n.Offer.Max))
+			add(i, min(n.Offer.Running, n.Offer.Max))
 		}
 	}
 	for i, n := range counts {
-		take(i, n.Offer.Max)
+		add(i, n.Offer.Max)
 	}
-	return counts, math.Max(0, need(false)-total)*shortIsWorse + math.Max(0, need(true)-total)
+	return counts, math.Max(0, required(false)-total)*meanShortfallWeight + math.Max(0, required(true)-total)
 }
 
-func costOf(counts []HostCount, c Costs) float64 {
+func totalCost(counts []HostCount, c Costs) float64 {
 	cost := 0.0
 	for _, n := range counts {
-		cost += float64(n.Hosts) * n.Offer.effective(c)
+		cost += float64(n.Hosts) * n.Offer.effectivePrice(c)
 	}
 	return cost
 }
 
-// SpreadEvenly is a naive plan: reclaimable hosts alone, as many as the demand asks
-// for, evenly over all data centres.
+// SpreadEvenly is a baseline for Plan: reclaimable hosts only, as many as the demand needs,
+// distributed evenly over all data centres.
 func SpreadEvenly(offers []Offer, d Demand) []HostCount {
 	counts := make([]HostCount, len(offers))
 	total := 0.0
@@ -200,31 +201,32 @@
 		counts[i] = HostCount{o, o.Min}
 		total += float64(o.Min) * o.TokenRate
 	}
-	for grown := true; grown && total < headroom*(d.Interactive+d.Deferrable); {
-		grown = false
+	for added := true; added && total < meanHeadroom*(d.Interactive+d.Deferrable); {
+		added = false
 		for i, o := range offers {
-			if o.Reclaimable && counts[i].Hosts < o.Max && total < headroom*(d.Interactive+d.Deferrable) {
+			if o.Reclaimable && counts[i].Hosts < o.Max && total < meanHeadroom*(d.Interactive+d.Deferrable) {
 				counts[i].Hosts++
 				total += o.TokenRate
-				grown = true
+				added = true
 			}
 		}
 	}
 	return counts
 }
 
-// CheapestFirst is another: reclaimable hosts of the lowest price alone.
+// CheapestFirst is a baseline for Plan: reclaimable hosts only, those with the lowest price
+// for their token rate first.
 func CheapestFirst(offers []Offer, d Demand) []HostCount {
-	cheapest := append([]Offer(nil), offers...)
-	sort.SliceStable(cheapest, func(i, j int) bool {
-		return cheapest[i].HourlyPrice/cheapest[i].TokenRate < cheapest[j].HourlyPrice/cheapest[j].TokenRate
+	sorted := append([]Offer(nil), offers...)
+	sort.SliceStable(sorted, func(i, j int) bool {
+		return sorted[i].HourlyPrice/sorted[i].TokenRate < sorted[j].HourlyPrice/sorted[j].TokenRate
 	})
 	total := 0.0
 	var counts []HostCount
-	for _, o := range cheapest {
+	for _, o := range sorted {
 		n := HostCount{o, o.Min}
 		total += float64(o.Min) * o.TokenRate
-		for o.Reclaimable && n.Hosts < o.Max && total < headroom*(d.Interactive+d.Deferrable) {
+		for o.Reclaimable && n.Hosts < o.Max && total < meanHeadroom*(d.Interactive+d.Deferrable) {
 			n.Hosts++
 			total += o.TokenRate
 		}
--- a/pkg/capacity/step.go
+++ b/pkg/capacity/step.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Change is hosts to buy (more than 0) or to give back (less) of one offer.
+// Change is the number of hosts of one offer to buy (positive) or give up (negative).
 type Change struct {
 	Offer Offer
 	Hosts int
 }
 
-// Reconciler turns plans into changes: up at once, down only after the surplus
-// has lasted, a few hosts at a time, so that a lull in a burst gives nothing
-// back that is needed a minute later.
+// Reconciler turns plans into changes. It adds hosts at once, but gives them up only after
+// a surplus has lasted, a few at a time, so that a short lull between bursts gives up no
+// hosts that are needed a minute later.
 type Reconciler struct {
-	// surplusSince is when each offer's surplus began.
-	surplusSince map[key]time.Time
-	refusals     map[key]refusal
+	// surplusSince is when the surplus of each offer began.
+	surplusSince map[offerKey]time.Time
+	refusals     map[offerKey]refusal
 }
 
 type refusal struct {
@@ -26,62 +26,63 @@
 	until time.Time
 }
 
-// Parameters of the steps.
+// Parameters of changes.
 const (
-	// holdDown is how long a surplus must last.
-	holdDown = 5 * time.Minute
-	// downAtOnce bounds the hosts given back of one offer in one step.
-	downAtOnce = 2
-	// firstRefusal and mostRefusal bound the wait after a refused start.
-	firstRefusal = 30 * time.Second
-	mostRefusal  = 15 * time.Minute
+	// scaleDownDelay is how long a surplus must last before hosts are given up.
+	scaleDownDelay = 5 * time.Minute
+	// maxReleasedPerStep bounds the hosts of one offer given up in one call of Reconcile.
+	maxReleasedPerStep = 2
+	// initialBackoff and maxBackoff bound the backoff after a refused start.
+	initialBackoff = 30 * time.Second
+	maxBackoff     = 15 * time.Minute
 )
 
-// NewReconciler returns a stepper that has seen nothing.
+// NewReconciler returns a Reconciler without any observations.
 func NewReconciler() *Reconciler {
-	return &Reconciler{surplusSince: map[key]time.Time{}, refusals: map[key]refusal{}}
+	return &Reconciler{surplusSince: map[offerKey]time.Time{}, refusals: map[offerKey]refusal{}}
 }
 
-// RecordRefusal notes that a start was refused: the offer is left alone for a while
-// that doubles with each refusal in a row.
-func (s *Reconciler) RecordRefusal(o Offer, now time.Time, random *rand.Rand) {
-	held := s.refusals[o.key()]
-	bound := min(firstRefusal<<min(held.count, 8), mostRefusal)
-	held.count++
-	held.until = now.Add(bound/2 + time.Duration(random.Int64N(int64(bound/2)+1)))
-	s.refusals[o.key()] = held
+// RecordRefusal records a refused start. The offer is then not used for a randomized time
+// that doubles with each consecutive refusal.
+func (r *Reconciler) RecordRefusal(o Offer, now time.Time, random *rand.Rand) {
+	state := r.refusals[o.key()]
+	bound := min(initialBackoff<<min(state.count, 8), maxBackoff)
+	state.count++
+	state.until = now.Add(bound/2 + time.Duration(random.Int64N(int64(bound/2)+1)))
+	r.refusals[o.key()] = state
 }
 
-// RecordStart notes that a start succeeded.
-func (s *Reconciler) RecordStart(o Offer) { delete(s.refusals, o.key()) }
+// RecordStart records a successful start, which ends the offer's backoff.
+func (r *Reconciler) RecordStart(o Offer) { delete(r.refusals, o.key()) }
 
-// SetRefusedUntil sets the offers' RefusedUntil.
-func (s *Reconciler) SetRefusedUntil(offers []Offer) {
+// SetRefusedUntil sets RefusedUntil of the offers.
+func (r *Reconciler) SetRefusedUntil(offers []Offer) {
 	for i := range offers {
-		offers[i].RefusedUntil = s.refusals[offers[i].key()].until
+		offers[i].RefusedUntil = r.refusals[offers[i].key()].until
 	}
 }
 
-// Reconcile compares a plan with the hosts there are and returns what to change.
-func (s *Reconciler) Reconcile(plan []HostCount, have []HostCount, now time.Time) []Change {
-	held := map[key]int{}
-	for _, n := range have {
-		held[n.Offer.key()] += n.Hosts
+// Reconcile compares a plan with the present hosts and returns the changes to make, hosts
+// to buy first.
+func (r *Reconciler) Reconcile(plan []HostCount, current []HostCount, now time.Time) []Change {
+	present := map[offerKey]int{}
+	for _, n := range current {
+		present[n.Offer.key()] += n.Hosts
 	}
 	var changes []Change
 	for _, n := range plan {
 		k := n.Offer.key()
-		difference := n.Hosts - held[k]
-		delete(held, k)
-		if hosts := s.step(k, difference, now); hosts != 0 {
+		difference := n.Hosts - present[k]
+		delete(present, k)
+		if hosts := r.hostChange(k, difference, now); hosts != 0 {
 			changes = append(changes, Change{n.Offer, hosts})
 		}
 	}
-	for _, n := range have {
-		// Offers that are no longer planned at all shrink the same way.
-		if count, left := held[n.Offer.key()]; left {
-			delete(held, n.Offer.key())
-			if hosts := s.step(n.Offer.key(), -count, now); hosts != 0 {
+	for _, n := range current {
+		// Offers that are not in the plan at all scale down the same way.
+		if count, unplanned := present[n.Offer.key()]; unplanned {
+			delete(present, n.Offer.key())
+			if hosts := r.hostChange(n.Offer.key(), -count, now); hosts != 0 {
 				changes = append(changes, Change{n.Offer, hosts})
 			}
 		}
@@ -90,61 +91,63 @@
 	return changes
 }
 
-func (s *Reconciler) step(k key, difference int, now time.Time) int {
+func (r *Reconciler) hostChange(k offerKey, difference int, now time.Time) int {
 	if difference >= 0 {
-		delete(s.surplusSince, k)
+		delete(r.surplusSince, k)
 		return difference
 	}
-	since, known := s.surplusSince[k]
+	since, known := r.surplusSince[k]
 	if !known {
-		s.surplusSince[k] = now
+		r.surplusSince[k] = now
 		return 0
 	}
-	if now.Sub(since) < holdDown {
+	if now.Sub(since) < scaleDownDelay {
 		return 0
 	}
-	return max(difference, -downAtOnce)
+	return max(difference, -maxReleasedPerStep)
 }
 
-// DeferrableWork is one piece of work that can wait.
+// DeferrableWork is a piece of work that can wait until its deadline.
 type DeferrableWork struct {
 	Tokens   float64
 	Deadline time.Time
 }
 
-// Parameters of work that waits.
+// Parameters of the rate of deferrable work.
 const (
-	// slack is kept before a deadline: a reclaim may cost time on the way.
-	slack = 0.8
-	// dear is the price, as a part of the usual, from which on only what must
-	// run now is run; below cheap all of it is.
-	dear  = 1.05
-	cheap = 0.95
+	// usableDeadlineShare is the share of the time to a deadline that is used: a reclaim may
+	// cost some of it.
+	usableDeadlineShare = 0.8
+	// highPrice and lowPrice are relative to the usual price. From highPrice on only the
+	// work that must run now is run; up to lowPrice all of it is run within
+	// lowPriceSpread.
+	highPrice = 1.05
+	lowPrice  = 0.95
 )
 
-// DeferrableRate returns the rate at which to work off what can wait: at least what
-// the deadlines ask for, and more where the price now is low for the day.
-// price and usual are for the same host.
+// DeferrableRate returns the rate, in tokens a second, at which to process deferrable work:
+// at least what the deadlines require, and more the lower the price is compared with the
+// usual one. price and usual are for the same host.
 func DeferrableRate(work []DeferrableWork, price, usual float64, now time.Time) float64 {
 	sorted := append([]DeferrableWork(nil), work...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Deadline.Before(sorted[j].Deadline) })
-	must, total := 0.0, 0.0
+	required, total := 0.0, 0.0
 	for _, w := range sorted {
 		total += w.Tokens
-		left := max(slack*w.Deadline.Sub(now).Seconds(), 1)
-		must = max(must, total/left)
+		seconds := max(usableDeadlineShare*w.Deadline.Sub(now).Seconds(), 1)
+		required = max(required, total/seconds)
 	}
 	switch {
-	case usual <= 0 || price >= dear*usual:
-		return must
-	case price <= cheap*usual:
-		return max(must, total/whileCheap.Seconds())
+	case usual <= 0 || price >= highPrice*usual:
+		return required
+	case price <= lowPrice*usual:
+		return max(required, total/lowPriceSpread.Seconds())
 	}
-	return max(must, total/whileUsual.Seconds())
+	return max(required, total/usualPriceSpread.Seconds())
 }
 
-// Times over which waiting work is spread when nothing presses.
+// Times over which deferrable work is spread if no deadline requires a higher rate.
 const (
-	whileCheap = time.Hour
-	whileUsual = 4 * time.Hour
+	lowPriceSpread   = time.Hour
+	usualPriceSpread = 4 * time.Hour
 )
