--- a/pkg/hazard/hazard.go
+++ b/pkg/hazard/hazard.go
@@ -1,6 +1,6 @@
-// Package hazard learns how often hosts of a data centre and class are
-// reclaimed, from notices, refused starts and losses, starting from the
-// operators' figures and forgetting what is long ago.
+// Package hazard estimates how often hosts of a data centre and class are reclaimed. The
+// estimates start from the operators' figures and follow notices, refused starts and
+// losses; old observations are forgotten.
 package hazard
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Pool is a class of hosts in one data centre.
+// Pool is the hosts of one class in one data centre.
 type Pool struct {
 	DataCenter string
 	Class      string
@@ -17,103 +17,104 @@
 
 // Parameters of the estimate.
 const (
-	// halfLife is how fast what was seen is forgotten.
+	// halfLife is the half-life of observed events and host-hours.
 	halfLife = 2 * time.Hour
-	// priorWeight is how many host-hours the operator's figure counts for.
+	// priorWeight is how many host-hours of observation the operator's figure weighs.
 	priorWeight = 5.0
-	// refusalWeight is what a refused start counts for, as a part of a
-	// reclaim: capacity that can't be bought is about to be taken back.
+	// refusalWeight is the weight of a refused start relative to a reclaim: capacity that
+	// the cloud does not sell is likely to be reclaimed soon.
 	refusalWeight = 0.3
-	// waveHalfLife is how fast the surge after a wave dies away.
+	// waveHalfLife is the half-life of the surge after a wave of reclaims.
 	waveHalfLife = 5 * time.Minute
-	// waveRate is the hazard an hour, added for a whole data centre's loss.
-	waveRate = 20.0
-	// neighbourShare is the part of that surge the other data centres get:
-	// waves often go on to the next.
-	neighbourShare = 0.25
+	// waveHazardPerHour is the surge after the loss of all of a pool's hosts, in reclaims
+	// of one host an hour.
+	waveHazardPerHour = 20.0
+	// otherDataCenterShare is the share of the surge that is added in the other data
+	// centres: waves often continue there.
+	otherDataCenterShare = 0.25
 )
 
-// Estimator holds the estimates. It is safe for concurrent use.
+// Estimator estimates the hazard of each pool. It is safe for concurrent use.
 type Estimator struct {
-	mu     sync.Mutex
-	places map[Pool]*estimate
+	mu    sync.Mutex
+	pools map[Pool]*estimate
 }
 
 // estimate is a rate with exponential forgetting.
 type estimate struct {
 	prior float64
-	// events and hours are weighted sums as of the time at.
-	events, hours float64
-	hosts         int
-	surge         float64
-	at            time.Time
+	// events and hostHours are weighted sums at updatedAt.
+	events, hostHours float64
+	hosts             int
+	surge             float64
+	updatedAt         time.Time
 }
 
-// New returns an estimator that knows nothing.
-func New() *Estimator { return &Estimator{places: map[Pool]*estimate{}} }
+// New returns an Estimator without any observations.
+func New() *Estimator { return &Estimator{pools: map[Pool]*estimate{}} }
 
-// defaultPrior is used for a place without an operator's figure.
+// defaultPrior is used for pools without an operator's figure.
 const defaultPrior = 0.05
 
-// SetPrior sets the operator's figure, in reclaims for one host an hour.
+// SetPrior sets the operator's figure, in reclaims of one host an hour.
 func (e *Estimator) SetPrior(p Pool, rate float64, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.get(p, now).prior = rate
+	e.estimateAt(p, now).prior = rate
 }
 
-// SetHosts tells how many hosts of a place are running.
+// SetHosts sets the number of running hosts of a pool.
 func (e *Estimator) SetHosts(p Pool, hosts int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.get(p, now).hosts = hosts
+	e.estimateAt(p, now).hosts = hosts
 }
 
-// RecordReclaim notes that hosts of a place got notice or were lost.
+// RecordReclaim records that hosts of a pool got a notice or were lost.
 func (e *Estimator) RecordReclaim(p Pool, hosts int, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := e.get(p, now)
-	held.events += float64(hosts)
-	share := float64(hosts) / math.Max(float64(held.hosts), float64(hosts))
-	held.surge += share * waveRate
-	for other := range e.places {
+	state := e.estimateAt(p, now)
+	state.events += float64(hosts)
+	share := float64(hosts) / math.Max(float64(state.hosts), float64(hosts))
+	state.surge += share * waveHazardPerHour
+	for other := range e.pools {
 		if other.DataCenter != p.DataCenter {
-			e.get(other, now).surge += share * waveRate * neighbourShare
+			e.estimateAt(other, now).surge += share * waveHazardPerHour * otherDataCenterShare
 		}
 	}
 }
 
-// RecordRefusal notes that the cloud refused to start a host.
+// RecordRefusal records that the cloud refused to start a host.
 func (e *Estimator) RecordRefusal(p Pool, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.get(p, now).events += refusalWeight
+	e.estimateAt(p, now).events += refusalWeight
 }
 
-// Rate returns reclaims expected for one host of the place an hour.
+// Rate returns the expected number of reclaims of one host of the pool an hour.
 func (e *Estimator) Rate(p Pool, now time.Time) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	held := e.get(p, now)
-	return (held.prior*priorWeight+held.events)/(priorWeight+held.hours) + held.surge
+	state := e.estimateAt(p, now)
+	return (state.prior*priorWeight+state.events)/(priorWeight+state.hostHours) + state.surge
 }
 
-// get returns a place's estimate brought forward to now. The lock is held.
-func (e *Estimator) get(p Pool, now time.Time) *estimate {
-	held, ok := e.places[p]
+// estimateAt returns the pool's estimate, decayed to now. The caller must hold e.mu.
+func (e *Estimator) estimateAt(p Pool, now time.Time) *estimate {
+	state, ok := e.pools[p]
 	if !ok {
-		held = &estimate{prior: defaultPrior, at: now}
-		e.places[p] = held
+		state = &estimate{prior: defaultPrior, updatedAt: now}
+		e.pools[p] = state
 	}
-	elapsed := now.Sub(held.at)
+	elapsed := now.Sub(state.updatedAt)
 	if elapsed <= 0 {
-		return held
+		return state
 	}
-	fade := math.Exp2(-float64(elapsed) / float64(halfLife))
-	held.events *= fade
-	held.hours = held.hours*fade + elapsed.Hours()*float64(held.hosts)
-	held.surge *= math.Exp2(-float64(elapsed) / float64(waveHalfLife))
-	held.at = now
-	return held
+	decay := math.Exp2(-float64(elapsed) / float64(halfLife))
+	state.events *= decay
+	state.hostHours = state.hostHours*decay + elapsed.Hours()*float64(state.hosts)
+	state.surge *= math.Exp2(-float64(elapsed) / float64(waveHalfLife))
+	state.updatedAt = now
+	return state
 }
