--- a/pkg/reclaim/reclaim.go
+++ b/pkg/reclaim/reclaim.go
@@ -1,7 +1,7 @@
-// Package reclaim decides what is done with running work when its endpoint is
-// given notice: let it finish, move its KV cache, or resume it elsewhere from
-// its tokens. The sums are in the open: tokens that need not be computed again,
-// for each byte that the notice leaves time to send.
+// Package reclaim decides what to do with running streams when their endpoint gets a
+// reclaim notice: let them finish, move their KV cache, or resume them elsewhere from
+// their tokens. It maximizes the tokens that need not be computed again for the bytes that
+// can be sent within the notice.
 package reclaim
 
 import (
@@ -13,205 +13,209 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Stream is one running stream on the endpoint that leaves.
+// Stream is a running stream on the leaving endpoint.
 type Stream struct {
-	// ID is the request.
+	// ID is the request's ID.
 	ID string
-	// KVTokens is the prompt's and the answer's tokens so far.
+	// KVTokens is the number of tokens of the prompt and of the answer so far.
 	KVTokens int
-	// RemainingTokens is how many tokens of answer are expected still.
+	// RemainingTokens is the expected number of answer tokens still to come.
 	RemainingTokens int
-	// TokenGap is the time between its tokens.
+	// TokenGap is the time between two tokens of the answer.
 	TokenGap time.Duration
-	// CachedElsewhere is how many of KVTokens other endpoints are thought to have
-	// cached, so that a move would not save them.
+	// CachedElsewhere is the estimated number of KVTokens that other endpoints have
+	// cached, which a move does not save.
 	CachedElsewhere int
-	// MayWait marks work that can be resumed later rather than now.
+	// MayWait marks work that may be resumed later instead of at once.
 	MayWait bool
 }
 
-// Destination is an endpoint that could take moved work.
+// Destination is an endpoint to which streams may be moved.
 type Destination struct {
 	Endpoint endpoint.Info
-	// FreeTokens is KV memory left there.
+	// FreeTokens is the free KV cache memory, in tokens.
 	FreeTokens int
-	// HazardPerHour is how likely it is to be reclaimed itself.
+	// HazardPerHour is the expected number of reclaims of the destination an hour.
 	HazardPerHour float64
-	// Running is its requests, Slots how many run at once.
+	// Running is the number of its running requests; Slots is how many can run at once.
 	Running, Slots int
 }
 
-// takes reports whether the destination has room for a stream. Work that can
-// wait needs memory alone: its cache is kept there until its turn comes.
-func (d *Destination) takes(w Stream) bool {
-	return d.Endpoint.AcceptsWork() && d.FreeTokens >= w.KVTokens+w.RemainingTokens && (w.MayWait || d.Running < d.Slots)
+// hasRoomFor reports whether the destination has room for a stream. Work that can wait
+// needs memory only: its cache is kept there until a slot is free for it.
+func (d *Destination) hasRoomFor(s Stream) bool {
+	return d.Endpoint.AcceptsWork() && d.FreeTokens >= s.KVTokens+s.RemainingTokens && (s.MayWait || d.Running < d.Slots)
 }
 
-// Limits are what the notice leaves.
+// Limits are the time and the bandwidth for moves.
 type Limits struct {
-	// Notice is the time until the endpoint goes.
+	// Notice is the time until the endpoint goes away.
 	Notice time.Duration
-	// BytesPerSecond is what this process may move off the endpoint, its part
-	// of the endpoint's bandwidth.
+	// BytesPerSecond is this process's share of the endpoint's bandwidth for moves.
 	BytesPerSecond float64
 	BytesPerToken  float64
 }
 
-// margin is left of the notice for what can't be reckoned: the news itself is
-// late, and a stream must be cancelled and started anew.
-const margin = 300 * time.Millisecond
+// noticeMargin is subtracted from the notice for delays that cannot be computed: the
+// notice itself arrives late, and a stream has to be cancelled and started again.
+const noticeMargin = 300 * time.Millisecond
 
-// Action is what is done with one stream.
+// Action is what to do with a stream.
 type Action interface{ action() }
 
-// Finish lets the stream run: it ends within the notice.
+// Finish lets the stream run, as it ends within the notice.
 type Finish struct{}
 
-// Move sends the KV cache to a destination and goes on there.
+// Move sends the KV cache to a destination and continues the stream there.
 type Move struct{ To endpoint.Info }
 
-// Resume goes on elsewhere from prompt and tokens, as late as the notice allows.
+// Resume continues the stream elsewhere from its prompt and tokens, as late as the notice
+// allows.
 type Resume struct{}
 
 func (Finish) action() {}
 func (Move) action()   {}
 func (Resume) action() {}
 
-// Step is one stream's part of a plan.
+// Step is the planned action for one stream.
 type Step struct {
 	Stream Stream
 	Action Action
-	// SavedTokens is what need not be computed again compared with Resume.
+	// SavedTokens is the number of tokens that need not be computed again, compared with
+	// Resume.
 	SavedTokens int
 }
 
-// Plan decides for all streams of one endpoint that are held here. Every
-// stream gets exactly one step; moves come first, in the order to carry out.
-func Plan(works []Stream, destinations []Destination, limits Limits, random *rand.Rand) []Step {
-	usable := limits.Notice - margin
+// Plan decides for all streams of one endpoint that this process runs. Every stream gets
+// exactly one step; moves come first, in the order in which to carry them out.
+func Plan(streams []Stream, destinations []Destination, limits Limits, random *rand.Rand) []Step {
+	usable := limits.Notice - noticeMargin
 	budget := usable.Seconds() * limits.BytesPerSecond
-	var steps, rest []Step
-	for _, w := range works {
-		if time.Duration(w.RemainingTokens)*w.TokenGap <= usable {
-			rest = append(rest, Step{w, Finish{}, w.KVTokens})
+	var steps, others []Step
+	for _, s := range streams {
+		if time.Duration(s.RemainingTokens)*s.TokenGap <= usable {
+			others = append(others, Step{s, Finish{}, s.KVTokens})
 			continue
 		}
-		steps = append(steps, Step{Stream: w, Action: Resume{}})
+		steps = append(steps, Step{Stream: s, Action: Resume{}})
 	}
-	chosen := choose(steps, budget, limits.BytesPerToken)
-	free := append([]Destination(nil), destinations...)
-	var moved []Step
+	selected := selectMoves(steps, budget, limits.BytesPerToken)
+	available := append([]Destination(nil), destinations...)
+	var moves []Step
 	for i, step := range steps {
-		if !chosen[i] {
-			rest = append(rest, step)
+		if !selected[i] {
+			others = append(others, step)
 			continue
 		}
-		to, ok := place(step.Stream, free, random)
+		to, ok := takeDestination(step.Stream, available, random)
 		if !ok {
-			rest = append(rest, step)
+			others = append(others, step)
 			continue
 		}
-		moved = append(moved, Step{step.Stream, Move{to}, saved(step.Stream)})
+		moves = append(moves, Step{step.Stream, Move{to}, savedTokens(step.Stream)})
 	}
-	// The largest saving first: if the notice is cut short, least is lost.
-	sort.SliceStable(moved, func(i, j int) bool { return moved[i].SavedTokens > moved[j].SavedTokens })
-	return append(moved, rest...)
+	// The largest savings come first, so that the least is lost if the notice is cut short.
+	sort.SliceStable(moves, func(i, j int) bool { return moves[i].SavedTokens > moves[j].SavedTokens })
+	return append(moves, others...)
 }
 
-// saved is how many tokens a move keeps from being computed again.
-func saved(w Stream) int { return max(w.KVTokens-w.CachedElsewhere, 0) }
+// savedTokens returns the number of tokens that need not be computed again after a move.
+func savedTokens(s Stream) int { return max(s.KVTokens-s.CachedElsewhere, 0) }
 
-func cost(w Stream, bytesPerToken float64) float64 { return float64(w.KVTokens) * bytesPerToken }
+func transferBytes(s Stream, bytesPerToken float64) float64 {
+	return float64(s.KVTokens) * bytesPerToken
+}
 
-// choose picks the streams to move within a budget of bytes: by savings for a
-// byte, then by size, filling what is left; or the one best alone if that
-// saves more, which bounds the loss against the optimum to a half.
-func choose(steps []Step, budget, bytesPerToken float64) []bool {
+// selectMoves selects the streams to move within a budget of bytes: greedily by savings per
+// byte, then by size. If the single stream with the largest saving saves more than all of
+// these, it is selected alone, which guarantees at least half of the optimum.
+func selectMoves(steps []Step, budget, bytesPerToken float64) []bool {
 	order := make([]int, len(steps))
 	for i := range order {
 		order[i] = i
 	}
-	sort.SliceStable(order, func(a, b int) bool { return better(steps[order[a]].Stream, steps[order[b]].Stream) })
-	chosen := make([]bool, len(steps))
-	total, spent := 0, 0.0
+	sort.SliceStable(order, func(a, b int) bool { return savesMorePerByte(steps[order[a]].Stream, steps[order[b]].Stream) })
+	selected := make([]bool, len(steps))
+	totalSaved, usedBytes := 0, 0.0
 	best := -1
 	for _, i := range order {
-		w := steps[i].Stream
-		c := cost(w, bytesPerToken)
-		if c > budget || saved(w) == 0 {
+		s := steps[i].Stream
+		bytes := transferBytes(s, bytesPerToken)
+		if bytes > budget || savedTokens(s) == 0 {
 			continue
 		}
-		if best < 0 || saved(w) > saved(steps[best].Stream) {
+		if best < 0 || savedTokens(s) > savedTokens(steps[best].Stream) {
 			best = i
 		}
-		if spent+c <= budget {
-			chosen[i] = true
-			spent += c
-			total += saved(w)
+		if usedBytes+bytes <= budget {
+			selected[i] = true
+			usedBytes += bytes
+			totalSaved += savedTokens(s)
 		}
 	}
-	if best >= 0 && saved(steps[best].Stream) > total {
-		chosen = make([]bool, len(steps))
-		chosen[best] = true
+	if best >= 0 && savedTokens(steps[best].Stream) > totalSaved {
+		selected = make([]bool, len(steps))
+		selected[best] = true
 	}
-	return chosen
+	return selected
 }
 
-// better orders by savings for a byte, the larger stream first among equals.
-func better(a, b Stream) bool {
-	left := saved(a) * b.KVTokens
-	right := saved(b) * a.KVTokens
+// savesMorePerByte sorts streams by savings per byte, the larger stream first among equals.
+func savesMorePerByte(a, b Stream) bool {
+	left := savedTokens(a) * b.KVTokens
+	right := savedTokens(b) * a.KVTokens
 	if left != right {
 		return left > right
 	}
 	return a.KVTokens > b.KVTokens
 }
 
-// place finds room for a stream and takes it: of two destinations drawn among
-// those with room, the one that is safer, then the one that is less busy. The
-// draw keeps entries that decide at the same moment from all choosing the same
-// destination (Mitzenmacher 2001).
-func place(w Stream, free []Destination, random *rand.Rand) (endpoint.Info, bool) {
-	var room []int
-	for i := range free {
-		if free[i].takes(w) {
-			room = append(room, i)
+// takeDestination picks a destination for a stream and reserves room there. It draws two of
+// the destinations with room and picks the one with the lower hazard, then the one with
+// fewer running requests. The random draw keeps entries that decide at the same moment from
+// all picking the same destination (Mitzenmacher 2001).
+func takeDestination(s Stream, destinations []Destination, random *rand.Rand) (endpoint.Info, bool) {
+	var candidates []int
+	for i := range destinations {
+		if destinations[i].hasRoomFor(s) {
+			candidates = append(candidates, i)
 		}
 	}
-	if len(room) == 0 {
+	if len(candidates) == 0 {
 		return endpoint.Info{}, false
 	}
-	best := &free[room[random.IntN(len(room))]]
-	if other := &free[room[random.IntN(len(room))]]; other.before(best) {
+	best := &destinations[candidates[random.IntN(len(candidates))]]
+	if other := &destinations[candidates[random.IntN(len(candidates))]]; other.preferredTo(best) {
 		best = other
 	}
-	best.FreeTokens -= w.KVTokens + w.RemainingTokens
+	best.FreeTokens -= s.KVTokens + s.RemainingTokens
 	best.Running++
 	return best.Endpoint, true
 }
 
-// hazardStep tells hazards apart in steps of a factor of two: a small difference is no reason to crowd an endpoint.
-func hazardStep(perHour float64) int {
+// hazardBucket rounds a hazard down to a power of two and returns the exponent, so that
+// small differences do not concentrate streams on one endpoint.
+func hazardBucket(perHour float64) int {
 	if perHour <= 0 {
 		return math.MinInt
 	}
 	return int(math.Floor(math.Log2(perHour)))
 }
 
-// before reports whether d is the better destination.
-func (d *Destination) before(other *Destination) bool {
-	if a, b := hazardStep(d.HazardPerHour), hazardStep(other.HazardPerHour); a != b {
+// preferredTo reports whether d is the better destination.
+func (d *Destination) preferredTo(other *Destination) bool {
+	if a, b := hazardBucket(d.HazardPerHour), hazardBucket(other.HazardPerHour); a != b {
 		return a < b
 	}
 	return d.Running < other.Running
 }
 
-// ResumeAll is what the plan is measured against: every stream runs until its
-// endpoint goes, and what is left is computed again elsewhere.
-func ResumeAll(works []Stream) []Step {
-	steps := make([]Step, len(works))
-	for i, w := range works {
-		steps[i] = Step{Stream: w, Action: Resume{}}
+// ResumeAll is the baseline to which tests compare Plan: every stream runs until its
+// endpoint goes away, and its tokens are computed again elsewhere.
+func ResumeAll(streams []Stream) []Step {
+	steps := make([]Step, len(streams))
+	for i, s := range streams {
+		steps[i] = Step{Stream: s, Action: Resume{}}
 	}
 	return steps
 }
