--- a/pkg/enginemodel/enginemodel.go
+++ b/pkg/enginemodel/enginemodel.go
@@ -1,8 +1,8 @@
-// Package enginemodel learns from answers how fast a service's engines are: the
-// time to a first token as a fixed part and a part for each prompt token read
-// before it, and the time between tokens. Estimates are medians of the latest
-// answers, so that the slow and the failing among the endpoints do not move them.
-// Nothing here is safe for concurrent use, reads a clock or does I/O.
+// Package enginemodel estimates the speed of a service's engines from their answers: the
+// time to the first token, as a fixed time plus a time for each prompt token processed
+// before it, and the time between tokens. Estimates are medians and quantiles of the latest
+// samples, so that a few slow or failing endpoints do not distort them. The package is not
+// safe for concurrent use, reads no clock and does no I/O.
 package enginemodel
 
 import (
@@ -11,143 +11,147 @@
 	"time"
 )
 
-// Timings say how fast an engine is.
+// Timings describe the speed of an engine.
 type Timings struct {
-	// FixedTime is the part of the time to a first token that no prompt token adds to.
+	// FixedTime is the part of the time to the first token that does not depend on the
+	// number of prompt tokens.
 	FixedTime time.Duration
-	// PrefillPerToken is the time for one token of a prompt.
+	// PrefillPerToken is the time to process one prompt token.
 	PrefillPerToken time.Duration
 	// TokenGap is the time between two tokens of an answer.
 	TokenGap time.Duration
 }
 
-// TimeToFirstToken returns the time to the first token behind some prompt tokens, the
-// request's own among them.
-func (f Timings) TimeToFirstToken(tokens int) time.Duration {
-	return f.FixedTime + time.Duration(tokens)*f.PrefillPerToken
+// TimeToFirstToken returns the time to the first token if tokens prompt tokens, including
+// the request's own, have to be processed before it.
+func (t Timings) TimeToFirstToken(tokens int) time.Duration {
+	return t.FixedTime + time.Duration(tokens)*t.PrefillPerToken
 }
 
-// Sample is what one answer has shown.
+// Sample is the timing of one answer.
 type Sample struct {
-	// PrefillTokens is the prompt tokens that were reckoned to be read before the first
+	// PrefillTokens is the estimated number of prompt tokens processed before the first
 	// token: the request's own that were not cached, and those queued before it.
 	PrefillTokens int
-	// FirstToken is the time from the send to the first token.
+	// FirstToken is the time from sending the request to the first token.
 	FirstToken time.Duration
-	// DecodedTokens is the tokens that followed the first ones, in Decode; 0 if not measured.
+	// DecodedTokens is the number of tokens after the first ones, which took DecodeTime;
+	// 0 if not measured.
 	DecodedTokens int
 	DecodeTime    time.Duration
 }
 
 // Parameters of the estimates.
 const (
-	// kept is how many answers an estimate looks back. Of 32, ten may be far off
-	// (slow endpoints, prompts thought cached) without moving the slope.
-	kept = 32
-	// enough is how many answers make an estimate: after 12 the prefill rate is
-	// 5 % off in the mean (BenchmarkConverges).
-	enough = 12
-	// fitEvery is how many answers come between two fits, which cost 40 µs each (BenchmarkLearn).
-	fitEvery = 4
-	// fixedQuantile is of the times that the prompt does not explain. Those above
-	// met a queue that was not known here.
-	fixedQuantile = 0.25
-	// leastSpread is the least difference in tokens between two answers that tell
-	// of the slope: below it the step of an engine's batch hides it.
-	leastSpread = 500
-	// leastMade is the fewest tokens that tell of the gap between them.
-	leastMade = 16
+	// sampleWindow is the number of latest samples that an estimate uses. Of 32 samples,
+	// ten can be far off (slow endpoints, prompts wrongly assumed to be cached) without
+	// changing the slope.
+	sampleWindow = 32
+	// minSamples is the number of samples needed for an estimate: after 12 the mean error
+	// of the prefill time is 5 % (BenchmarkConverges).
+	minSamples = 12
+	// samplesPerFit is the number of samples between two fits, as a fit costs 40 µs
+	// (BenchmarkObserve).
+	samplesPerFit = 4
+	// fixedTimeQuantile is the quantile of the times not explained by the prompt that is
+	// used as the fixed time. Larger times include a queue that the caller did not know of.
+	fixedTimeQuantile = 0.25
+	// minTokenSpread is the least difference in tokens of two samples that are used for the
+	// slope: smaller differences are hidden by the step of the engine's batches.
+	minTokenSpread = 500
+	// minDecodedTokens is the least number of tokens from which the token gap is computed.
+	minDecodedTokens = 16
 )
 
-// Estimator is what is known of a service's engines together.
+// Estimator estimates the timings of a service's engines, over all of them.
 type Estimator struct {
-	figures Timings
-	answers ring[point]
-	gaps    ring[float64]
-	seen    int
+	timings   Timings
+	points    ring[point]
+	tokenGaps ring[float64]
+	observed  int
 }
 
-// point is one answer: time to the first token over the tokens before it.
+// point is one sample: the time to the first token over the tokens before it.
 type point struct{ tokens, seconds float64 }
 
-// NewEstimator returns a service of which nothing is known but prior.
-func NewEstimator(prior Timings) *Estimator { return &Estimator{figures: prior} }
+// NewEstimator returns an Estimator that returns prior until it has enough samples.
+func NewEstimator(prior Timings) *Estimator { return &Estimator{timings: prior} }
 
-// Timings returns the estimate.
-func (s *Estimator) Timings() Timings { return s.figures }
+// Timings returns the present estimate.
+func (e *Estimator) Timings() Timings { return e.timings }
 
-// Observe takes in an answer.
-func (s *Estimator) Observe(a Sample) {
-	if a.DecodedTokens >= leastMade && a.DecodeTime > 0 {
-		s.gaps.add(a.DecodeTime.Seconds() / float64(a.DecodedTokens))
+// Observe records a sample.
+func (e *Estimator) Observe(sample Sample) {
+	if sample.DecodedTokens >= minDecodedTokens && sample.DecodeTime > 0 {
+		e.tokenGaps.add(sample.DecodeTime.Seconds() / float64(sample.DecodedTokens))
 	}
-	if a.FirstToken <= 0 {
+	if sample.FirstToken <= 0 {
 		return
 	}
-	s.answers.add(point{float64(a.PrefillTokens), a.FirstToken.Seconds()})
-	s.seen++
-	if s.seen >= enough && s.seen%fitEvery == 0 {
-		s.fit()
+	e.points.add(point{float64(sample.PrefillTokens), sample.FirstToken.Seconds()})
+	e.observed++
+	if e.observed >= minSamples && e.observed%samplesPerFit == 0 {
+		e.fit()
 	}
 }
 
-// fit estimates the figures anew.
-func (s *Estimator) fit() {
-	if gaps := s.gaps.values(); len(gaps) >= enough {
-		s.figures.TokenGap = seconds(quantile(gaps, 0.5))
+// fit updates the estimate from the latest samples.
+func (e *Estimator) fit() {
+	if gaps := e.tokenGaps.values(); len(gaps) >= minSamples {
+		e.timings.TokenGap = seconds(quantile(gaps, 0.5))
 	}
-	points := s.answers.values()
+	points := e.points.values()
 	slope, ok := theilSen(points)
 	if !ok {
 		return
 	}
-	rest := make([]float64, 0, len(points))
+	residuals := make([]float64, 0, len(points))
 	for _, p := range points {
-		rest = append(rest, p.seconds-slope*p.tokens)
+		residuals = append(residuals, p.seconds-slope*p.tokens)
 	}
-	s.figures.PrefillPerToken = seconds(slope)
-	s.figures.FixedTime = seconds(max(quantile(rest, fixedQuantile), 0))
+	e.timings.PrefillPerToken = seconds(slope)
+	e.timings.FixedTime = seconds(max(quantile(residuals, fixedTimeQuantile), 0))
 }
 
-// theilSen returns the median slope over pairs of points (Theil 1950, Sen 1968).
-// ok is false where too few pairs tell of it.
+// theilSen returns the median slope over pairs of points (Theil 1950, Sen 1968). ok is false
+// if there are too few pairs at least minTokenSpread apart, or if the slope is not positive.
 func theilSen(points []point) (slope float64, ok bool) {
 	var slopes []float64
 	for i, a := range points {
 		for _, b := range points[:i] {
-			if spread := a.tokens - b.tokens; math.Abs(spread) >= leastSpread {
+			if spread := a.tokens - b.tokens; math.Abs(spread) >= minTokenSpread {
 				slopes = append(slopes, (a.seconds-b.seconds)/spread)
 			}
 		}
 	}
-	if len(slopes) < enough {
+	if len(slopes) < minSamples {
 		return 0, false
 	}
 	slope = quantile(slopes, 0.5)
 	return slope, slope > 0
 }
 
-// quantile sorts the values.
-func quantile(values []float64, part float64) float64 {
+// quantile returns a quantile of values, which it sorts in place.
+func quantile(values []float64, q float64) float64 {
 	slices.Sort(values)
-	return values[min(int(part*float64(len(values))), len(values)-1)]
+	return values[min(int(q*float64(len(values))), len(values)-1)]
 }
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-// ring keeps the latest values.
+// ring holds the latest values.
 type ring[T any] struct {
-	held [kept]T
-	// count is of all values ever added.
-	count int
+	buffer [sampleWindow]T
+	// added counts all values ever added.
+	added int
 }
 
 func (r *ring[T]) add(v T) {
-	r.held[r.count%kept] = v
-	r.count++
+	r.buffer[r.added%sampleWindow] = v
+	r.added++
 }
 
-// values returns a copy, in no order.
+// values returns a copy of the values, in no particular order.
 func (r *ring[T]) values() []T {
-	return append([]T(nil), r.held[:min(r.count, kept)]...)
+	return append([]T(nil), r.buffer[:min(r.added, sampleWindow)]...)
 }
