--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -16,38 +16,39 @@
 	"ironhollow/pkg/upstream"
 )
 
-// result is the end of one send: notRun, unclear, answered or streaming.
+// result is the outcome of one attempt: notRun, unclear, answered or streaming.
 type result interface{ result() }
 
-// notRun says that the request did not run and will not by this send.
+// notRun means that the request did not run and will not run because of this attempt.
 type notRun struct {
-	// reached says that the endpoint meant itself turned the request away, arrived
-	// that some endpoint did.
-	reached, arrived bool
-	// moved says that another instance has the address of the one meant.
+	// rejectedByTarget is set if the chosen endpoint itself rejected the request,
+	// rejectedByAny if any endpoint did.
+	rejectedByTarget, rejectedByAny bool
+	// moved is set if another instance now has the address of the chosen endpoint.
 	moved bool
 	err   error
 }
 
-// unclear says that the request may have run.
+// unclear means that the request may have run.
 type unclear struct{ err error }
 
-// answered is a whole answer, or the head of one too long to be held.
+// answered is a complete response, or the start of one that is too long to buffer.
 type answered struct {
 	status int
 	header http.Header
 	body   []byte
-	// rest is nil if body is all.
-	rest *upstream.Exchange
-	// choice is where it comes from, hasEnd says that it told where it ends.
-	choice route.Choice
-	hasEnd bool
+	// unread is nil if body is the whole response body.
+	unread *upstream.Exchange
+	// choice is the endpoint choice that the response comes from; delimited is set if the
+	// response has a length or is chunked, so that a truncated body is noticed.
+	choice    route.Choice
+	delimited bool
 }
 
-// streaming is the head of a stream whose events are yet to be read.
+// streaming is the head of a stream whose events have not been read.
 type streaming struct {
-	exchange *upstream.Exchange
-	tracked  *rollout.Send
+	exchange    *upstream.Exchange
+	rolloutSend *rollout.Send
 }
 
 func (notRun) result()    {}
@@ -55,26 +56,27 @@
 func (answered) result()  {}
 func (streaming) result() {}
 
-// Parameters of a send.
+// Parameters of an attempt.
 const (
-	// holdBytes is how long a body may be to be read whole before its first
-	// byte is passed on: what breaks off before can still be answered in order.
-	holdBytes = 64 << 10
-	// onceIdle is how long a connection may have rested for a request that
-	// can't be sent again: it must not meet one that the endpoint just closes.
-	onceIdle = 7 * time.Second
+	// maxBufferedBytes is the size up to which a body is read in full before its first
+	// byte is forwarded, so that a response that breaks off can still be replaced by an
+	// error response.
+	maxBufferedBytes = 64 << 10
+	// nonRepeatableMaxIdle is how long a connection may have been idle for a request
+	// that can't be sent again: the endpoint may be closing one that was idle for longer.
+	nonRepeatableMaxIdle = 7 * time.Second
 )
 
 var (
-	errForeign  = errors.New("the answer belongs to another request")
-	errUnsigned = errors.New("the answer bears no signature")
+	errWrongRequestID = errors.New("response has the id of another request")
+	errUnsigned       = errors.New("response has no signature")
 )
 
-// send sends the request to the chosen endpoint once and reads its answer.
-func (c *call) send(ctx context.Context, choice route.Choice, lastEvent string) result {
-	request := c.request(choice, lastEvent)
+// send sends the request to the chosen endpoint once and reads its response.
+func (c *call) send(ctx context.Context, choice route.Choice, lastEventID string) result {
+	request := c.newRequest(choice, lastEventID)
 	c.sentAt = c.f.clock()
-	c.said = endpoint.Notice{}
+	c.notice = endpoint.Notice{}
 	outcome := c.f.pool.Send(ctx, choice.Endpoint.Address, c.connectionLimit(), request)
 	switch o := outcome.(type) {
 	case upstream.NotSent:
@@ -82,13 +84,13 @@
 	case upstream.Unclear:
 		return unclear{o.Err}
 	case upstream.Answered:
-		return c.judge(choice, o.Exchange)
+		return c.classify(choice, o.Exchange)
 	default:
-		return unclear{fmt.Errorf("outcome %T", outcome)}
+		return unclear{fmt.Errorf("unexpected outcome %T", outcome)}
 	}
 }
 
-func (c *call) request(choice route.Choice, lastEvent string) upstream.Request {
+func (c *call) newRequest(choice route.Choice, lastEventID string) upstream.Request {
 	h := make(http.Header, len(c.header)+3)
 	for name, values := range c.header {
 		h[name] = values
@@ -99,12 +101,12 @@
 		Team:        c.teamName(),
 		Priority:    c.priority,
 		HasPriority: choice.Endpoint.Engine,
-		LastEventID: lastEvent,
+		LastEventID: lastEventID,
 	})
 	return upstream.Request{
-		Method:  c.in.Method,
-		Target:  c.in.RequestURI,
-		Host:    c.in.Host,
+		Method:  c.incoming.Method,
+		Target:  c.incoming.RequestURI,
+		Host:    c.incoming.Host,
 		Header:  h,
 		Body:    c.body,
 		HasBody: c.hasBody,
@@ -112,7 +114,7 @@
 	}
 }
 
-// connectionLimit is this entry's part of the connections an endpoint accepts.
+// connectionLimit is this entry host's share of the connections that an endpoint accepts.
 func (c *call) connectionLimit() int {
 	if c.service.Connections == 0 {
 		return 0
@@ -120,24 +122,24 @@
 	return max(int(c.f.fleet.Share()*float64(c.service.Connections)), 1)
 }
 
-// judge tells what an answer's head says and reads its body.
-func (c *call) judge(choice route.Choice, e *upstream.Exchange) result {
-	verdict := c.f.protocol.DecodeResponse(e.Status(), e.Header())
-	if verdict.RequestID != c.meta.ID {
+// classify turns the head of a response into a result and reads its body.
+func (c *call) classify(choice route.Choice, e *upstream.Exchange) result {
+	meta := c.f.protocol.DecodeResponse(e.Status(), e.Header())
+	if meta.RequestID != c.meta.ID {
 		e.Spoil()
 		e.Close()
-		return unclear{errForeign}
+		return unclear{errWrongRequestID}
 	}
-	if e.Status()/100 != 2 || verdict.Signed {
-		c.said = noticeOf(verdict)
-		c.f.notices.ApplyAnswer(choice.Endpoint, c.said, c.sentAt, c.f.clock())
+	if e.Status()/100 != 2 || meta.Signed {
+		c.notice = noticeOf(meta)
+		c.f.notices.ApplyAnswer(choice.Endpoint, c.notice, c.sentAt, c.f.clock())
 	}
-	if verdict.NotRun {
-		drain(e)
+	if meta.NotRun {
+		drainBody(e)
 		e.Close()
-		return notRun{reached: !verdict.Moved, arrived: true, moved: verdict.Moved, err: fmt.Errorf("the endpoint turned it away with %d", e.Status())}
+		return notRun{rejectedByTarget: !meta.Moved, rejectedByAny: true, moved: meta.Moved, err: fmt.Errorf("endpoint rejected the request with status %d", e.Status())}
 	}
-	if e.Status()/100 == 2 && !verdict.Signed {
+	if e.Status()/100 == 2 && !meta.Signed {
 		e.Spoil()
 		e.Close()
 		return unclear{errUnsigned}
@@ -145,47 +147,47 @@
 	if e.Status()/100 == 2 && strings.HasPrefix(e.Header().Get("Content-Type"), "text/event-stream") {
 		return streaming{exchange: e}
 	}
-	return readAnswer(choice, e)
+	return readResponse(choice, e)
 }
 
-// noticeOf returns what an answer says of the endpoint that was meant: that it is not there,
-// where another instance has its address. A success without a signature may be anybody's
-// bytes, and is not asked.
-func noticeOf(v ResponseMeta) endpoint.Notice {
-	if v.Moved {
+// noticeOf returns what a response reports about the chosen endpoint: only that it is not
+// there, if another instance has its address. It must not be called for a success without a
+// signature, whose bytes may come from anyone.
+func noticeOf(meta ResponseMeta) endpoint.Notice {
+	if meta.Moved {
 		return endpoint.Notice{Moved: true}
 	}
-	notice := v.Notice
-	notice.Refused = v.NotRun
+	notice := meta.Notice
+	notice.Refused = meta.NotRun
 	return notice
 }
 
-// drain reads the rest of a short body, so that its connection can be kept.
-func drain(e *upstream.Exchange) {
-	_, _ = io.CopyN(io.Discard, e, holdBytes)
+// drainBody reads the rest of a short body, so that its connection can be reused.
+func drainBody(e *upstream.Exchange) {
+	_, _ = io.CopyN(io.Discard, e, maxBufferedBytes)
 }
 
-// readAnswer reads a body up to holdBytes.
-func readAnswer(choice route.Choice, e *upstream.Exchange) result {
-	var held bytes.Buffer
-	_, err := io.CopyN(&held, e, holdBytes)
+// readResponse reads up to maxBufferedBytes of a body.
+func readResponse(choice route.Choice, e *upstream.Exchange) result {
+	var buffered bytes.Buffer
+	_, err := io.CopyN(&buffered, e, maxBufferedBytes)
 	switch {
 	case errors.Is(err, io.EOF):
 		e.Close()
-		return answered{status: e.Status(), header: e.Header(), body: held.Bytes(), choice: choice, hasEnd: e.HasEnd()}
+		return answered{status: e.Status(), header: e.Header(), body: buffered.Bytes(), choice: choice, delimited: e.HasEnd()}
 	case err != nil:
 		e.Close()
-		return unclear{fmt.Errorf("the answer broke off after %d bytes: %w", held.Len(), err)}
+		return unclear{fmt.Errorf("the answer broke off after %d bytes: %w", buffered.Len(), err)}
 	default:
-		return answered{status: e.Status(), header: e.Header(), body: held.Bytes(), rest: e, choice: choice, hasEnd: e.HasEnd()}
+		return answered{status: e.Status(), header: e.Header(), body: buffered.Bytes(), unread: e, choice: choice, delimited: e.HasEnd()}
 	}
 }
 
-// ending tells the router how a send ended.
-func ending(r result) route.Result {
+// routerResult returns the outcome of an attempt for the router.
+func routerResult(r result) route.Result {
 	switch r := r.(type) {
 	case notRun:
-		return route.Result{Failed: !r.reached, Refused: r.reached}
+		return route.Result{Failed: !r.rejectedByTarget, Refused: r.rejectedByTarget}
 	case unclear:
 		return route.Result{Failed: !errors.Is(r.err, context.Canceled)}
 	case answered:
--- a/pkg/forward/crash.go
+++ b/pkg/forward/crash.go
@@ -14,28 +14,30 @@
 	"ironhollow/pkg/upstream"
 )
 
-// A request may end each endpoint that runs it, and comes again at any host. What is
-// known of it must therefore outlive its try: by its fingerprint, over all hosts.
-// Before, one such request ended 11 endpoints in 13 s, with all that ran there.
+// A request may crash each endpoint that runs it, and be retried through any host. What is
+// known of it must therefore outlive a single attempt: it is kept by the request's
+// fingerprint and shared by all hosts. Before that, one such request ended 11 endpoints in
+// 13 s, with all that ran there.
 
-// errQuarantined refuses a request under which several endpoints have ended.
+// errQuarantined rejects a request under which several endpoints have ended.
 var errQuarantined = code.New(code.Quarantined, "endpoints ended under this request")
 
-// held returns how much longer the request is held back.
-func (c *call) held() (left time.Duration, held bool) {
+// quarantined returns how much longer the request is quarantined.
+func (c *call) quarantined() (remaining time.Duration, held bool) {
 	return c.f.poison.Held(c.fingerprint, c.f.clock())
 }
 
-// noteRun takes in what the end of a send shows of the request and of its endpoint.
-func (c *call) noteRun(ctx context.Context, choice route.Choice, r result) {
+// recordOutcome records what the outcome of an attempt shows about the request and its
+// endpoint.
+func (c *call) recordOutcome(ctx context.Context, choice route.Choice, r result) {
 	switch r := r.(type) {
 	case answered:
-		if r.rest == nil {
-			c.noteWhole(r.status, r.hasEnd)
+		if r.unread == nil {
+			c.recordCompletion(r.status, r.delimited)
 		}
 	case unclear:
 		if ctx.Err() == nil {
-			c.noteBreak(choice, r.err)
+			c.recordBreak(choice, r.err)
 		}
 	case notRun:
 		switch {
@@ -47,36 +49,37 @@
 	}
 }
 
-// noteWhole notes that an answer came whole: its endpoint has outlived the request. A
-// failure shows nothing of that, nor does an answer that may have broken off at its end.
-func (c *call) noteWhole(status int, hasEnd bool) {
-	if hasEnd && status < http.StatusInternalServerError {
+// recordCompletion records that a response was complete: its endpoint survived the request.
+// A server error does not show that, nor does a response without a length that may have
+// been truncated.
+func (c *call) recordCompletion(status int, delimited bool) {
+	if delimited && status < http.StatusInternalServerError {
 		c.f.poison.Sound(c.fingerprint, c.f.clock())
 	}
 }
 
-// leastPlanned is how long a run has lasted at least that a planned end breaks off: an
-// endpoint that leaves serves on for two seconds.
-const leastPlanned = time.Second
+// minPlannedRun is how long a run must have lasted for a planned shutdown to have
+// interrupted it: an endpoint that leaves serves on for two seconds.
+const minPlannedRun = time.Second
 
-// noteBreak notes that an endpoint broke a run off, unless its end was planned: it has
-// said that it leaves, or its row has gone, while it ran what it had.
-func (c *call) noteBreak(choice route.Choice, err error) {
-	if c.in.Context().Err() != nil || !isBreak(err) {
+// recordBreak records that a run broke off at an endpoint, unless the endpoint's shutdown was
+// planned: while it ran the request, it reported that it leaves or its row was removed.
+func (c *call) recordBreak(choice route.Choice, err error) {
+	if c.incoming.Context().Err() != nil || !isPeerDisconnect(err) {
 		return
 	}
 	id := choice.Endpoint.ID
 	info, ok := c.f.router.Lookup(id)
-	if leaves := !ok || info.State != endpoint.Live; leaves && c.f.clock().Sub(c.sentAt) >= leastPlanned {
+	if leaving := !ok || info.State != endpoint.Live; leaving && c.f.clock().Sub(c.sentAt) >= minPlannedRun {
 		return
 	}
 	if c.f.poison.Broke(id, c.fingerprint, c.f.clock()) {
-		go c.f.lookAt(id, choice.Endpoint.Address, c.connectionLimit())
+		go c.f.probeEndpoint(id, choice.Endpoint.Address, c.connectionLimit())
 	}
 }
 
-// isBreak reports whether a connection's error is of its other end.
-func isBreak(err error) bool {
+// isPeerDisconnect reports whether a connection error was caused by the other end.
+func isPeerDisconnect(err error) bool {
 	for _, broken := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
 		if errors.Is(err, broken) {
 			return true
@@ -85,19 +88,19 @@
 	return false
 }
 
-// Times of a look at an endpoint where a run broke off.
+// Timing of the probe of an endpoint where a run broke off.
 const (
-	// lookAfter lets an endpoint that ends close its other connections and its port.
-	lookAfter = 20 * time.Millisecond
-	lookTime  = time.Second
+	// probeDelay lets an endpoint that exits close its other connections and its port.
+	probeDelay   = 20 * time.Millisecond
+	probeTimeout = time.Second
 )
 
-// lookAt finds out at once whether an endpoint has ended: its row tells seconds later,
-// when the request may have come again three times.
-func (f *Forwarder) lookAt(id, address string, limit int) {
-	time.Sleep(lookAfter)
+// probeEndpoint finds out at once whether an endpoint has exited: its row shows that only
+// seconds later, when the request may have been retried three times.
+func (f *Forwarder) probeEndpoint(id, address string, limit int) {
+	time.Sleep(probeDelay)
 	f.poison.LookBegins(id)
-	ctx, cancel := context.WithTimeout(context.Background(), lookTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if f.pool.Look(ctx, address, limit) == upstream.Refusing {
 		f.poison.EndpointEnded(id, "refused look", f.clock())
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -21,61 +21,61 @@
 	"ironhollow/pkg/upstream"
 )
 
-// RouteTableSource gives the configuration in force.
+// RouteTableSource provides the route table of the configuration in force.
 type RouteTableSource interface {
-	// Current returns nil while no configuration is known. fresh is false while
-	// a newer one may be in force of which this process has not heard.
+	// Current returns nil while no configuration is known. fresh is false while a newer
+	// one may be in force that this process has not received.
 	Current() (table *routetable.Table, fresh bool)
 }
 
-// RunCounter counts requests that began to run, for usage.
+// RunCounter counts requests that started to run, for usage.
 type RunCounter interface{ RunStarted(team string) }
 
 // Fleet is what is known of the entry hosts.
 type Fleet interface {
-	// Advertised is how many hosts callers are told.
+	// Advertised is how many hosts are advertised to callers.
 	Advertised() int
-	// Share is the part of a bound on all hosts together that this one may use.
+	// Share is the share of a fleet-wide limit that this host may use.
 	Share() float64
-	// Sharing is how many hosts may serve, those that are not heard too.
+	// Sharing is how many hosts may be serving, including silent ones.
 	Sharing() int
 }
 
-// Clock tells the time that decisions are taken with.
+// Clock returns the time that decisions are based on.
 type Clock func() time.Time
 
 // Forwarder is the handler of callers' requests. It is safe for concurrent use.
 type Forwarder struct {
-	protocol Protocol
-	tables   RouteTableSource
-	router   *route.Router
-	limits   *limit.Shared
-	budget   *retry.Window
-	pool     *upstream.Pool
-	runs     RunCounter
-	fleet    Fleet
-	rollouts *rollout.Switch
-	poison   *poison.Watch
-	notices  *notice.Board
-	clock    Clock
-	metrics  *Metrics
-	log      *log.Logger
-	lines    *lineBudget
-	phase    func() Phase
+	protocol   Protocol
+	tables     RouteTableSource
+	router     *route.Router
+	limits     *limit.Shared
+	budget     *retry.Window
+	pool       *upstream.Pool
+	runCounter RunCounter
+	fleet      Fleet
+	rollouts   *rollout.Switch
+	poison     *poison.Watch
+	notices    *notice.Board
+	clock      Clock
+	metrics    *Metrics
+	log        *log.Logger
+	logLimit   *logLimiter
+	phase      func() Phase
 }
 
-// Phase is how far the process is on its way to its end.
+// Phase is the lifecycle phase of the process.
 type Phase int
 
 // The phases.
 const (
-	// Serving is all the time before a stop.
+	// Serving lasts until shutdown begins.
 	Serving Phase = iota
-	// Draining asks callers to leave their connections, and serves.
+	// Draining serves requests and asks callers to close their connections.
 	Draining
-	// Stopping turns streams away: they would not be whole before the end.
+	// Stopping rejects streams, which would not be complete before the process exits.
 	Stopping
-	// Starting is until the process knows all that it needs to serve.
+	// Starting lasts until the process has all that it needs to serve.
 	Starting
 )
 
@@ -85,27 +85,27 @@
 ) *Forwarder {
 	return &Forwarder{
 		protocol: protocol, tables: tables, router: router, limits: limits, budget: budget, pool: pool,
-		runs: runs, fleet: fleet, rollouts: rollouts, poison: watch, notices: notices, phase: phase, clock: clock, metrics: metrics, log: logger, lines: newLineBudget(clock()),
+		runCounter: runs, fleet: fleet, rollouts: rollouts, poison: watch, notices: notices, phase: phase, clock: clock, metrics: metrics, log: logger, logLimit: newLogLimiter(clock()),
 	}
 }
 
-// Times callers are told to come back after.
+// Retry-After values and the default body limit.
 const (
-	// comeBackSoon is where a place or an endpoint is expected within moments.
-	comeBackSoon = 300 * time.Millisecond
-	// comeBackElsewhere is where another host takes the request at once.
-	comeBackElsewhere = 20 * time.Millisecond
-	// comeBackConfigured is where this process has no configuration yet.
-	comeBackConfigured = 500 * time.Millisecond
-	// defaultBody bounds a body where the configuration does not.
-	defaultBody = 4 << 20
+	// retryAfterShort is for capacity that is expected to be free within moments.
+	retryAfterShort = 300 * time.Millisecond
+	// retryAfterOtherHost is for requests that another host accepts at once.
+	retryAfterOtherHost = 20 * time.Millisecond
+	// retryAfterNoConfig is for a process that has no configuration yet.
+	retryAfterNoConfig = 500 * time.Millisecond
+	// defaultMaxBodyBytes limits a body where the configuration does not.
+	defaultMaxBodyBytes = 4 << 20
 )
 
 // call is one request of a caller.
 type call struct {
 	f        *Forwarder
 	w        http.ResponseWriter
-	in       *http.Request
+	incoming *http.Request
 	meta     RequestMeta
 	table    *routetable.Table
 	route    *routetable.Route
@@ -119,91 +119,91 @@
 	hasBody  bool
 	// fingerprint is set once the body has been read.
 	fingerprint poison.Fingerprint
-	// offered says that an endpoint was sent the request and could run it.
-	offered bool
-	// sentAt is when it was sent last.
+	// delivered is set once an endpoint has received the request and could run it.
+	delivered bool
+	// sentAt is the time of the latest attempt.
 	sentAt time.Time
-	// said is what the answer to the latest send says of its endpoint.
-	said endpoint.Notice
-	// avoid lists endpoints it failed at.
+	// notice is what the response to the latest attempt reports about its endpoint.
+	notice endpoint.Notice
+	// avoid lists the endpoints that the request failed at.
 	avoid []endpoint.Ref
-	// side is the versions of endpoints that it goes to, kind what its answers show of
-	// them.
+	// side selects the endpoint versions that the request goes to; kind is the kind of
+	// evidence that its answers give about them.
 	side     rollout.Side
 	kind     rollout.Kind
 	attempts int
-	// comeBack is when the caller is told to return, above 0 once it is refused for
-	// what is queued.
-	comeBack time.Duration
-	trail    trail
+	// retryAfter is the caller's Retry-After, above 0 once the request is rejected for the
+	// length of the queue.
+	retryAfter time.Duration
+	logEntry   requestLog
 }
 
 // ServeHTTP answers one request.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{f: f, w: w, in: r, started: f.clock()}
-	f.awaitStart(r.Context())
+	c := &call{f: f, w: w, incoming: r, started: f.clock()}
+	f.awaitReady(r.Context())
 	if phase := f.phase(); phase == Draining || phase == Stopping {
 		w.Header().Set("Connection", "close")
 	}
 	err := c.serve()
 	c.finish(err)
-	if errors.Is(err, errCut) {
-		// The answer can't be completed: the caller must see it break off.
+	if errors.Is(err, errTruncated) {
+		// The response can't be completed: abort the connection so that the caller notices.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Times of a start.
+// Timing of the wait for startup.
 const (
-	// startWait is how long a request waits for a process that has just started to know
-	// what it needs: 60 ms as a rule, and refused its caller comes back later than that.
-	// After a loss of all hosts 166 of 280 requests of the first second were refused so.
-	startWait = 400 * time.Millisecond
-	startLook = 5 * time.Millisecond
+	// startupWait is how long a request waits for a process that has just started, which
+	// usually takes 60 ms: a rejected caller comes back later than that. Without the wait,
+	// 166 of 280 requests in the first second after a loss of all hosts were rejected.
+	startupWait = 400 * time.Millisecond
+	startupPoll = 5 * time.Millisecond
 )
 
-// awaitStart waits until the process can serve, for startWait at most.
-func (f *Forwarder) awaitStart(ctx context.Context) {
-	for waited := time.Duration(0); f.phase() == Starting && waited < startWait; waited += startLook {
-		if !pause.For(ctx, startLook) {
+// awaitReady waits until the process can serve, for startupWait at most.
+func (f *Forwarder) awaitReady(ctx context.Context) {
+	for waited := time.Duration(0); f.phase() == Starting && waited < startupWait; waited += startupPoll {
+		if !pause.For(ctx, startupPoll) {
 			return
 		}
 	}
 }
 
-// errCut says that the answer had begun and can't be completed.
-var errCut = errors.New("the answer broke off")
+// errTruncated means that the response had started and can't be completed.
+var errTruncated = errors.New("the answer broke off")
 
 func (c *call) serve() error {
 	var err error
-	if c.meta, err = c.f.protocol.DecodeRequest(c.in.Header); err != nil {
-		return c.refuse(code.New(code.BadHeader, err.Error()), 0)
+	if c.meta, err = c.f.protocol.DecodeRequest(c.incoming.Header); err != nil {
+		return c.reject(code.New(code.BadHeader, err.Error()), 0)
 	}
 	c.f.metrics.reserved.Add(float64(c.meta.ReservedHeaders))
 	if err = c.findRoute(); err != nil {
-		return c.refuse(err, comeBackConfigured)
+		return c.reject(err, retryAfterNoConfig)
 	}
 	if err = c.authorize(); err != nil {
-		return c.refuse(err, comeBackSoon)
+		return c.reject(err, retryAfterShort)
 	}
 	if c.route.Kind == routetable.Stream && c.f.phase() == Stopping {
-		return c.refuse(code.New(code.Stopping, "this host stops before the stream would end"), comeBackElsewhere)
+		return c.reject(code.New(code.Stopping, "host is stopping and would cut the stream off"), retryAfterOtherHost)
 	}
 	c.deadline = time.Now().Add(c.route.Timeout)
 	if c.meta.HasTimeout {
 		c.deadline = time.Now().Add(min(c.route.Timeout, c.meta.Timeout))
 	}
 	if err = c.readBody(); err != nil {
-		return c.refuse(err, 0)
+		return c.reject(err, 0)
 	}
-	c.fingerprint = poison.FingerprintOf(c.in.Method, c.in.RequestURI, c.teamName(), c.body)
-	if left, held := c.held(); held {
-		return c.refuse(errQuarantined, left)
+	c.fingerprint = poison.FingerprintOf(c.incoming.Method, c.incoming.RequestURI, c.teamName(), c.body)
+	if remaining, quarantined := c.quarantined(); quarantined {
+		return c.reject(errQuarantined, remaining)
 	}
-	if wait, ok := c.admit(); !ok {
-		return c.refuse(code.New(code.OverRate, "the team is over its rate"), wait)
+	if wait, ok := c.checkRateLimit(); !ok {
+		return c.reject(code.New(code.OverRate, "the team is over its rate"), wait)
 	}
-	ctx, cancel := context.WithDeadline(c.in.Context(), c.deadline)
+	ctx, cancel := context.WithDeadline(c.incoming.Context(), c.deadline)
 	defer cancel()
 	return c.run(ctx)
 }
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -18,10 +18,10 @@
 )
 
 func TestRequestsArePassedUnchanged(t *testing.T) {
-	s := newSite(t, spec(), true, whole("answer"))
-	got := s.ask("POST", "/once/a%2Fb/../c?q=%41&x=1", "the body", "Other", "header", "Connection", "Drop-Me", "Drop-Me", "x")
+	s := newHarness(t, spec(), true, respondOK("answer"))
+	got := s.send("POST", "/once/a%2Fb/../c?q=%41&x=1", "the body", "Other", "header", "Connection", "Drop-Me", "Drop-Me", "x")
 	if got.status != 200 || got.body != "answer" || got.err != nil {
-		t.Fatalf("answer: got %+v, want 200 answer", got)
+		t.Fatalf("response: got %+v, want 200 answer", got)
 	}
 	request := s.requests()[0]
 	if want := "/once/a%2Fb/../c?q=%41&x=1"; request.target != want {
@@ -31,77 +31,77 @@
 		t.Errorf("request: got %+v, want body and headers as sent", request)
 	}
 	if request.header.Get("Drop-Me") != "" {
-		t.Error("a header of the caller's connection was passed on")
+		t.Error("a header of the caller's connection was forwarded")
 	}
 	if request.header.Get("Meant") != "e0" || request.header.Get("Team") != "team" {
-		t.Errorf("marks: got %v, want the endpoint and the team", request.header)
+		t.Errorf("headers: got %v, want the endpoint and the team", request.header)
 	}
-	if got, want := s.runs.begun["team"], 1; got != want {
-		t.Errorf("counted as begun: got %d, want %d", got, want)
+	if got, want := s.runs.started["team"], 1; got != want {
+		t.Errorf("runs counted: got %d, want %d", got, want)
 	}
 }
 
-// What may not be repeated runs once: after an endpoint may have seen it, it is
-// never sent again, and the caller is not told that it did not run.
+// A request that may not be repeated runs once: after an endpoint may have received it, it
+// is never sent again, and the response does not say that it did not run.
 func TestOnceIsNotSentAgainAfterItMayHaveRun(t *testing.T) {
 	cases := []struct {
 		name  string
 		first script
 	}{
-		{"closed without an answer", breaks},
-		{"answer breaks off", text("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nhalf", false)},
-		{"answer of another request", text("HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 2\r\n\r\nno", true)},
-		{"answer without signature", text("HTTP/1.1 200 OK\r\nId: %id\r\nContent-Length: 2\r\n\r\nno", true)},
-		{"no answer in the protocol", text("garbage\r\n\r\n", false)},
+		{"closed without a response", closeWithoutResponse},
+		{"truncated response", respond("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nhalf", false)},
+		{"response to another request", respond("HTTP/1.1 200 OK\r\nId: other\r\nSigned: yes\r\nContent-Length: 2\r\n\r\nno", true)},
+		{"response without signature", respond("HTTP/1.1 200 OK\r\nId: %id\r\nContent-Length: 2\r\n\r\nno", true)},
+		{"malformed response", respond("garbage\r\n\r\n", false)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newSite(t, spec(), true, c.first, c.first)
-			got := s.ask("POST", "/once/x", "body")
+			s := newHarness(t, spec(), true, c.first, c.first)
+			got := s.send("POST", "/once/x", "body")
 			if got.status != http.StatusBadGateway {
 				t.Errorf("status: got %d, want %d", got.status, http.StatusBadGateway)
 			}
 			if n := len(s.requests()); n != 1 {
-				t.Errorf("requests seen by endpoints: got %d, want 1", n)
+				t.Errorf("requests received by endpoints: got %d, want 1", n)
 			}
 		})
 	}
 }
 
 func TestOnceIsSentAgainAfterNotRun(t *testing.T) {
-	s := newSite(t, spec(), true, text(turnedAway, true), text(turnedAway, true), text(turnedAway, true))
-	got := s.ask("POST", "/once/x", "body")
+	s := newHarness(t, spec(), true, respond(notRunResponse, true), respond(notRunResponse, true), respond(notRunResponse, true))
+	got := s.send("POST", "/once/x", "body")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("answer: got %d, Retry-After %q, want 503 that tells when to come back", got.status, got.header.Get("Retry-After"))
+		t.Errorf("response: got %d, Retry-After %q, want 503 with Retry-After", got.status, got.header.Get("Retry-After"))
 	}
 	if n := len(s.requests()); n != 2 {
-		t.Errorf("endpoints asked: got %d, want the route's 2 attempts", n)
+		t.Errorf("requests received by endpoints: got %d, want the route's 2 attempts", n)
 	}
 }
 
-// Another instance has the address: the one that was meant has not been asked,
-// and the request goes on even where one attempt is all that is allowed.
+// If another instance has the address, the chosen endpoint did not get the request, which is
+// retried even on a route that allows only one attempt.
 func TestMovedAddressIsNoAttempt(t *testing.T) {
-	one := spec()
-	one.Routes[1].Attempts = 1
-	moved := text(strings.Replace(turnedAway, "503 Service Unavailable", "421 Misdirected Request", 1), true)
-	s := newSite(t, one, true, moved, moved)
-	s.addEndpoint("good", whole("answer"))
+	limited := spec()
+	limited.Routes[1].Attempts = 1
+	moved := respond(strings.Replace(notRunResponse, "503 Service Unavailable", "421 Misdirected Request", 1), true)
+	s := newHarness(t, limited, true, moved, moved)
+	s.addEndpoint("good", respondOK("answer"))
 	for range 5 {
-		if got := s.ask("POST", "/once/x", "body"); got.status != 200 {
-			t.Errorf("status: got %d, want 200 from the endpoint that is there", got.status)
+		if got := s.send("POST", "/once/x", "body"); got.status != 200 {
+			t.Errorf("status: got %d, want 200 from the endpoint that exists", got.status)
 		}
 	}
 }
 
 func TestSafeIsSentAgain(t *testing.T) {
 	for name, first := range map[string]script{
-		"closed": breaks,
-		"failed": text("HTTP/1.1 500 Internal Server Error\r\nId: %id\r\nSigned: yes\r\nContent-Length: 0\r\n\r\n", true),
-		"broken": text("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nhalf", false),
+		"closed": closeWithoutResponse,
+		"failed": respond("HTTP/1.1 500 Internal Server Error\r\nId: %id\r\nSigned: yes\r\nContent-Length: 0\r\n\r\n", true),
+		"broken": respond("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: 9\r\n\r\nhalf", false),
 	} {
 		t.Run(name, func(t *testing.T) {
-			// The endpoint fails once, whichever is asked first.
+			// The endpoint fails once, whichever receives the first attempt.
 			failed := make(chan bool, 1)
 			failed <- true
 			flaky := func(c net.Conn, r *http.Request) bool {
@@ -109,36 +109,36 @@
 				case <-failed:
 					return first(c, r)
 				default:
-					return whole("answer")(c, r)
+					return respondOK("answer")(c, r)
 				}
 			}
-			s := newSite(t, spec(), true, flaky, flaky)
-			if got := s.ask("GET", "/safe/x", ""); got.status != 200 || got.body != "answer" {
-				t.Errorf("answer: got %+v, want 200 answer", got)
+			s := newHarness(t, spec(), true, flaky, flaky)
+			if got := s.send("GET", "/safe/x", ""); got.status != 200 || got.body != "answer" {
+				t.Errorf("response: got %+v, want 200 answer", got)
 			}
 			if n := len(s.requests()); n != 2 {
-				t.Errorf("requests seen by endpoints: got %d, want 2", n)
+				t.Errorf("requests received by endpoints: got %d, want 2", n)
 			}
 		})
 	}
 }
 
-// The endpoint's own failure is passed on as it is when attempts are used up.
-func TestFailuresArePassedOn(t *testing.T) {
-	fails := text("HTTP/1.1 500 Internal Server Error\r\nId: %id\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad", true)
-	s := newSite(t, spec(), true, fails, fails)
-	got := s.ask("GET", "/safe/x", "")
+// The endpoint's own failure is forwarded unchanged when the attempts are used up.
+func TestEndpointFailuresAreForwarded(t *testing.T) {
+	fails := respond("HTTP/1.1 500 Internal Server Error\r\nId: %id\r\nSigned: yes\r\nContent-Length: 3\r\n\r\nbad", true)
+	s := newHarness(t, spec(), true, fails, fails)
+	got := s.send("GET", "/safe/x", "")
 	if got.status != 500 || got.body != "bad" || got.header.Get("Signed") != "yes" {
-		t.Errorf("answer: got %+v, want the endpoint's", got)
+		t.Errorf("response: got %+v, want the endpoint's", got)
 	}
 }
 
 func TestRefusalsOfTheSystemsOwn(t *testing.T) {
-	s := newSite(t, spec(), true)
-	old := newSite(t, spec(), false)
+	s := newHarness(t, spec(), true)
+	old := newHarness(t, spec(), false)
 	cases := []struct {
 		name, path, key string
-		site            *site
+		harness         *harness
 		want            int
 	}{
 		{"no endpoint", "/once/x", "key", s, 503},
@@ -148,11 +148,11 @@
 		{"unknown route, configuration may be old", "/other/x", "key", old, 503},
 	}
 	for _, c := range cases {
-		got := c.site.ask("POST", c.path, "body", "Key", c.key)
+		got := c.harness.send("POST", c.path, "body", "Key", c.key)
 		if got.status != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got.status, c.want)
 		}
-		if comesBack := got.header.Get("Retry-After") != ""; comesBack != (c.want == 503) {
+		if hasRetryAfter := got.header.Get("Retry-After") != ""; hasRetryAfter != (c.want == 503) {
 			t.Errorf("%s: Retry-After %q with %d", c.name, got.header.Get("Retry-After"), c.want)
 		}
 	}
@@ -165,8 +165,8 @@
 	return string([]byte{digits[len(s)/16], digits[len(s)%16]}) + "\r\n" + s + "\r\n"
 }
 
-// A stream breaks off inside an event; it goes on at another endpoint after the
-// last whole event, and the caller sees each event once.
+// A stream that breaks off inside an event is resumed at another endpoint after the last
+// complete event, and the caller receives each event once.
 func TestStreamGoesOnAtAnotherEndpoint(t *testing.T) {
 	events := []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: c\n\n"}
 	answer := func(c net.Conn, r *http.Request) bool {
@@ -178,8 +178,8 @@
 		_, _ = io.WriteString(c, chunk(events[0])+chunk(events[1])+chunk("id: 3\nda"))
 		return false
 	}
-	s := newSite(t, spec(), true, answer, answer)
-	got := s.ask("POST", "/resume/x", "prompt")
+	s := newHarness(t, spec(), true, answer, answer)
+	got := s.send("POST", "/resume/x", "prompt")
 	if want := strings.Join(events, ""); got.body != want || got.err != nil {
 		t.Errorf("stream: got %q, %v, want %q", got.body, got.err, want)
 	}
@@ -189,24 +189,24 @@
 	}
 }
 
-// A stream that can't go on ends visibly broken, never as if it were whole.
+// A stream that can't be resumed ends with a connection error and never looks complete.
 func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
 	answer := func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(streamHead, "%id", r.Header.Get("Id"))+chunk("id: 1\ndata: a\n\n"))
 		return false
 	}
-	s := newSite(t, spec(), true, answer, answer)
-	got := s.ask("POST", "/stream/x", "prompt")
+	s := newHarness(t, spec(), true, answer, answer)
+	got := s.send("POST", "/stream/x", "prompt")
 	if got.err == nil {
 		t.Errorf("stream: got %q without an error, want it to break off", got.body)
 	}
 	if n := len(s.requests()); n != 1 {
-		t.Errorf("endpoints asked: got %d, want 1", n)
+		t.Errorf("requests received by endpoints: got %d, want 1", n)
 	}
 }
 
-// An endpoint that never ends its event is given up, before it fills the memory.
-func TestEndlessEventIsGivenUp(t *testing.T) {
+// An event that never ends is aborted before it fills the memory.
+func TestEndlessEventIsAborted(t *testing.T) {
 	sent := make(chan int, 1)
 	answer := func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(streamHead, "%id", r.Header.Get("Id"))+chunk("id: 1\ndata: a\n\n"))
@@ -221,65 +221,65 @@
 		sent <- total
 		return false
 	}
-	s := newSite(t, spec(), true, answer)
-	began := time.Now()
-	got := s.ask("POST", "/stream/x", "prompt")
+	s := newHarness(t, spec(), true, answer)
+	startedAt := time.Now()
+	got := s.send("POST", "/stream/x", "prompt")
 	if got.err == nil || !strings.Contains(got.body, "data: a") {
-		t.Errorf("stream: got %d bytes, %v, want the first event and then a break", len(got.body), got.err)
+		t.Errorf("stream: got %d bytes, %v, want the first event and then an error", len(got.body), got.err)
 	}
 	if total := <-sent; total >= 64<<20 {
-		t.Errorf("endpoint's bytes taken: got all %d, want the connection closed long before", total)
+		t.Errorf("bytes read from the endpoint: got all %d, want the connection closed long before", total)
 	}
-	if took, timeout := time.Since(began), spec().Routes[2].Timeout; took >= timeout {
-		t.Errorf("given up: got after %v, want for the event's length, before the route's time of %v is over", took, timeout)
+	if took, timeout := time.Since(startedAt), spec().Routes[2].Timeout; took >= timeout {
+		t.Errorf("aborted: got after %v, want because of the event's length, before the route's timeout of %v", took, timeout)
 	}
 }
 
-// A failed answer where a stream should go on must not be passed into it.
+// A failure response to a resumed stream must not be forwarded as part of the stream.
 func TestStreamDoesNotGoOnWithAFailure(t *testing.T) {
 	answer := func(c net.Conn, r *http.Request) bool {
 		if r.Header.Get("Last-Event") != "" {
-			text("HTTP/1.1 500 Internal Server Error\r\nId: %id\r\nContent-Length: 3\r\n\r\nbad", true)(c, r)
+			respond("HTTP/1.1 500 Internal Server Error\r\nId: %id\r\nContent-Length: 3\r\n\r\nbad", true)(c, r)
 			return true
 		}
 		_, _ = io.WriteString(c, strings.ReplaceAll(streamHead, "%id", r.Header.Get("Id"))+chunk("id: 1\ndata: a\n\n"))
 		return false
 	}
-	s := newSite(t, spec(), true, answer, answer)
-	got := s.ask("POST", "/resume/x", "prompt")
+	s := newHarness(t, spec(), true, answer, answer)
+	got := s.send("POST", "/resume/x", "prompt")
 	if got.err == nil || strings.Contains(got.body, "bad") {
 		t.Errorf("stream: got %q, %v, want it to break off without the failure's bytes", got.body, got.err)
 	}
 }
 
-// The time is over: the answer comes then, and tells what is known.
+// At the deadline the caller gets a response that says what is known of the request.
 func TestTimeIsOver(t *testing.T) {
-	holds := func(c net.Conn, _ *http.Request) bool {
+	neverResponds := func(c net.Conn, _ *http.Request) bool {
 		_, _ = io.ReadAll(c)
 		return false
 	}
-	s := newSite(t, spec(), true, holds)
-	began := time.Now()
-	got := s.ask("POST", "/once/x", "body", "Wait-Ms", "200")
+	s := newHarness(t, spec(), true, neverResponds)
+	startedAt := time.Now()
+	got := s.send("POST", "/once/x", "body", "Wait-Ms", "200")
 	if got.status != http.StatusGatewayTimeout {
 		t.Errorf("status: got %d, want %d", got.status, http.StatusGatewayTimeout)
 	}
-	if took := time.Since(began); took < 190*time.Millisecond || took > 600*time.Millisecond {
-		t.Errorf("answered after %v, want at 200 ms", took)
+	if took := time.Since(startedAt); took < 190*time.Millisecond || took > 600*time.Millisecond {
+		t.Errorf("responded after %v, want 200 ms", took)
 	}
 }
 
-// The caller leaves: the endpoint is told at once.
+// If the caller disconnects, the connection to the endpoint is closed at once.
 func TestCallerLeaves(t *testing.T) {
-	told := make(chan bool, 1)
-	began := make(chan bool, 1)
-	holds := func(c net.Conn, _ *http.Request) bool {
-		began <- true
+	closed := make(chan bool, 1)
+	received := make(chan bool, 1)
+	neverResponds := func(c net.Conn, _ *http.Request) bool {
+		received <- true
 		_, _ = io.ReadAll(c)
-		told <- true
+		closed <- true
 		return false
 	}
-	s := newSite(t, spec(), true, holds)
+	s := newHarness(t, spec(), true, neverResponds)
 	ctx, cancel := context.WithCancel(context.Background())
 	r, err := http.NewRequestWithContext(ctx, "POST", s.server.URL+"/once/x", strings.NewReader("body"))
 	if err != nil {
@@ -289,26 +289,26 @@
 	r.Header.Set("Id", "1")
 	r.Header.Set("Key", "key")
 	go func() {
-		<-began
+		<-received
 		cancel()
 	}()
 	if _, err := http.DefaultClient.Do(r); err == nil {
-		t.Fatal("answered although the caller left")
+		t.Fatal("got a response although the caller disconnected")
 	}
 	select {
-	case <-told:
+	case <-closed:
 	case <-time.After(time.Second):
-		t.Error("the endpoint still works a second after the caller left")
+		t.Error("connection to the endpoint still open a second after the caller disconnected")
 	}
 }
 
-// Leaving endpoints get no new request.
+// A leaving endpoint gets no new request.
 func TestLeavingEndpointGetsNothing(t *testing.T) {
-	s := newSite(t, spec(), true, whole("old"))
-	s.addEndpoint("new", whole("new"))
+	s := newHarness(t, spec(), true, respondOK("old"))
+	s.addEndpoint("new", respondOK("new"))
 	s.directory.Leave(endpoint.Ref{ID: "e0", Incarnation: 1}, func(i *endpoint.Info) { i.State = endpoint.Leaving })
 	for range 10 {
-		if got := s.ask("POST", "/once/x", "body"); got.body != "new" {
+		if got := s.send("POST", "/once/x", "body"); got.body != "new" {
 			t.Errorf("answered by %q, want new", got.body)
 		}
 	}
@@ -317,24 +317,24 @@
 func TestBodiesBeyondTheLimit(t *testing.T) {
 	limited := spec()
 	limited.Limits = routetable.Limits{BodyBytes: 10}
-	s := newSite(t, limited, true, whole("answer"))
-	if got := s.ask("POST", "/once/x", "0123456789"); got.status != 200 {
+	s := newHarness(t, limited, true, respondOK("answer"))
+	if got := s.send("POST", "/once/x", "0123456789"); got.status != 200 {
 		t.Errorf("at the limit: got %d, want 200", got.status)
 	}
-	if got := s.ask("POST", "/once/x", "0123456789x"); got.status != http.StatusRequestEntityTooLarge {
+	if got := s.send("POST", "/once/x", "0123456789x"); got.status != http.StatusRequestEntityTooLarge {
 		t.Errorf("over the limit: got %d, want 413", got.status)
 	}
 }
 
-// While the process stops, callers are asked to leave; near its end streams,
-// which would be cut off, are turned away, and short requests are served.
+// While the process is draining, callers are asked to close their connections. While it is
+// stopping, streams, which would be cut off, are rejected, and short requests are served.
 func TestStopping(t *testing.T) {
-	s := newSite(t, spec(), true, whole("answer"))
+	s := newHarness(t, spec(), true, respondOK("answer"))
 	cases := []struct {
 		phase  forward.Phase
 		path   string
 		status int
-		leaves bool
+		closes bool
 	}{
 		{forward.Serving, "/stream/x", 200, false},
 		{forward.Draining, "/stream/x", 200, true},
@@ -344,125 +344,125 @@
 	}
 	for _, c := range cases {
 		s.phase.Store(int64(c.phase))
-		got := s.ask("POST", c.path, "body")
+		got := s.send("POST", c.path, "body")
 		if got.status != c.status {
 			t.Errorf("phase %d, %s: got %d, want %d", c.phase, c.path, got.status, c.status)
 		}
-		if got.closes != c.leaves {
-			t.Errorf("phase %d, %s: told to leave %v, want %v", c.phase, c.path, got.closes, c.leaves)
+		if got.closesConnection != c.closes {
+			t.Errorf("phase %d, %s: asked to close the connection: got %v, want %v", c.phase, c.path, got.closesConnection, c.closes)
 		}
 	}
 }
 
-// The lines of many requests at once stay within their budget.
-func TestLinesAreBounded(t *testing.T) {
-	s := newSite(t, spec(), true, whole("answer"))
-	// Served requests may write half of the burst and the one line that goes below it.
+// The log lines of many requests at once stay within the rate limit.
+func TestRequestLogIsRateLimited(t *testing.T) {
+	s := newHarness(t, spec(), true, respondOK("answer"))
+	// Served requests may use half of the burst and the one line that goes below it.
 	const requests, burst, perSecond = 1000, 400/2 + 1, 200
-	began := time.Now()
+	startedAt := time.Now()
 	for range requests {
-		if got := s.ask("POST", "/once/x", "body"); got.status != 200 {
+		if got := s.send("POST", "/once/x", "body"); got.status != 200 {
 			t.Fatalf("status: got %d, want 200", got.status)
 		}
 	}
-	took := time.Since(began)
-	budget := burst + int64(perSecond*took.Seconds())
-	if got := int64(s.lines.Load()); got == 0 || got > budget {
-		t.Errorf("lines written for %d requests in %v: got %d, want some, %d at most", requests, took, got, budget)
+	duration := time.Since(startedAt)
+	budget := burst + int64(perSecond*duration.Seconds())
+	if got := int64(s.logLines.Load()); got == 0 || got > budget {
+		t.Errorf("log lines for %d requests in %v: got %d, want at least 1, at most %d", requests, duration, got, budget)
 	}
 }
 
-// A request that comes while the process still starts waits for it; one that waits too
-// long is told to come back.
+// A request that arrives during startup waits for its end; one that waits too long is
+// rejected with Retry-After.
 func TestRequestsWaitForTheStart(t *testing.T) {
-	s := newSite(t, spec(), true, whole("fine"))
+	s := newHarness(t, spec(), true, respondOK("fine"))
 	s.phase.Store(int64(forward.Starting))
 	time.AfterFunc(60*time.Millisecond, func() { s.phase.Store(int64(forward.Serving)) })
-	if got := s.ask(http.MethodPost, "/once/x", "body"); got.status != http.StatusOK || got.closes {
-		t.Errorf("started after 60 ms: got %d, told to leave %v, want 200 on a connection that stays", got.status, got.closes)
+	if got := s.send(http.MethodPost, "/once/x", "body"); got.status != http.StatusOK || got.closesConnection {
+		t.Errorf("started after 60 ms: got %d, asked to close the connection %v, want 200 on a connection kept open", got.status, got.closesConnection)
 	}
 	s.phase.Store(int64(forward.Starting))
-	began := time.Now()
-	s.ask(http.MethodPost, "/once/x", "body")
-	if waited := time.Since(began); waited < 300*time.Millisecond || waited > 2*time.Second {
+	startedAt := time.Now()
+	s.send(http.MethodPost, "/once/x", "body")
+	if waited := time.Since(startedAt); waited < 300*time.Millisecond || waited > 2*time.Second {
 		t.Errorf("never started: waited %v, want 0.4 s", waited)
 	}
 }
 
-// A request that ends each endpoint that runs it comes again and again, under new ids:
-// after three ends it goes to no other endpoint and is refused as not run, while all
-// others are served. The story stands at TestCrashingRequestIsHeldBack of package soak.
+// A request that crashes each endpoint that runs it is retried again and again under new ids.
+// After three crashes it goes to no other endpoint and is rejected as not run, while all other
+// requests are served. TestCrashingRequestIsHeldBack of package soak describes the incident.
 func TestCrashingRequestGoesToThreeEndpoints(t *testing.T) {
 	const endpoints = 8
 	for _, path := range []string{"/safe/x", "/once/x", "/stream/x", "/resume/x"} {
-		s := newSite(t, spec(), true)
+		s := newHarness(t, spec(), true)
 		for i := range endpoints {
-			s.addCrashing("e" + strconv.Itoa(i))
+			s.addCrashingEndpoint("e" + strconv.Itoa(i))
 		}
-		var last answer
+		var last callerResponse
 		for i := range 2 * endpoints {
-			last = s.ask("POST", path, crashingBody, "Id", "try-"+strconv.Itoa(i))
-			time.Sleep(endSeen)
+			last = s.send("POST", path, crashingBody, "Id", "try-"+strconv.Itoa(i))
+			time.Sleep(exitDetection)
 		}
-		if got, want := s.crashes(), 3; got != want {
-			t.Errorf("%s: endpoints ended by one request: got %d of %d, want %d", path, got, endpoints, want)
+		if got, want := s.crashingRuns(), 3; got != want {
+			t.Errorf("%s: endpoints crashed by one request: got %d of %d, want %d", path, got, endpoints, want)
 		}
 		if last.status != http.StatusServiceUnavailable || last.header.Get("Retry-After") == "" {
-			t.Errorf("%s: last try: got %+v, want 503 that tells when to come back", path, last)
+			t.Errorf("%s: last attempt: got %+v, want 503 with Retry-After", path, last)
 		}
 		for i := range 5 {
-			if got := s.ask("POST", "/once/x", "body "+strconv.Itoa(i)); got.status != http.StatusOK {
+			if got := s.send("POST", "/once/x", "body "+strconv.Itoa(i)); got.status != http.StatusOK {
 				t.Errorf("%s: other requests: got %+v, want 200", path, got)
 			}
 		}
 	}
 }
 
-// Tries that ran are never told that they did not, though later ones are.
-func TestTriesThatRanAreNotToldOtherwise(t *testing.T) {
-	s := newSite(t, spec(), true)
+// Attempts that ran are never reported as not run, even if later ones are.
+func TestAttemptsThatRanAreNotReportedAsNotRun(t *testing.T) {
+	s := newHarness(t, spec(), true)
 	for i := range 8 {
-		s.addCrashing("e" + strconv.Itoa(i))
+		s.addCrashingEndpoint("e" + strconv.Itoa(i))
 	}
 	for i := range 8 {
 		id := "try-" + strconv.Itoa(i)
-		got := s.ask("POST", "/safe/x", crashingBody, "Id", id)
-		ran := slices.ContainsFunc(s.requests(), func(r seen) bool { return r.header.Get("Id") == id })
+		got := s.send("POST", "/safe/x", crashingBody, "Id", id)
+		ran := slices.ContainsFunc(s.requests(), func(r receivedRequest) bool { return r.header.Get("Id") == id })
 		if promised := got.status == http.StatusServiceUnavailable; promised == ran {
 			t.Errorf("%s: got %d, ran %v", id, got.status, ran)
 		}
-		time.Sleep(endSeen)
+		time.Sleep(exitDetection)
 	}
 }
 
-// Connections that break off at endpoints that live, and ends that were planned, hold no
-// request back.
+// Broken connections to endpoints that stay alive, and planned shutdowns, do not quarantine a
+// request.
 func TestOnlyEndsHoldRequestsBack(t *testing.T) {
-	s := newSite(t, spec(), true, breaks)
+	s := newHarness(t, spec(), true, closeWithoutResponse)
 	for i := range 6 {
-		if got := s.ask("POST", "/once/x", "body"); got.status != http.StatusBadGateway {
-			t.Errorf("try %d at an endpoint that breaks off: got %d, want %d", i, got.status, http.StatusBadGateway)
+		if got := s.send("POST", "/once/x", "body"); got.status != http.StatusBadGateway {
+			t.Errorf("attempt %d at an endpoint that closes the connection: got %d, want %d", i, got.status, http.StatusBadGateway)
 		}
-		// The router leaves an endpoint out for a while that fails three times in a row.
+		// The router skips an endpoint for a while after three failures in a row.
 		s.router.Done(route.Choice{Endpoint: s.endpoint("e0")}, route.Result{}, time.Now())
-		time.Sleep(endSeen)
+		time.Sleep(exitDetection)
 	}
-	leaving := newSite(t, spec(), true)
+	leaving := newHarness(t, spec(), true)
 	for i := range 4 {
 		id := "e" + strconv.Itoa(i)
-		leaving.addLeaving(id)
-		if got := leaving.ask("POST", "/once/x", crashingBody); got.status != http.StatusBadGateway {
-			t.Errorf("try %d at an endpoint that leaves: got %d, want %d", i, got.status, http.StatusBadGateway)
+		leaving.addLeavingEndpoint(id)
+		if got := leaving.send("POST", "/once/x", crashingBody); got.status != http.StatusBadGateway {
+			t.Errorf("attempt %d at an endpoint that leaves: got %d, want %d", i, got.status, http.StatusBadGateway)
 		}
-		time.Sleep(endSeen)
+		time.Sleep(exitDetection)
 	}
 }
 
-// A caller that leaves in the middle of an answer, long or streamed, is no break of the
-// endpoint: it is not looked at.
-func TestCallersWhoLeaveAreNoBreaks(t *testing.T) {
+// A caller that disconnects in the middle of a long or streamed response is no failure of the
+// endpoint, which is not probed.
+func TestCallerDisconnectIsNotAnEndpointFailure(t *testing.T) {
 	const size = 8 << 20
-	long := text("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: "+strconv.Itoa(size)+"\r\n\r\n"+strings.Repeat("x", size), true)
+	long := respond("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: "+strconv.Itoa(size)+"\r\n\r\n"+strings.Repeat("x", size), true)
 	events := func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(streamHead, "%id", r.Header.Get("Id")))
 		for range 1000 {
@@ -474,11 +474,11 @@
 		return false
 	}
 	for path, answer := range map[string]script{"/once/x": long, "/stream/x": events} {
-		s := newSite(t, spec(), true, answer)
+		s := newHarness(t, spec(), true, answer)
 		for range 5 {
-			s.askAndLeave(path)
+			s.sendAndDisconnect(path)
 		}
-		time.Sleep(3 * endSeen)
+		time.Sleep(3 * exitDetection)
 		if got := s.watch.Suspected(time.Now()); len(got) != 0 {
 			t.Errorf("%s: endpoints suspected: got %v, want none", path, got)
 		}
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -31,10 +31,10 @@
 	"ironhollow/pkg/upstream"
 )
 
-// protocol is a way to mark requests made up for these tests.
-type protocol struct{}
+// testProtocol encodes metadata in headers that exist only in these tests.
+type testProtocol struct{}
 
-func (protocol) DecodeRequest(h http.Header) (forward.RequestMeta, error) {
+func (testProtocol) DecodeRequest(h http.Header) (forward.RequestMeta, error) {
 	m := forward.RequestMeta{ID: h.Get("Id"), Key: h.Get("Key"), LastEventID: h.Get("Last-Event")}
 	if ms, err := strconv.Atoi(h.Get("Wait-Ms")); err == nil {
 		m.Timeout, m.HasTimeout = time.Duration(ms)*time.Millisecond, true
@@ -42,16 +42,16 @@
 	return m, nil
 }
 
-func (protocol) EncodeAttempt(h http.Header, hop forward.AttemptMeta) {
-	h.Set("Meant", hop.EndpointID)
-	h.Set("Team", hop.Team)
-	h.Set("Left-Ms", strconv.FormatInt(hop.Remaining.Milliseconds(), 10))
-	if hop.LastEventID != "" {
-		h.Set("Last-Event", hop.LastEventID)
+func (testProtocol) EncodeAttempt(h http.Header, attempt forward.AttemptMeta) {
+	h.Set("Meant", attempt.EndpointID)
+	h.Set("Team", attempt.Team)
+	h.Set("Left-Ms", strconv.FormatInt(attempt.Remaining.Milliseconds(), 10))
+	if attempt.LastEventID != "" {
+		h.Set("Last-Event", attempt.LastEventID)
 	}
 }
 
-func (protocol) DecodeResponse(status int, h http.Header) forward.ResponseMeta {
+func (testProtocol) DecodeResponse(status int, h http.Header) forward.ResponseMeta {
 	rest, _ := time.ParseDuration(h.Get("Rest"))
 	limit, _ := strconv.ParseFloat(h.Get("Limit"), 64)
 	return forward.ResponseMeta{
@@ -61,94 +61,93 @@
 	}
 }
 
-func (protocol) EncodeRefusal(h http.Header, id string) { h.Set("Id", id) }
+func (testProtocol) EncodeRefusal(h http.Header, id string) { h.Set("Id", id) }
 
-// tables is a configuration in force.
-type tables struct {
+// staticTables is a route table that does not change.
+type staticTables struct {
 	table *routetable.Table
 	fresh bool
 }
 
-func (t tables) Current() (*routetable.Table, bool) { return t.table, t.fresh }
+func (t staticTables) Current() (*routetable.Table, bool) { return t.table, t.fresh }
 
-// runs counts what began.
-type runs struct {
-	mu    sync.Mutex
-	begun map[string]int
+// startedRuns counts started runs by team.
+type startedRuns struct {
+	mu      sync.Mutex
+	started map[string]int
 }
 
-func (r *runs) RunStarted(team string) {
+func (r *startedRuns) RunStarted(team string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.begun[team]++
+	r.started[team]++
 }
 
-// seen is one request as an endpoint saw it.
-type seen struct {
+// receivedRequest is one request as an endpoint received it.
+type receivedRequest struct {
 	endpoint string
 	target   string
 	header   http.Header
 	body     string
 }
 
-// site is a forwarder in front of scripted endpoints.
-type site struct {
+// harness is a forwarder in front of scripted endpoints.
+type harness struct {
 	t         *testing.T
 	server    *httptest.Server
 	router    *route.Router
 	directory *endpoint.Directory
-	runs      *runs
+	runs      *startedRuns
 	rollouts  *rollout.Switch
 	watch     *poison.Watch
 	phase     atomic.Int64
-	lines     lineCounter
+	logLines  logCapture
 	mu        sync.Mutex
-	seen      []seen
+	received  []receivedRequest
 }
 
-// lineCounter counts log lines and keeps the last.
-type lineCounter struct {
+// logCapture counts log lines and keeps the last.
+type logCapture struct {
 	atomic.Int64
 	last atomic.Value
 }
 
-func (l *lineCounter) Write(p []byte) (int, error) {
+func (l *logCapture) Write(p []byte) (int, error) {
 	l.Add(1)
 	l.last.Store(string(p))
 	return len(p), nil
 }
 
-// firstLine returns the latest line once there is any: a request's is written after its
-// answer has gone out.
-func (s *site) firstLine() string {
+// waitForLogLine waits for a log line and returns the latest: a request's line is written
+// after its response has been sent.
+func (s *harness) waitForLogLine() string {
 	s.t.Helper()
 	for range 200 {
-		if line, ok := s.lines.last.Load().(string); ok {
+		if line, ok := s.logLines.last.Load().(string); ok {
 			return line
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	s.t.Fatal("no line was written")
+	s.t.Fatal("no log line was written")
 	return ""
 }
 
-// script answers one request at an endpoint and reports whether the connection
-// stays open.
+// script answers one request at an endpoint and reports whether the connection stays open.
 type script func(c net.Conn, r *http.Request) bool
 
-// oneHost is a fleet of one.
-type oneHost struct{}
+// singleHost is a fleet of one.
+type singleHost struct{}
 
-func (oneHost) Advertised() int { return 1 }
+func (singleHost) Advertised() int { return 1 }
 
-func (oneHost) Share() float64 { return 1 }
+func (singleHost) Share() float64 { return 1 }
 
-func (oneHost) Sharing() int { return 1 }
+func (singleHost) Sharing() int { return 1 }
 
-// newSite starts a forwarder; scripts are endpoints e0, e1 and so on.
-func newSite(t *testing.T, spec routetable.Spec, fresh bool, scripts ...script) *site {
+// newHarness starts a forwarder; scripts are endpoints e0, e1 and so on.
+func newHarness(t *testing.T, spec routetable.Spec, fresh bool, scripts ...script) *harness {
 	t.Helper()
-	s := &site{t: t, directory: endpoint.NewDirectory(), rollouts: rollout.New(rollout.Bounds{Share: 0.1, Slack: 50}), runs: &runs{begun: map[string]int{}}}
+	s := &harness{t: t, directory: endpoint.NewDirectory(), rollouts: rollout.New(rollout.Bounds{Share: 0.1, Slack: 50}), runs: &startedRuns{started: map[string]int{}}}
 	for i, answer := range scripts {
 		s.addEndpoint("e"+strconv.Itoa(i), answer)
 	}
@@ -156,21 +155,21 @@
 	figures := route.Figures{TokenGap: time.Millisecond, Prefill: time.Microsecond, MeanAnswer: time.Millisecond}
 	router := route.NewWithFigures(s.directory, hazard.New(), route.Home{}, 1, figures)
 	s.router = router
-	logger := &log.Logger{Writer: &log.IOWriter{Writer: &s.lines}}
+	logger := &log.Logger{Writer: &log.IOWriter{Writer: &s.logLines}}
 	registry := prometheus.NewRegistry()
 	s.watch = poison.NewWatch(registry, logger)
 	board := notice.New(s.directory, router, logger)
-	forwarder := forward.New(protocol{}, tables{routetable.New(spec), fresh}, router, limit.NewShared(limit.Tolerance{}, now.Add(-time.Hour)),
-		retry.NewWindow(0.2, 58, 10*time.Second), upstream.New(time.Second), s.runs, oneHost{}, s.rollouts, s.watch, board,
+	forwarder := forward.New(testProtocol{}, staticTables{routetable.New(spec), fresh}, router, limit.NewShared(limit.Tolerance{}, now.Add(-time.Hour)),
+		retry.NewWindow(0.2, 58, 10*time.Second), upstream.New(time.Second), s.runs, singleHost{}, s.rollouts, s.watch, board,
 		func() forward.Phase { return forward.Phase(s.phase.Load()) }, time.Now, forward.NewMetrics(registry), logger)
 	s.server = httptest.NewServer(forwarder)
 	t.Cleanup(s.server.Close)
 	return s
 }
 
-func (s *site) addEndpoint(id string, answer script) { s.add(id, s.listen(), answer) }
+func (s *harness) addEndpoint(id string, answer script) { s.serve(id, s.listen(), answer) }
 
-func (s *site) listen() net.Listener {
+func (s *harness) listen() net.Listener {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		s.t.Fatal(err)
@@ -179,51 +178,52 @@
 	return listener
 }
 
-// crashingBody is the body of a request that ends its endpoint, endSeen the time in
-// which a host finds out that an endpoint has ended.
+// crashingBody is the body of a request that crashes its endpoint; exitDetection is the
+// time in which a host detects that an endpoint has exited.
 const (
-	crashingBody = "crash"
-	endSeen      = 100 * time.Millisecond
+	crashingBody  = "crash"
+	exitDetection = 100 * time.Millisecond
 )
 
-// addCrashing adds an endpoint that ends, with all its connections, when it runs a
+// addCrashingEndpoint adds an endpoint that exits, with all its connections, when it runs a
 // request with crashingBody, and answers all others.
-func (s *site) addCrashing(id string) { s.addEnding(id, func() {}) }
+func (s *harness) addCrashingEndpoint(id string) { s.addExitingEndpoint(id, func() {}) }
 
-// addLeaving adds one that says that it leaves, serves on for a while, and ends.
-func (s *site) addLeaving(id string) {
-	s.addEnding(id, func() {
+// addLeavingEndpoint adds an endpoint that announces that it leaves, serves on for a while,
+// and exits.
+func (s *harness) addLeavingEndpoint(id string) {
+	s.addExitingEndpoint(id, func() {
 		info := s.endpoint(id)
 		info.State = endpoint.Leaving
 		s.directory.Merge(info)
-		time.Sleep(servesOn)
+		time.Sleep(drainTime)
 	})
 }
 
-// servesOn is how long an endpoint serves that has said that it leaves.
-const servesOn = 1200 * time.Millisecond
+// drainTime is how long an endpoint serves on after it has announced that it leaves.
+const drainTime = 1200 * time.Millisecond
 
-func (s *site) endpoint(id string) endpoint.Info {
+func (s *harness) endpoint(id string) endpoint.Info {
 	info, _ := s.directory.Get(id)
 	return info
 }
 
-// addEnding adds an endpoint that ends at a request with crashingBody, once before is
-// done.
-func (s *site) addEnding(id string, before func()) {
+// addExitingEndpoint adds an endpoint that exits at a request with crashingBody after calling
+// beforeExit.
+func (s *harness) addExitingEndpoint(id string, beforeExit func()) {
 	listener := s.listen()
 	var (
 		mu    sync.Mutex
 		conns []net.Conn
 	)
-	s.add(id, listener, func(c net.Conn, r *http.Request) bool {
+	s.serve(id, listener, func(c net.Conn, r *http.Request) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		conns = append(conns, c)
 		if body, _ := io.ReadAll(r.Body); string(body) != crashingBody {
-			return whole("answer")(c, r)
+			return respondOK("answer")(c, r)
 		}
-		before()
+		beforeExit()
 		_ = listener.Close()
 		for _, open := range conns {
 			_ = open.Close()
@@ -232,8 +232,8 @@
 	})
 }
 
-// crashes returns how many requests with crashingBody endpoints have run.
-func (s *site) crashes() int {
+// crashingRuns returns how many requests with crashingBody endpoints have received.
+func (s *harness) crashingRuns() int {
 	n := 0
 	for _, r := range s.requests() {
 		if r.body == crashingBody {
@@ -243,7 +243,7 @@
 	return n
 }
 
-func (s *site) add(id string, listener net.Listener, answer script) {
+func (s *harness) serve(id string, listener net.Listener, answer script) {
 	s.directory.Merge(endpoint.Info{
 		ID: id, Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: "svc",
 		Address: listener.Addr().String(), Slots: 4,
@@ -254,12 +254,12 @@
 			if err != nil {
 				return
 			}
-			go s.connection(id, c, answer)
+			go s.serveConnection(id, c, answer)
 		}
 	}()
 }
 
-func (s *site) connection(id string, c net.Conn, answer script) {
+func (s *harness) serveConnection(id string, c net.Conn, answer script) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
@@ -269,7 +269,7 @@
 		}
 		body, _ := io.ReadAll(r.Body)
 		s.mu.Lock()
-		s.seen = append(s.seen, seen{id, r.RequestURI, r.Header, string(body)})
+		s.received = append(s.received, receivedRequest{id, r.RequestURI, r.Header, string(body)})
 		s.mu.Unlock()
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		if !answer(c, r) {
@@ -278,23 +278,23 @@
 	}
 }
 
-func (s *site) requests() []seen {
+func (s *harness) requests() []receivedRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]seen(nil), s.seen...)
+	return append([]receivedRequest(nil), s.received...)
 }
 
-// answer is what a caller got; err is set where it broke off.
-type answer struct {
+// callerResponse is what a caller received; err is set if the response broke off.
+type callerResponse struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the caller is asked to leave the connection.
-	closes bool
-	err    error
+	// closesConnection is set if the caller is asked to close the connection.
+	closesConnection bool
+	err              error
 }
 
-func (s *site) ask(method, path, body string, header ...string) answer {
+func (s *harness) send(method, path, body string, header ...string) callerResponse {
 	s.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -310,17 +310,17 @@
 	}
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return callerResponse{err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
-	return answer{response.StatusCode, response.Header, string(text), response.Close, err}
+	return callerResponse{response.StatusCode, response.Header, string(text), response.Close, err}
 }
 
 // spec has a route of each kind.
 func spec() routetable.Spec {
 	splits := []routetable.Split{{Service: "svc", Weight: 1}}
-	made := func(prefix string, kind routetable.Kind, attempts int, resumable bool) routetable.Route {
+	newRoute := func(prefix string, kind routetable.Kind, attempts int, resumable bool) routetable.Route {
 		return routetable.Route{
 			Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Splits: splits, Timeout: 2 * time.Second,
 			Objective: time.Second, Attempts: attempts, Resumable: resumable,
@@ -329,36 +329,36 @@
 	return routetable.Spec{
 		Version: 1,
 		Routes: []routetable.Route{
-			made("/safe/", routetable.Safe, 2, false),
-			made("/once/", routetable.Once, 2, false),
-			made("/stream/", routetable.Stream, 1, false),
-			made("/resume/", routetable.Stream, 2, true),
+			newRoute("/safe/", routetable.Safe, 2, false),
+			newRoute("/once/", routetable.Once, 2, false),
+			newRoute("/stream/", routetable.Stream, 1, false),
+			newRoute("/resume/", routetable.Stream, 2, true),
 		},
 		Services: []routetable.Service{{Name: "svc"}},
 		Teams:    []routetable.Team{{Name: "team", Keys: []string{"key"}}},
 	}
 }
 
-// text makes a script that writes an answer; %id stands for the request's id.
-func text(answer string, keep bool) script {
+// respond returns a script that writes a response; %id is replaced by the request's id.
+func respond(answer string, keep bool) script {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = io.WriteString(c, strings.ReplaceAll(answer, "%id", r.Header.Get("Id")))
 		return keep
 	}
 }
 
-func whole(body string) script {
-	return text("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body, true)
+func respondOK(body string) script {
+	return respond("HTTP/1.1 200 OK\r\nId: %id\r\nSigned: yes\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body, true)
 }
 
-const turnedAway = "HTTP/1.1 503 Service Unavailable\r\nId: %id\r\nNot-Run: yes\r\nContent-Length: 0\r\n\r\n"
+const notRunResponse = "HTTP/1.1 503 Service Unavailable\r\nId: %id\r\nNot-Run: yes\r\nContent-Length: 0\r\n\r\n"
 
-// breaks reads a request and closes without an answer.
-func breaks(net.Conn, *http.Request) bool { return false }
+// closeWithoutResponse reads a request and closes the connection without a response.
+func closeWithoutResponse(net.Conn, *http.Request) bool { return false }
 
-// askAndLeave sends a request, reads the first bytes of its answer and resets the
+// sendAndDisconnect sends a request, reads the first bytes of its response and resets the
 // connection.
-func (s *site) askAndLeave(path string) {
+func (s *harness) sendAndDisconnect(path string) {
 	s.t.Helper()
 	c, err := net.Dial("tcp", s.server.Listener.Addr().String())
 	if err != nil {
--- a/pkg/forward/intake.go
+++ b/pkg/forward/intake.go
@@ -21,8 +21,8 @@
 		return code.New(code.NotReady, "no configuration yet")
 	}
 	c.table = table
-	path, _, _ := cutTarget(c.in.RequestURI)
-	found, ok := table.Match(c.in.Host, path)
+	path, _, _ := splitTarget(c.incoming.RequestURI)
+	found, ok := table.Match(c.incoming.Host, path)
 	if !ok && !fresh {
 		return code.New(code.NotReady, "no such route in a configuration that may be old")
 	}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func cutTarget(target string) (path, query string, ok bool) {
+func splitTarget(target string) (path, query string, ok bool) {
 	for i := range len(target) {
 		if target[i] == '?' {
 			return target[:i], target[i+1:], true
@@ -73,43 +73,43 @@
 }
 
 func (c *call) readBody() error {
-	most := c.table.Limits().BodyBytes
-	if most <= 0 {
-		most = defaultBody
+	maxBytes := c.table.Limits().BodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.in.Body, most))
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
-		return code.New(code.BodyTooLong, "the body is longer than "+strconv.FormatInt(most, 10)+" bytes")
+	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.incoming.Body, maxBytes))
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
+		return code.New(code.BodyTooLong, "the body is longer than "+strconv.FormatInt(maxBytes, 10)+" bytes")
 	}
 	if err != nil {
 		return code.New(code.BadBody, err.Error())
 	}
 	c.body = body
-	c.hasBody = c.in.ContentLength > 0 || len(body) > 0 || c.in.Header.Get("Content-Length") != "" || len(c.in.TransferEncoding) > 0
-	c.header = endToEnd(c.in.Header)
+	c.hasBody = c.incoming.ContentLength > 0 || len(body) > 0 || c.incoming.Header.Get("Content-Length") != "" || len(c.incoming.TransferEncoding) > 0
+	c.header = endToEndHeaders(c.incoming.Header)
 	return nil
 }
 
-// endToEnd copies headers without those of one connection.
-func endToEnd(h http.Header) http.Header {
-	clean := make(http.Header, len(h))
-	named := h.Values("Connection")
+// endToEndHeaders copies headers without those that apply to a single connection.
+func endToEndHeaders(h http.Header) http.Header {
+	kept := make(http.Header, len(h))
+	connectionOptions := h.Values("Connection")
 	for name, values := range h {
 		if !slices.Contains(connectionHeaders, name) {
-			clean[name] = values
+			kept[name] = values
 		}
 	}
-	for _, field := range named {
+	for _, field := range connectionOptions {
 		for _, name := range splitList(field) {
-			clean.Del(name)
+			kept.Del(name)
 		}
 	}
-	return clean
+	return kept
 }
 
-// admit asks the team's limit.
-func (c *call) admit() (time.Duration, bool) {
+// checkRateLimit charges the request to its team's rate limit.
+func (c *call) checkRateLimit() (time.Duration, bool) {
 	if c.team == nil || c.team.Rate <= 0 {
 		return 0, true
 	}
@@ -120,11 +120,11 @@
 			cost = float64(c.meta.PromptTokens + c.meta.MaxTokens)
 		}
 	}
-	c.trail.cost = cost
+	c.logEntry.limitCost = cost
 	team := limit.Team{Name: c.team.Name, Rate: c.team.Rate, Burst: c.team.Burst}
 	d := c.f.limits.Allow(team, limit.Request{Cost: cost, Priority: c.route.Priority}, c.f.clock())
 	if !d.Admitted {
-		c.trail.note(fmt.Sprintf("limit: held %.0f, needed %.0f for a cost of %.0f; rate %.0f; part %.2f; %.1f hosts reckoned with",
+		c.logEntry.addNote(fmt.Sprintf("limit: held %.0f, needed %.0f for a cost of %.0f; rate %.0f; part %.2f; %.1f hosts reckoned with",
 			d.Held, d.Needed, cost, c.team.Rate, d.Part, d.Rivals))
 	}
 	return d.Wait, d.Admitted
--- a/pkg/forward/lines.go
+++ b/pkg/forward/lines.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// lineBudget bounds the log lines of requests. Lines of requests that were
-// served give way first: they may use half of the budget.
-type lineBudget struct {
-	mu      sync.Mutex
-	tokens  float64
-	at      time.Time
-	dropped int
-	toldAt  time.Time
+// logLimiter is a token bucket for the log lines of requests. Lines of served requests
+// are dropped first: they may use only half of the bucket.
+type logLimiter struct {
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	dropped    int
+	reportedAt time.Time
 }
 
-// Parameters of the budget.
+// Parameters of the limiter.
 const (
-	// linesPerSecond is about five times a host's usual requests, and 100 KB/s.
-	linesPerSecond = 200.0
-	// lineBurst is lines at once.
-	lineBurst = 400.0
-	// tellEvery is the time between two lines that tell how many were dropped.
-	tellEvery = 5 * time.Second
+	// logLinesPerSecond is about five times a host's usual requests, and 100 KB/s.
+	logLinesPerSecond = 200.0
+	// logLineBurst is the size of the bucket.
+	logLineBurst = 400.0
+	// dropReportInterval is the time between two reports of the number of dropped lines.
+	dropReportInterval = 5 * time.Second
 )
 
-func newLineBudget(now time.Time) *lineBudget {
-	return &lineBudget{tokens: lineBurst, at: now, toldAt: now}
+func newLogLimiter(now time.Time) *logLimiter {
+	return &logLimiter{tokens: logLineBurst, refilledAt: now, reportedAt: now}
 }
 
-// take reports whether a line may be written. dropped is how many were not
-// since this was last told; it is 0 unless it is time to tell.
-func (b *lineBudget) take(failed bool, now time.Time) (write bool, dropped int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if elapsed := now.Sub(b.at); elapsed > 0 {
-		b.tokens = min(lineBurst, b.tokens+elapsed.Seconds()*linesPerSecond)
-		b.at = now
+// allow reports whether a line may be written. dropped is the number of lines dropped
+// since the last report; it is 0 unless a report is due.
+func (l *logLimiter) allow(failed bool, now time.Time) (write bool, dropped int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if elapsed := now.Sub(l.refilledAt); elapsed > 0 {
+		l.tokens = min(logLineBurst, l.tokens+elapsed.Seconds()*logLinesPerSecond)
+		l.refilledAt = now
 	}
-	least := 1.0
+	threshold := 1.0
 	if !failed {
-		least = lineBurst / 2
+		threshold = logLineBurst / 2
 	}
-	if b.tokens < least {
-		b.dropped++
+	if l.tokens < threshold {
+		l.dropped++
 		return false, 0
 	}
-	b.tokens--
-	if b.dropped > 0 && now.Sub(b.toldAt) >= tellEvery {
-		dropped, b.dropped, b.toldAt = b.dropped, 0, now
+	l.tokens--
+	if l.dropped > 0 && now.Sub(l.reportedAt) >= dropReportInterval {
+		dropped, l.dropped, l.reportedAt = l.dropped, 0, now
 	}
 	return true, dropped
 }
--- a/pkg/forward/refuse.go
+++ b/pkg/forward/refuse.go
@@ -11,58 +11,59 @@
 	"ironhollow/pkg/code"
 )
 
-// giveUp answers a request that got no answer, at once.
+// giveUp responds at once to a request for which no further attempt is made.
 func (c *call) giveUp(ctx context.Context, last result) error {
-	if c.in.Context().Err() != nil {
-		return errCallerLeft
+	if c.incoming.Context().Err() != nil {
+		return errCallerDisconnected
 	}
 	switch r := last.(type) {
 	case notRun:
-		if left, held := c.held(); held {
-			return c.refuse(errQuarantined, left)
+		if remaining, quarantined := c.quarantined(); quarantined {
+			return c.reject(errQuarantined, remaining)
 		}
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return c.refuse(code.New(code.NoEndpoint, "its time passed before an endpoint took it"), comeBackSoon)
+			return c.reject(code.New(code.NoEndpoint, "deadline exceeded before an endpoint accepted the request"), retryAfterShort)
 		}
-		return c.refuse(code.New(code.NoEndpoint, r.err.Error()), c.comeBackFree())
+		return c.reject(code.New(code.NoEndpoint, r.err.Error()), c.retryAfterAvailable())
 	case unclear:
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return c.refuse(code.New(code.DeadlinePassed, "its time passed while an endpoint had it"), 0)
+			return c.reject(code.New(code.DeadlinePassed, "deadline exceeded while an endpoint was processing the request"), 0)
 		}
-		return c.refuse(code.New(code.CallUnknown, r.err.Error()), 0)
+		return c.reject(code.New(code.CallUnknown, r.err.Error()), 0)
 	case answered:
-		return c.relay(r)
+		return c.relayResponse(r)
 	default:
-		return c.refuse(code.New(code.Internal, "no result"), 0)
+		return c.reject(code.New(code.Internal, "unexpected result type"), 0)
 	}
 }
 
-// comeBackFree is when an endpoint takes the request: at once, or when the first of them has
-// rested or takes another by its limit. A caller that came before would be refused again.
-func (c *call) comeBackFree() time.Duration {
-	return max(c.f.router.FreeIn(c.query(), c.f.clock()), comeBackSoon)
+// retryAfterAvailable is the time until an endpoint accepts the request: until the first
+// backoff ends or the first rate limit allows another request, but at least retryAfterShort.
+// A caller that came back earlier would be rejected again.
+func (c *call) retryAfterAvailable() time.Duration {
+	return max(c.f.router.FreeIn(c.query(), c.f.clock()), retryAfterShort)
 }
 
-var errCallerLeft = errors.New("the caller left")
+var errCallerDisconnected = errors.New("caller disconnected")
 
-// refuse answers with an error of the system's own. Codes that say "not run"
-// are final: nothing is sent after them.
-func (c *call) refuse(err error, comeBack time.Duration) error {
-	found := code.Of(err)
-	status := found.Status()
-	if c.offered && found.Outcome() == code.NotRun && c.everUnclear() {
-		// An earlier send may have run: the promise can't be given.
-		found, status = code.CallUnknown, code.CallUnknown.Status()
+// reject responds with an error of the system itself. Codes with the outcome "not run"
+// are final: no attempt follows them.
+func (c *call) reject(err error, retryAfter time.Duration) error {
+	errCode := code.Of(err)
+	status := errCode.Status()
+	if c.delivered && errCode.Outcome() == code.NotRun && c.mayHaveRun() {
+		// An earlier attempt may have run, so "not run" can't be promised.
+		errCode, status = code.CallUnknown, code.CallUnknown.Status()
 	}
 	h := c.w.Header()
 	c.f.protocol.EncodeRefusal(h, c.meta.ID)
 	h.Set("Content-Type", "application/json")
-	if comeBack > 0 && found.Outcome() == code.NotRun && status != http.StatusNotFound && status != http.StatusUnauthorized {
-		h.Set("Retry-After", strconv.FormatFloat(comeBack.Seconds(), 'f', 3, 64))
+	if retryAfter > 0 && errCode.Outcome() == code.NotRun && status != http.StatusNotFound && status != http.StatusUnauthorized {
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	}
-	body := `{"code":` + strconv.Itoa(found.Number()) + `,"name":` + strconv.Quote(found.Name()) + `,"outcome":` + strconv.Quote(string(found.Outcome())) + "}\n"
+	body := `{"code":` + strconv.Itoa(errCode.Number()) + `,"name":` + strconv.Quote(errCode.Name()) + `,"outcome":` + strconv.Quote(string(errCode.Outcome())) + "}\n"
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	c.trail.status = status
+	c.logEntry.status = status
 	c.w.WriteHeader(status)
 	_, _ = io.WriteString(c.w, body)
 	return err
--- a/pkg/forward/relay.go
+++ b/pkg/forward/relay.go
@@ -23,174 +23,174 @@
 	return names
 }
 
-// writeHead passes on an endpoint's status and headers.
+// writeHead forwards an endpoint's status and headers.
 func (c *call) writeHead(status int, header http.Header) {
 	h := c.w.Header()
-	for name, values := range endToEnd(header) {
+	for name, values := range endToEndHeaders(header) {
 		h[name] = values
 	}
-	// The server must add nothing that the endpoint did not say.
+	// The HTTP server must not add headers that the endpoint did not send.
 	for _, name := range []string{"Date", "Content-Type"} {
 		if _, ok := h[name]; !ok {
 			h[name] = nil
 		}
 	}
 	c.w.WriteHeader(status)
-	c.trail.status = status
+	c.logEntry.status = status
 }
 
-// relay passes an answer on.
-func (c *call) relay(a answered) error {
-	if a.rest == nil {
+// relayResponse forwards a response that is not a stream.
+func (c *call) relayResponse(a answered) error {
+	if a.unread == nil {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	} else if n := a.rest.Length(); n >= 0 {
+	} else if n := a.unread.Length(); n >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	c.writeHead(a.status, a.header)
-	c.trail.bytes += len(a.body)
+	c.logEntry.bytes += len(a.body)
 	if _, err := c.w.Write(a.body); err != nil {
-		return c.cutOff(a.rest, err)
+		return c.abortResponse(a.unread, err)
 	}
-	if a.rest == nil {
+	if a.unread == nil {
 		return nil
 	}
-	defer a.rest.Close()
-	n, err := io.Copy(c.w, a.rest)
-	c.trail.bytes += int(n)
+	defer a.unread.Close()
+	n, err := io.Copy(c.w, a.unread)
+	c.logEntry.bytes += int(n)
 	if err != nil {
-		if a.rest.IsBroken() {
-			c.noteBreak(a.choice, err)
+		if a.unread.IsBroken() {
+			c.recordBreak(a.choice, err)
 		}
-		return c.cutOff(a.rest, err)
+		return c.abortResponse(a.unread, err)
 	}
-	c.noteWhole(a.status, a.rest.HasEnd())
+	c.recordCompletion(a.status, a.unread.HasEnd())
 	return nil
 }
 
-func (c *call) cutOff(e *upstream.Exchange, err error) error {
+func (c *call) abortResponse(e *upstream.Exchange, err error) error {
 	if e != nil {
 		e.Close()
 	}
-	if c.in.Context().Err() != nil {
-		return errors.Join(errCut, errCallerLeft)
+	if c.incoming.Context().Err() != nil {
+		return errors.Join(errTruncated, errCallerDisconnected)
 	}
-	return errors.Join(errCut, err)
+	return errors.Join(errTruncated, err)
 }
 
 const (
-	// streamBytes is the buffer for events on their way: a few of them.
-	streamBytes = 8 << 10
-	// mostEvent bounds one event, which is held until it is whole: some thousand
-	// times those of a model's answer.
-	mostEvent = 256 << 10
+	// streamBufferBytes is the size of the buffer for events: a few of them.
+	streamBufferBytes = 8 << 10
+	// maxEventBytes limits one event, which is buffered until it is complete; it is some
+	// thousand times the size of a model's event.
+	maxEventBytes = 256 << 10
 )
 
-var errLongEvent = errors.New("an event is longer than is held")
+var errEventTooLong = errors.New("event exceeds the maximum size")
 
-// relayStream passes a stream on event by event; first is how long its head took.
-// Where it breaks off it goes on at another endpoint if the route allows that, after
-// the last whole event.
-func (c *call) relayStream(ctx context.Context, choice route.Choice, begun streaming, first time.Duration) error {
-	e := begun.exchange
+// relayStream forwards a stream event by event; firstToken is how long its head took.
+// If the stream breaks off and the route allows it, it is resumed at another endpoint after
+// the last complete event.
+func (c *call) relayStream(ctx context.Context, choice route.Choice, current streaming, firstToken time.Duration) error {
+	e := current.exchange
 	c.writeHead(e.Status(), e.Header())
-	s := &stream{call: c, lastEvent: c.meta.LastEventID}
-	shown := route.Result{Started: true, FirstToken: first}
+	s := &stream{call: c, lastEventID: c.meta.LastEventID}
+	observed := route.Result{Started: true, FirstToken: firstToken}
 	for {
-		began := c.f.clock()
-		s.events = 0
-		err := s.copy(e)
+		startedAt := c.f.clock()
+		s.eventCount = 0
+		err := s.copyEvents(e)
 		e.Close()
-		shown.Failed = err != nil && ctx.Err() == nil
-		shown.Decode = c.f.clock().Sub(began)
-		shown.Tokens = (s.events - 1) * c.service.Stride
-		c.showStream(begun.tracked, choice, shown)
-		c.done(choice, begun.tracked, shown)
-		// What went on elsewhere read the answer so far too: it shows no speed.
-		shown.FirstToken = 0
+		observed.Failed = err != nil && ctx.Err() == nil
+		observed.Decode = c.f.clock().Sub(startedAt)
+		observed.Tokens = (s.eventCount - 1) * c.service.Stride
+		c.recordRolloutStream(current.rolloutSend, choice, observed)
+		c.finishAttempt(choice, current.rolloutSend, observed)
+		// An endpoint that resumes a stream also reads the answer so far, so its first token
+		// gives no measure of its speed.
+		observed.FirstToken = 0
 		if err == nil {
-			c.noteWhole(e.Status(), e.HasEnd())
+			c.recordCompletion(e.Status(), e.HasEnd())
 			return nil
 		}
 		if e.IsBroken() {
-			c.noteBreak(choice, err)
+			c.recordBreak(choice, err)
 		}
-		c.trail.note("stream broke off: " + err.Error())
-		if errors.Is(err, errCallerLeft) || ctx.Err() != nil {
-			return errors.Join(errCut, err)
+		c.logEntry.addNote("stream broke off: " + err.Error())
+		if errors.Is(err, errCallerDisconnected) || ctx.Err() != nil {
+			return errors.Join(errTruncated, err)
 		}
 		c.avoid = append(c.avoid, refOf(choice))
 		var ok bool
-		if choice, begun, ok = c.resume(ctx, s.lastEvent); !ok {
-			return errors.Join(errCut, err)
+		if choice, current, ok = c.resume(ctx, s.lastEventID); !ok {
+			return errors.Join(errTruncated, err)
 		}
-		e = begun.exchange
+		e = current.exchange
 	}
 }
 
-// resume finds another endpoint to go on at.
-func (c *call) resume(ctx context.Context, lastEvent string) (route.Choice, streaming, bool) {
-	last := result(unclear{errCut})
-	for c.mayResend(ctx, last) && c.f.budget.Take(c.service.Name, c.f.fleet.Sharing(), c.f.clock()) {
-		choice, ok := c.choose(ctx)
+// resume finds another endpoint that continues the stream.
+func (c *call) resume(ctx context.Context, lastEventID string) (route.Choice, streaming, bool) {
+	last := result(unclear{errTruncated})
+	for c.mayRetry(ctx, last) && c.f.budget.Take(c.service.Name, c.f.fleet.Sharing(), c.f.clock()) {
+		choice, ok := c.chooseEndpoint(ctx)
 		if !ok {
 			return choice, streaming{}, false
 		}
-		sent := c.f.clock()
-		tracked := c.track(choice)
-		last = c.send(ctx, choice, lastEvent)
-		c.noteAttempt(choice, last, c.f.clock().Sub(sent))
-		c.noteRun(ctx, choice, last)
-		c.showAnswer(ctx, tracked, last)
+		sentAt := c.f.clock()
+		rolloutSend := c.beginRolloutSend(choice)
+		last = c.send(ctx, choice, lastEventID)
+		c.recordAttempt(choice, last, c.f.clock().Sub(sentAt))
+		c.recordOutcome(ctx, choice, last)
+		c.recordRolloutOutcome(ctx, rolloutSend, last)
 		if s, isStream := last.(streaming); isStream {
 			c.f.router.Started(choice)
-			s.tracked = tracked
+			s.rolloutSend = rolloutSend
 			return choice, s, true
 		}
-		c.done(choice, tracked, ending(last))
+		c.finishAttempt(choice, rolloutSend, routerResult(last))
 		c.avoid = append(c.avoid, refOf(choice))
 		if a, isAnswer := last.(answered); isAnswer {
-			if a.rest != nil {
-				a.rest.Close()
+			if a.unread != nil {
+				a.unread.Close()
 			}
-			last = unclear{fmt.Errorf("answered %d when asked to go on", a.status)}
+			last = unclear{fmt.Errorf("endpoint answered %d to a request to resume the stream", a.status)}
 		}
 	}
 	return route.Choice{}, streaming{}, false
 }
 
-// stream is the state of one caller's stream over its endpoints.
+// stream is the state of one caller's stream across endpoints.
 type stream struct {
 	call *call
-	// lastEvent is the id of the last whole event passed on.
-	lastEvent string
-	// events is how many whole events came from the endpoint of now.
-	events int
+	// lastEventID is the id of the last complete event forwarded.
+	lastEventID string
+	// eventCount is how many complete events came from the current endpoint.
+	eventCount int
 }
 
-// copy passes on whole events until the stream ends; nil means that the
-// endpoint ended it in order. What remains of an event that broke off is
-// dropped.
-func (s *stream) copy(e *upstream.Exchange) error {
-	buffer := make([]byte, 0, streamBytes)
+// copyEvents forwards complete events until the stream ends. It returns nil if the endpoint
+// ended the stream properly. An incomplete event at a break is dropped.
+func (s *stream) copyEvents(e *upstream.Exchange) error {
+	buffer := make([]byte, 0, streamBufferBytes)
 	for {
-		if len(buffer) >= mostEvent {
-			return errLongEvent
+		if len(buffer) >= maxEventBytes {
+			return errEventTooLong
 		}
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
 		}
 		n, err := e.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
-		whole := wholeEvents(buffer)
+		complete := completeEventsLen(buffer)
 		if errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			// A stream that ends in order may close without a blank line.
-			whole = len(buffer)
+			// A stream that ends properly may omit the final blank line.
+			complete = len(buffer)
 		}
-		if whole > 0 {
-			if writeErr := s.pass(buffer[:whole]); writeErr != nil {
-				return errors.Join(errCallerLeft, writeErr)
+		if complete > 0 {
+			if writeErr := s.writeEvents(buffer[:complete]); writeErr != nil {
+				return errors.Join(errCallerDisconnected, writeErr)
 			}
-			buffer = buffer[:copy(buffer, buffer[whole:])]
+			buffer = buffer[:copy(buffer, buffer[complete:])]
 		}
 		switch {
 		case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
@@ -201,20 +201,20 @@
 	}
 }
 
-func (s *stream) pass(events []byte) error {
-	if id, ok := lastID(events); ok {
-		s.lastEvent = id
+func (s *stream) writeEvents(events []byte) error {
+	if id, ok := parseLastEventID(events); ok {
+		s.lastEventID = id
 	}
-	s.call.trail.bytes += len(events)
-	s.events += countEvents(events)
+	s.call.logEntry.bytes += len(events)
+	s.eventCount += countEvents(events)
 	if _, err := s.call.w.Write(events); err != nil {
 		return err
 	}
 	return http.NewResponseController(s.call.w).Flush()
 }
 
-// wholeEvents returns how many leading bytes are whole events.
-func wholeEvents(b []byte) int {
+// completeEventsLen returns how many leading bytes of b are complete events.
+func completeEventsLen(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -225,13 +225,13 @@
 	return end
 }
 
-// countEvents returns how many events end in whole events.
+// countEvents returns the number of events in a sequence of complete events.
 func countEvents(events []byte) int {
 	return max(bytes.Count(events, []byte("\n\n")), bytes.Count(events, []byte("\r\n\r\n")))
 }
 
-// lastID returns the id of the last event that has one.
-func lastID(events []byte) (string, bool) {
+// parseLastEventID returns the id of the last event that has one.
+func parseLastEventID(events []byte) (string, bool) {
 	for len(events) > 0 {
 		at := bytes.LastIndex(events, []byte("id:"))
 		if at < 0 {
--- a/pkg/forward/trail.go
+++ b/pkg/forward/request_log.go
@@ -12,70 +12,70 @@
 	"ironhollow/pkg/route"
 )
 
-// trail is what a request's log line tells.
-type trail struct {
-	hops   []hop
-	status int
-	bytes  int
-	notes  []string
-	// cost is what the request counts towards its team's limit.
-	cost float64
+// requestLog is the content of a request's log line.
+type requestLog struct {
+	attempts []attemptRecord
+	status   int
+	bytes    int
+	notes    []string
+	// limitCost is the request's cost against its team's limit.
+	limitCost float64
 }
 
-// hop is one send.
-type hop struct {
+// attemptRecord is one attempt.
+type attemptRecord struct {
 	endpoint string
-	// row is the version of the endpoint's row that was known.
-	row int64
-	// expected is the time to the end, queued the part behind other requests.
+	// rowVersion is the version of the endpoint's row at the time of the choice.
+	rowVersion int64
+	// expected is the estimated total time, queued the part behind other requests.
 	expected, queued time.Duration
 	cached           int
-	took             time.Duration
+	duration         time.Duration
 	outcome          string
-	// said is what the answer said of its endpoint.
-	said    endpoint.Notice
-	unclear bool
-	sent    bool
+	// notice is what the response reported about its endpoint.
+	notice     endpoint.Notice
+	mayHaveRun bool
+	delivered  bool
 }
 
-func (t *trail) note(text string) { t.notes = append(t.notes, text) }
+func (t *requestLog) addNote(text string) { t.notes = append(t.notes, text) }
 
-func (c *call) noteAttempt(choice route.Choice, r result, took time.Duration) {
-	h := hop{endpoint: choice.Endpoint.ID, row: choice.Endpoint.Counter, expected: choice.Expected, queued: choice.Queued, cached: choice.CachedTokens, took: took, sent: true, said: c.said}
+func (c *call) recordAttempt(choice route.Choice, r result, duration time.Duration) {
+	a := attemptRecord{endpoint: choice.Endpoint.ID, rowVersion: choice.Endpoint.Counter, expected: choice.Expected, queued: choice.Queued, cached: choice.CachedTokens, duration: duration, delivered: true, notice: c.notice}
 	switch r := r.(type) {
 	case notRun:
-		h.outcome = "not run: " + r.err.Error()
-		h.sent = r.reached
+		a.outcome = "not run: " + r.err.Error()
+		a.delivered = r.rejectedByTarget
 	case unclear:
-		h.outcome = "unclear: " + r.err.Error()
-		h.unclear = true
+		a.outcome = "unclear: " + r.err.Error()
+		a.mayHaveRun = true
 	case answered:
-		h.outcome = strconv.Itoa(r.status)
-		h.unclear = true
+		a.outcome = strconv.Itoa(r.status)
+		a.mayHaveRun = true
 	case streaming:
-		h.outcome = "stream"
-		h.unclear = true
+		a.outcome = "stream"
+		a.mayHaveRun = true
 	}
-	c.trail.hops = append(c.trail.hops, h)
+	c.logEntry.attempts = append(c.logEntry.attempts, a)
 	c.f.metrics.attempts.WithLabelValues(c.service.Name, outcomeLabel(r)).Inc()
 	c.countNotice()
 }
 
-// countNotice counts what the latest answer said of its endpoint.
+// countNotice counts what the latest response reported about its endpoint.
 func (c *call) countNotice() {
-	if c.said.Moved {
+	if c.notice.Moved {
 		c.f.metrics.notices.WithLabelValues(c.service.Name, "moved").Inc()
 	}
-	if c.said.Leaving {
+	if c.notice.Leaving {
 		c.f.metrics.notices.WithLabelValues(c.service.Name, "leaving").Inc()
 	}
-	if c.said.Limit > 0 {
+	if c.notice.Limit > 0 {
 		c.f.metrics.notices.WithLabelValues(c.service.Name, "limit").Inc()
 	}
-	if c.said.BadLimit {
+	if c.notice.BadLimit {
 		c.f.metrics.notices.WithLabelValues(c.service.Name, "unreadable-limit").Inc()
 	}
-	if c.said.Backoff > 0 {
+	if c.notice.Backoff > 0 {
 		c.f.metrics.notices.WithLabelValues(c.service.Name, "backoff").Inc()
 	}
 }
@@ -93,66 +93,66 @@
 	}
 }
 
-// sends returns how many endpoints have been reached.
-func (c *call) sends() int {
+// deliveredAttempts returns how many attempts the chosen endpoint received.
+func (c *call) deliveredAttempts() int {
 	n := 0
-	for _, h := range c.trail.hops {
-		if h.sent {
+	for _, a := range c.logEntry.attempts {
+		if a.delivered {
 			n++
 		}
 	}
 	return n
 }
 
-// everUnclear reports whether a send may have run.
-func (c *call) everUnclear() bool {
-	for _, h := range c.trail.hops {
-		if h.unclear {
+// mayHaveRun reports whether an attempt may have run.
+func (c *call) mayHaveRun() bool {
+	for _, a := range c.logEntry.attempts {
+		if a.mayHaveRun {
 			return true
 		}
 	}
 	return false
 }
 
-// finish writes the request's one log line and counts it.
+// finish writes the request's log line and updates the metrics.
 func (c *call) finish(err error) {
 	outcome := "served"
 	switch {
-	case errors.Is(err, errCallerLeft):
+	case errors.Is(err, errCallerDisconnected):
 		outcome = "caller-left"
-	case errors.Is(err, errCut):
+	case errors.Is(err, errTruncated):
 		outcome = "cut"
 	case err != nil:
 		outcome = code.Of(err).Name()
 	}
-	took := c.f.clock().Sub(c.started)
+	duration := c.f.clock().Sub(c.started)
 	c.f.metrics.requests.WithLabelValues(c.routeKind(), outcome).Inc()
-	c.f.metrics.seconds.WithLabelValues(c.routeKind()).Observe(took.Seconds())
-	write, dropped := c.f.lines.take(err != nil, c.f.clock())
+	c.f.metrics.seconds.WithLabelValues(c.routeKind()).Observe(duration.Seconds())
+	write, dropped := c.f.logLimit.allow(err != nil, c.f.clock())
 	if !write {
 		c.f.metrics.dropped.Inc()
 		return
 	}
 	if dropped > 0 {
-		c.f.log.Warn().Int("lines", dropped).Msg("lines of requests dropped: more than the budget")
+		c.f.log.Warn().Int("lines", dropped).Msg("request log lines dropped: rate limit exceeded")
 	}
-	line := c.f.log.Info().Str("request", c.meta.ID).Str("outcome", outcome).Dur("took", took)
+	line := c.f.log.Info().Str("request", c.meta.ID).Str("outcome", outcome).Dur("took", duration)
 	if c.route != nil {
 		line = line.Str("route", c.route.Name).Str("service", c.service.Name).Int64("config", c.table.Version()).Str("team", c.teamName()).
 			Stringer("fingerprint", c.fingerprint)
 	}
-	for i, h := range c.trail.hops {
+	for i, a := range c.logEntry.attempts {
 		prefix := "hop" + strconv.Itoa(i+1)
-		line = line.Str(prefix, h.endpoint).Str(prefix+"-end", h.outcome).Dur(prefix+"-took", h.took).
-			Dur(prefix+"-expected", h.expected).Dur(prefix+"-queued", h.queued).Int(prefix+"-cached", h.cached).Int64(prefix+"-row", h.row)
-		if said := h.said.String(); said != "" {
-			line = line.Str(prefix+"-said", said)
+		line = line.Str(prefix, a.endpoint).Str(prefix+"-end", a.outcome).Dur(prefix+"-took", a.duration).
+			Dur(prefix+"-expected", a.expected).Dur(prefix+"-queued", a.queued).Int(prefix+"-cached", a.cached).Int64(prefix+"-row", a.rowVersion)
+		if text := a.notice.String(); text != "" {
+			line = line.Str(prefix+"-said", text)
 		}
 	}
 	if err != nil {
 		line = line.Str("why", err.Error())
 	}
-	line.Int("status", c.trail.status).Float64("cost", c.trail.cost).Int("bytes", c.trail.bytes).Strs("notes", c.trail.notes).Msg("request")
+	line.Int("status", c.logEntry.status).Float64("cost", c.logEntry.limitCost).Int("bytes", c.logEntry.bytes).Strs("notes", c.logEntry.notes).Msg("request")
 }
 
 func (c *call) routeKind() string {
@@ -162,7 +162,7 @@
 	return c.route.Kind.String()
 }
 
-// Metrics count requests.
+// Metrics holds the metrics of requests.
 type Metrics struct {
 	requests *prometheus.CounterVec
 	attempts *prometheus.CounterVec
--- /dev/null
+++ b/pkg/forward/rollout.go
@@ -0,0 +1,75 @@
+package forward
+
+import (
+	"context"
+	"errors"
+
+	"ironhollow/pkg/rollout"
+	"ironhollow/pkg/route"
+	"ironhollow/pkg/routetable"
+)
+
+// chooseRolloutSide decides which versions of the service's endpoints the request goes to.
+func (c *call) chooseRolloutSide() {
+	c.kind = rollout.KindOf(c.route.Name)
+	c.side = c.f.rollouts.Side(c.service.Name, c.kind, c.meta.ID, c.f.clock())
+}
+
+// beginRolloutSend records an attempt for the comparison of versions in a roll-out.
+func (c *call) beginRolloutSend(choice route.Choice) *rollout.Send {
+	expected := choice.Wait
+	if c.route.Kind != routetable.Stream {
+		// Plain answers have no estimated duration: versions are compared by the measured one.
+		expected = 0
+	}
+	return c.f.rollouts.Begin(c.service.Name, &choice.Endpoint, c.kind, expected, c.f.clock())
+}
+
+// finishAttempt reports the end of an attempt to the router and to the roll-out.
+func (c *call) finishAttempt(choice route.Choice, rolloutSend *rollout.Send, r route.Result) {
+	now := c.f.clock()
+	r.Untried = c.side == rollout.Target
+	c.f.router.Done(choice, r, now)
+	c.f.rollouts.End(rolloutSend, now)
+}
+
+// recordRolloutOutcome records what the outcome of an attempt, or a stream's first event,
+// shows about the endpoint's version. Attempts that did not run or that the caller cancelled
+// show nothing. A request that fails at the version under test continues at the others.
+func (c *call) recordRolloutOutcome(ctx context.Context, rolloutSend *rollout.Send, r result) {
+	failed := false
+	switch r := r.(type) {
+	case notRun:
+		return
+	case unclear:
+		if c.incoming.Context().Err() != nil || errors.Is(ctx.Err(), context.Canceled) {
+			return
+		}
+		failed = true
+	case answered:
+		failed = r.status >= minFailureStatus
+	}
+	c.f.rollouts.Answered(rolloutSend, failed, c.f.clock())
+	if failed && c.side == rollout.Target {
+		c.side, _ = c.f.rollouts.Instead(c.service.Name, c.side, c.f.clock())
+	}
+}
+
+// minFailureStatus is the lowest status that counts as the endpoint's failure.
+const minFailureStatus = 500
+
+// minPaceTokens is the fewest tokens of an answer for its pace to be measured.
+const minPaceTokens = 8
+
+// recordRolloutStream records how a stream continued after its first event.
+func (c *call) recordRolloutStream(rolloutSend *rollout.Send, choice route.Choice, observed route.Result) {
+	if c.incoming.Context().Err() != nil {
+		return
+	}
+	paceRatio := 0.0
+	gap := c.f.router.TokenGap(choice.Endpoint.ID)
+	if observed.Tokens >= minPaceTokens && gap > 0 {
+		paceRatio = observed.Decode.Seconds() / (float64(observed.Tokens) * gap.Seconds())
+	}
+	c.f.rollouts.Streamed(rolloutSend, paceRatio, observed.Failed, c.f.clock())
+}
--- a/pkg/forward/run.go
+++ b/pkg/forward/run.go
@@ -13,14 +13,15 @@
 	"ironhollow/pkg/routetable"
 )
 
-// Choice where many hosts take callers: from staleFleet of them on, loads heard of
-// others are older than the time between two of their choices.
+// Choice of endpoints in large fleets: from largeFleetHosts entry hosts on, a choice considers
+// only a random sample of endpoints, as the loads received from other hosts are then older
+// than the time between two of their choices.
 const (
-	staleFleet  = 24
-	staleSample = 3
+	largeFleetHosts  = 24
+	largeFleetSample = 3
 )
 
-// query is what the router needs to know.
+// query returns the router's query for the request.
 func (c *call) query() route.Query {
 	q := route.Query{
 		Target:       route.Target{Service: c.service.Name},
@@ -28,163 +29,163 @@
 		AnswerTokens: max(c.meta.ExpectedTokens, 1),
 		Avoid:        c.avoid,
 		Rule:         c.f.rollouts.Rule(c.service.Name, c.side),
-		Connected:    c.connected,
+		Connected:    c.hasIdleConnection,
 	}
-	if c.f.fleet.Advertised() >= staleFleet {
-		q.Sample = staleSample
+	if c.f.fleet.Advertised() >= largeFleetHosts {
+		q.Sample = largeFleetSample
 	}
-	covered := 0
+	tokens := 0
 	for _, part := range c.meta.Prefix {
-		covered += part.Tokens
+		tokens += part.Tokens
 		q.Prefix = append(q.Prefix, part.Hash)
-		q.PrefixTokens = append(q.PrefixTokens, covered)
+		q.PrefixTokens = append(q.PrefixTokens, tokens)
 	}
 	q.Shared = max(len(q.Prefix)-1, 0)
 	return q
 }
 
-// connected reports whether the request can use a kept connection to an endpoint.
-func (c *call) connected(address string) bool {
+// hasIdleConnection reports whether the request can use an idle connection to an endpoint.
+func (c *call) hasIdleConnection(address string) bool {
 	return c.f.pool.HasIdle(address, c.maxIdle())
 }
 
-// maxIdle is how long a connection for the request may have rested.
+// maxIdle is how long a connection for the request may have been idle, 0 for any time.
 func (c *call) maxIdle() time.Duration {
 	if c.route.MayRepeat() {
 		return 0
 	}
-	return onceIdle
+	return nonRepeatableMaxIdle
 }
 
-// run sends the request until it is answered or given up.
+// run sends the request until it is answered or abandoned.
 func (c *call) run(ctx context.Context) error {
 	c.f.budget.Sent(c.service.Name, c.f.clock())
-	c.pickSide()
+	c.chooseRolloutSide()
 	var last result = notRun{err: errors.New("no endpoint takes work")}
 	for {
-		choice, ok := c.choose(ctx)
-		if c.comeBack > 0 {
-			return c.refuse(code.New(code.Overloaded, "the first token would come too late"), c.comeBack)
+		choice, ok := c.chooseEndpoint(ctx)
+		if c.retryAfter > 0 {
+			return c.reject(code.New(code.Overloaded, "first token would be too late"), c.retryAfter)
 		}
 		if !ok {
 			return c.giveUp(ctx, last)
 		}
-		sent := c.f.clock()
+		sentAt := c.f.clock()
 		last = c.attempt(ctx, choice)
 		if s, isStream := last.(streaming); isStream {
-			return c.relayStream(ctx, choice, s, c.f.clock().Sub(sent))
+			return c.relayStream(ctx, choice, s, c.f.clock().Sub(sentAt))
 		}
-		if a, isAnswer := last.(answered); isAnswer && (a.status < http.StatusInternalServerError || !c.mayResend(ctx, last)) {
-			return c.relay(a)
+		if a, isAnswer := last.(answered); isAnswer && (a.status < http.StatusInternalServerError || !c.mayRetry(ctx, last)) {
+			return c.relayResponse(a)
 		}
-		if !c.mayResend(ctx, last) {
+		if !c.mayRetry(ctx, last) {
 			return c.giveUp(ctx, last)
 		}
-		if a, isAnswer := last.(answered); isAnswer && a.rest != nil {
-			a.rest.Close()
+		if a, isAnswer := last.(answered); isAnswer && a.unread != nil {
+			a.unread.Close()
 		}
-		if n, isNotRun := last.(notRun); isNotRun && !n.arrived {
-			// Nothing came to an endpoint, so that the next send is the first.
+		if n, isNotRun := last.(notRun); isNotRun && !n.rejectedByAny {
+			// No endpoint received the request, so the next attempt counts as the first.
 			continue
 		}
 		if !c.f.budget.Take(c.service.Name, c.f.fleet.Sharing(), c.f.clock()) {
-			c.trail.note("budget-empty")
-			if a, isAnswer := last.(answered); isAnswer && a.rest == nil {
-				return c.relay(a)
+			c.logEntry.addNote("budget-empty")
+			if a, isAnswer := last.(answered); isAnswer && a.unread == nil {
+				return c.relayResponse(a)
 			}
 			return c.giveUp(ctx, last)
 		}
 	}
 }
 
-// choose picks the next endpoint, of another version where none takes it of the one
-// that was meant.
-func (c *call) choose(ctx context.Context) (route.Choice, bool) {
+// chooseEndpoint picks the next endpoint, of another version if no endpoint of the
+// intended version accepts the request.
+func (c *call) chooseEndpoint(ctx context.Context) (route.Choice, bool) {
 	if ctx.Err() != nil {
 		return route.Choice{}, false
 	}
-	choice, ok := c.chooseOf()
+	choice, ok := c.chooseFromVersions()
 	if ok {
 		return choice, true
 	}
-	instead, may := c.f.rollouts.Instead(c.service.Name, c.side, c.f.clock())
-	if !may || c.comeBack > 0 && c.side != rollout.Target {
+	fallback, allowed := c.f.rollouts.Instead(c.service.Name, c.side, c.f.clock())
+	if !allowed || c.retryAfter > 0 && c.side != rollout.Target {
 		return choice, false
 	}
-	c.side = instead
-	c.comeBack = 0
-	return c.chooseOf()
+	c.side = fallback
+	c.retryAfter = 0
+	return c.chooseFromVersions()
 }
 
-// chooseOf picks an endpoint of the versions that are meant.
-func (c *call) chooseOf() (route.Choice, bool) {
+// chooseFromVersions picks an endpoint of the versions that the request goes to.
+func (c *call) chooseFromVersions() (route.Choice, bool) {
 	q := c.query()
-	q.Accepts = c.accepts
+	q.Accepts = c.acceptChoice
 	return c.f.router.Choose(q, route.Expected, c.f.clock())
 }
 
-// accepts reports whether a choice is used: not where a stream's first event would
-// be late for what is queued before it at the best endpoint. Then comeBack is set.
-func (c *call) accepts(choice route.Choice) bool {
-	if c.route.Kind != routetable.Stream || c.sends() > 0 {
+// acceptChoice reports whether a choice is used. It is not if a stream's first event would
+// be too late because of the queue at the best endpoint; retryAfter is then set.
+func (c *call) acceptChoice(choice route.Choice) bool {
+	if c.route.Kind != routetable.Stream || c.deliveredAttempts() > 0 {
 		return true
 	}
 	stream := admission.Stream{Objective: c.route.Objective, Priority: c.priority}
-	comeBack, late := stream.ShouldReject(admission.EstimateOf(choice))
-	c.comeBack = comeBack
+	retryAfter, late := stream.ShouldReject(admission.EstimateOf(choice))
+	c.retryAfter = retryAfter
 	return !late
 }
 
-// attempt makes one send and tells the router how it ended. A stream's choice
-// is ended by the relay.
+// attempt makes one attempt and reports its outcome to the router. For a stream,
+// relayStream does so at the stream's end.
 func (c *call) attempt(ctx context.Context, choice route.Choice) result {
-	sent := c.f.clock()
-	tracked := c.track(choice)
+	sentAt := c.f.clock()
+	rolloutSend := c.beginRolloutSend(choice)
 	r := c.send(ctx, choice, "")
-	c.noteAttempt(choice, r, c.f.clock().Sub(sent))
-	c.noteRun(ctx, choice, r)
-	c.showAnswer(ctx, tracked, r)
+	c.recordAttempt(choice, r, c.f.clock().Sub(sentAt))
+	c.recordOutcome(ctx, choice, r)
+	c.recordRolloutOutcome(ctx, rolloutSend, r)
 	switch r := r.(type) {
 	case streaming:
-		c.began()
+		c.markRunStarted()
 		c.f.router.Started(choice)
-		r.tracked = tracked
+		r.rolloutSend = rolloutSend
 		return r
 	case answered:
-		c.began()
+		c.markRunStarted()
 	case unclear:
-		c.offered = true
+		c.delivered = true
 	case notRun:
-		c.offered = c.offered || r.reached
+		c.delivered = c.delivered || r.rejectedByTarget
 	}
-	c.done(choice, tracked, ending(r))
+	c.finishAttempt(choice, rolloutSend, routerResult(r))
 	c.avoid = append(c.avoid, refOf(choice))
 	return r
 }
 
-func (c *call) began() {
-	c.offered = true
-	c.f.runs.RunStarted(c.teamName())
+func (c *call) markRunStarted() {
+	c.delivered = true
+	c.f.runCounter.RunStarted(c.teamName())
 }
 
-// mayResend reports whether the request may go to another endpoint after a
-// result: within the route's attempts, and only what may run again or has
-// provably not run.
-func (c *call) mayResend(ctx context.Context, last result) bool {
+// mayRetry reports whether the request may be sent to another endpoint after a result:
+// only within the route's attempts, and only if it may run again or provably did not run.
+func (c *call) mayRetry(ctx context.Context, last result) bool {
 	if ctx.Err() != nil {
 		return false
 	}
-	if _, held := c.held(); held {
+	if _, quarantined := c.quarantined(); quarantined {
 		return false
 	}
 	if _, isUnclear := last.(unclear); isUnclear && c.f.poison.LastTry(c.fingerprint) {
 		return false
 	}
 	n, isNotRun := last.(notRun)
-	if isNotRun && !n.reached {
-		// Nothing reached an endpoint; this is bounded by the endpoints to avoid.
+	if isNotRun && !n.rejectedByTarget {
+		// The chosen endpoint did not get the request; the list of endpoints to avoid bounds
+		// these retries.
 		return true
 	}
-	c.attempts = c.sends()
+	c.attempts = c.deliveredAttempts()
 	return c.attempts < c.route.Attempts && (isNotRun || c.route.MayRepeat())
 }
--- a/pkg/forward/sweep_test.go
+++ b/pkg/forward/sweep_test.go
@@ -15,12 +15,12 @@
 // sweep of the pool asks the router for the endpoints in use.
 func TestSweepAndChooseDoNotDeadlock(t *testing.T) {
 	const rounds = 20_000
-	s := &site{t: t, directory: endpoint.NewDirectory()}
-	s.addEndpoint("e0", whole("answer"))
+	s := &harness{t: t, directory: endpoint.NewDirectory()}
+	s.addEndpoint("e0", respondOK("answer"))
 	router := route.New(s.directory, hazard.New(), route.Home{}, 1)
 	pool := upstream.New(time.Second)
 	if got := pool.Look(context.Background(), s.endpoint("e0").Address, 0); got != upstream.Accepting {
-		t.Fatalf("look: got %v, want accepting", got)
+		t.Fatalf("probe: got %v, want accepting", got)
 	}
 	query := route.Query{
 		Target: route.Target{Service: "svc"}, AnswerTokens: 1,
@@ -46,7 +46,7 @@
 		select {
 		case <-done:
 		case <-limit:
-			t.Fatal("choices and sweeps wait for each other, want both to end")
+			t.Fatal("choices and sweeps deadlocked, want both to end")
 		}
 	}
 }
--- a/pkg/forward/types.go
+++ b/pkg/forward/types.go
@@ -1,6 +1,6 @@
-// Package forward carries callers' raw HTTP requests to endpoints and the
-// answers back: routes, keys, limits, the choice of endpoint, what may be sent
-// again, and streams that go on at another endpoint.
+// Package forward is the reverse proxy between callers and endpoints: it matches routes,
+// checks keys and limits, chooses an endpoint, retries what may be sent again, and resumes
+// streams at another endpoint.
 package forward
 
 import (
@@ -16,59 +16,59 @@
 	Tokens int
 }
 
-// RequestMeta is what a caller's request says about itself beside path and body.
+// RequestMeta is what the headers of a caller's request say, besides path and body.
 type RequestMeta struct {
-	// ID is the caller's, new with each of its attempts.
+	// ID is set by the caller and differs for each of its attempts.
 	ID string
 	// Key is the bearer key, empty if there is none.
 	Key string
-	// Timeout is how long the caller waits; HasWait is false if it did not say.
+	// Timeout is how long the caller waits; HasTimeout is false if it did not say.
 	Timeout    time.Duration
 	HasTimeout bool
 	Model      string
-	// PromptTokens and MaxTokens, the longest answer, are there if HasTokens.
+	// PromptTokens and MaxTokens, the longest answer, are set if HasTokens.
 	PromptTokens, MaxTokens int
 	HasTokens               bool
-	// ExpectedTokens is the caller's guess of the answer's length.
+	// ExpectedTokens is the caller's estimate of the answer's length.
 	ExpectedTokens int
-	// Prefix is the prompt's parts in order; the last is the request's own.
+	// Prefix holds the prompt's parts in order; the last is specific to the request.
 	Prefix []PromptPart
-	// LastEventID is the id of the last event the caller has of a stream.
+	// LastEventID is the id of the last event of a stream that the caller has received.
 	LastEventID string
-	// ReservedHeaders is how many headers the caller sent that are the system's to set;
-	// they do not pass.
+	// ReservedHeaders is how many headers the caller sent that only the system may set;
+	// they are not forwarded.
 	ReservedHeaders int
 }
 
-// AttemptMeta is what one send adds to a request.
+// AttemptMeta is what a single attempt adds to a request.
 type AttemptMeta struct {
-	// EndpointID is the instance that is meant; any other must refuse.
+	// EndpointID is the instance that the attempt is for; any other must refuse it.
 	EndpointID string
-	// Remaining is how much of the request's time is left.
+	// Remaining is the time left until the request's deadline.
 	Remaining time.Duration
 	Team      string
-	// Priority is set if Prioritised; 0 goes first.
+	// Priority is set if HasPriority; 0 is the most urgent.
 	Priority    int
 	HasPriority bool
-	// LastEventID is the last event had, where a stream goes on.
+	// LastEventID is the id of the last event received, where a stream is resumed.
 	LastEventID string
 }
 
-// ResponseMeta is what an endpoint's answer says about itself.
+// ResponseMeta is what the status and headers of an endpoint's response say.
 type ResponseMeta struct {
-	// RequestID is the request's that the answer belongs to.
+	// RequestID is the id of the request that the response belongs to.
 	RequestID string
-	// NotRun is the endpoint's word that it did not run the request.
+	// NotRun is set if the endpoint reports that it did not run the request.
 	NotRun bool
-	// Moved says that another instance has the address.
+	// Moved is set if another instance now has the address.
 	Moved bool
-	// Signed says that the answer bears the endpoint's signature.
+	// Signed is set if the response has the endpoint's signature.
 	Signed bool
-	// Notice is what the answer says of the endpoint itself.
+	// Notice is what the response reports about the endpoint itself.
 	Notice endpoint.Notice
 }
 
-// Protocol is how requests and answers are marked on the wire.
+// Protocol encodes and decodes the metadata of requests and responses as headers.
 type Protocol interface {
 	DecodeRequest(h http.Header) (RequestMeta, error)
 	EncodeAttempt(h http.Header, hop AttemptMeta)
@@ -76,7 +76,7 @@
 	EncodeRefusal(h http.Header, id string)
 }
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders apply to a single connection and are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
