--- a/pkg/route/work.go
+++ b/pkg/route/work.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// workTime is how far back the work asked for is averaged.
-const workTime = 4 * time.Second
+// demandWindow is the time constant over which the demand is averaged.
+const demandWindow = 4 * time.Second
 
-// batchShare is how many requests share a step of an engine while it keeps
-// its latency: the part of a step that a token costs.
-const batchShare = 16
+// batchSize is the number of requests that share a step of an engine without slowing it down. A
+// token costs 1/batchSize of a step.
+const batchSize = 16
 
-// work is engine time asked for, per second.
-type work struct {
-	rate float64
-	at   time.Time
+// demand is a moving average of the requested engine time per second.
+type demand struct {
+	perSecond float64
+	updatedAt time.Time
 }
 
-func (w *work) add(cost time.Duration, now time.Time) {
-	w.fade(now)
-	w.rate += cost.Seconds() / workTime.Seconds()
+func (d *demand) add(cost time.Duration, now time.Time) {
+	d.decay(now)
+	d.perSecond += cost.Seconds() / demandWindow.Seconds()
 }
 
-func (w *work) fade(now time.Time) {
-	if elapsed := now.Sub(w.at); elapsed > 0 {
-		w.rate *= math.Exp(-float64(elapsed) / float64(workTime))
-		w.at = now
+func (d *demand) decay(now time.Time) {
+	if elapsed := now.Sub(d.updatedAt); elapsed > 0 {
+		d.perSecond *= math.Exp(-float64(elapsed) / float64(demandWindow))
+		d.updatedAt = now
 	}
 }
 
-// engineTime is what a request takes of an engine. The group's lock is held.
+// engineTime returns the engine time that a request needs. The group's lock must be held.
 func (g *group) engineTime(uncached, answer int) time.Duration {
-	f := g.model.Timings()
-	return time.Duration(uncached)*f.PrefillPerToken + time.Duration(answer)*f.TokenGap/batchShare
+	f := g.speed.Timings()
+	return time.Duration(uncached)*f.PrefillPerToken + time.Duration(answer)*f.TokenGap/batchSize
 }
 
-// EngineDemand returns the engine time a second that this entry's requests for a
-// target ask for, averaged over some seconds: 1 is one endpoint, never idle.
+// EngineDemand returns the engine time per second that this entry's requests for a target need,
+// averaged over some seconds. 1 is one endpoint that is never idle.
 func (r *Router) EngineDemand(t Target, now time.Time) float64 {
 	r.mu.RLock()
 	g, known := r.groups[t]
 	r.mu.RUnlock()
 	if !known {
-		// No request has asked for it.
+		// No request for this target was received.
 		return 0
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.work.fade(now)
-	return g.work.rate
+	g.demand.decay(now)
+	return g.demand.perSecond
 }
