--- a/pkg/placement/placement_test.go
+++ b/pkg/placement/placement_test.go
@@ -50,9 +50,9 @@
 	return total, dataCenters
 }
 
-// TestEveryModelIsInSeveralDataCentres places two models with weights 1 and 2 on 18
+// TestEveryModelIsInSeveralDataCenters places two models with weights 1 and 2 on 18
 // engines. A second plan must find nothing to change.
-func TestEveryModelIsInSeveralDataCentres(t *testing.T) {
+func TestEveryModelIsInSeveralDataCenters(t *testing.T) {
 	list := infos(18)
 	shares := []placement.Share{{Spec: spec("a", "1"), Weight: 1}, {Spec: spec("b", "1"), Weight: 2}}
 	applyPlan(list, shares)
