--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -123,7 +123,7 @@
 	a.operators.OnApplied(func(ctx context.Context) { a.followConfig(ctx) })
 	go a.peers.Run()
 	go a.attach(ctx)
-	go pause.Every(ctx, a.settings.leaseTiming.Renew, a.stepLeases)
+	go pause.Every(ctx, a.settings.leaseTiming.RenewInterval, a.stepLeases)
 	go pause.Every(ctx, configPeriod, a.relayConfig)
 	go pause.Every(ctx, watch, a.readNotices)
 	go pause.Every(ctx, a.settings.hostListPeriod, a.readHosts)
--- a/pkg/app/control/settings.go
+++ b/pkg/app/control/settings.go
@@ -53,7 +53,7 @@
 		table: tableOf(w.Platform), cloudAddress: w.Platform.Cloud, hostListAddress: w.Platform.HostList,
 		platformTime: w.Platform.Timeout,
 		operatorKeys: w.Operators.Keys, shards: w.Shards.Count,
-		leaseTiming: lease.Timing{Duration: w.Shards.Lease, Renew: w.Shards.Renew}, watchPeriod: w.Shards.Watch,
+		leaseTiming: lease.Timing{Duration: w.Shards.Lease, RenewInterval: w.Shards.Renew}, watchPeriod: w.Shards.Watch,
 		hostListPeriod: w.Shards.Hosts, reportPeriod: w.Shards.Reports,
 		peerFiles:    secure.Files{Cert: w.TLS.PeerCert, Key: w.TLS.PeerKey, CA: w.TLS.PeerCa},
 		operatorFile: secure.Files{Cert: w.TLS.OperatorCert, Key: w.TLS.OperatorKey},
--- a/pkg/app/control/shards.go
+++ b/pkg/app/control/shards.go
@@ -26,15 +26,15 @@
 // stepLeases renews and takes leases. The first two nodes by rendezvous share
 // a shard: one wants it, the next stands by.
 func (a *App) stepLeases(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, a.settings.leaseTiming.Renew)
+	ctx, cancel := context.WithTimeout(ctx, a.settings.leaseTiming.RenewInterval)
 	defer cancel()
 	a.leases.Step(ctx, a.wishes())
 	a.noteGrants()
 }
 
-func (a *App) wishes() map[lease.Shard]lease.Wish {
+func (a *App) wishes() map[lease.Shard]lease.Intent {
 	controls := a.controls()
-	wishes := map[lease.Shard]lease.Wish{}
+	wishes := map[lease.Shard]lease.Intent{}
 	for s := range a.settings.shards {
 		shard := lease.Shard(s)
 		wish := wishOf(membership.RankOf(shardKey(shard), a.settings.id, controls))
@@ -42,7 +42,7 @@
 		if wish == lease.Standby && held > 0 {
 			wish = a.keepOrHandOver(held)
 		}
-		if wish != lease.NotWanted || held > 0 {
+		if wish != lease.Release || held > 0 {
 			wishes[shard] = wish
 		}
 	}
@@ -51,24 +51,24 @@
 
 func shardKey(s lease.Shard) string { return fmt.Sprintf("shard/%d", s) }
 
-func wishOf(rank int) lease.Wish {
+func wishOf(rank int) lease.Intent {
 	switch rank {
 	case 0:
-		return lease.Wanted
+		return lease.Acquire
 	case 1:
 		return lease.Standby
 	}
-	return lease.NotWanted
+	return lease.Release
 }
 
 // keepOrHandOver keeps a shard that was taken over from a node that died until
 // its death is known everywhere: the first node by rank must be a living one
 // when the shard is handed on.
-func (a *App) keepOrHandOver(held time.Duration) lease.Wish {
+func (a *App) keepOrHandOver(held time.Duration) lease.Intent {
 	if held < 2*a.settings.leaseTiming.Duration {
-		return lease.Wanted
+		return lease.Acquire
 	}
-	return lease.NotWanted
+	return lease.Release
 }
 
 // controls returns the nodes that have a control process, this one included:
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		_, held := n.leases.Held(dutyShard)
 		if held || n.standsBy() && n.mustLook() {
-			n.leases.Step(ctx, map[lease.Shard]lease.Wish{dutyShard: lease.Wanted})
+			n.leases.Step(ctx, map[lease.Shard]lease.Intent{dutyShard: lease.Acquire})
 		}
 		pause.For(ctx, n.settings.Lease/renewals)
 	}
@@ -85,7 +85,7 @@
 // mustLook reports whether the holder of the lease is not heard, or has not
 // renewed it for its duration: it may have lost the store.
 func (n *node) mustLook() bool {
-	return n.leases.MayHaveLapsed(dutyShard) || !n.view.Roster().DutiesHeld(string(n.incarnation), holderHeard, n.clock.Now())
+	return n.leases.MayHaveExpired(dutyShard) || !n.view.Roster().DutiesHeld(string(n.incarnation), holderHeard, n.clock.Now())
 }
 
 // standsBy reports whether this host is among those that watch the lease.
@@ -117,7 +117,7 @@
 var errLeaseEnds = errors.New("too little is left of the lease")
 
 func (d *dutyCloud) within(ctx context.Context) (context.Context, context.CancelFunc, error) {
-	left := d.leases.Left(dutyShard)
+	left := d.leases.Remaining(dutyShard)
 	if left < leastLeft {
 		return nil, nil, errLeaseEnds
 	}
@@ -146,8 +146,8 @@
 }
 
 func (n *node) orderEndpoints(ctx context.Context, held func() (lease.Grant, bool)) {
-	current, _ := n.view.Tables().Current()
-	if current == nil || !n.view.Endpoints().Loaded() {
+	current, _ := n.view.RouteTables().Current()
+	if current == nil || !n.view.EndpointSyncer().Loaded() {
 		return
 	}
 	serving := map[autoscale.Place]int{}
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -46,7 +46,7 @@
 // beat writes this process's row until ctx ends.
 func (n *node) beat(ctx context.Context) {
 	n.awaitStore(ctx)
-	if n.view.IsRelayed() && !n.view.Roster().IsAdvertised(n.settings.Node) {
+	if n.view.UsesRelays() && !n.view.Roster().IsAdvertised(n.settings.Node) {
 		pause.For(ctx, rand.N(n.rowSpread()))
 	}
 	loop := n.watchdog.Watch("heartbeat")
@@ -103,7 +103,7 @@
 	serving := n.router.HasInFlight() || len(n.counter.Recent()) > 0
 	if serving || members.IsAdvertised(n.settings.Node) {
 		pace := roster.ScaleInterval(heartbeat, members.Advertised())
-		if serving || !n.view.IsRelayed() {
+		if serving || !n.view.UsesRelays() {
 			return pace
 		}
 		return max(pace, least)
@@ -149,7 +149,7 @@
 		failed = o.Err
 	}
 	if ctx.Err() == nil {
-		n.view.NoteCall("own row", failed)
+		n.view.RecordCallResult("own row", failed)
 	}
 	n.view.Roster().Merge(row, now)
 }
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -10,7 +10,7 @@
 
 // ownWorks is the engine time asked for here, of services whose size follows it.
 func (n *node) ownWorks(now time.Time) []roster.Demand {
-	current, _ := n.view.Tables().Current()
+	current, _ := n.view.RouteTables().Current()
 	if current == nil {
 		return nil
 	}
@@ -28,8 +28,8 @@
 	now := n.clock.Now()
 	return gossip.Update{
 		Status: roster.Status{
-			Host: n.host(), Loads: n.loads.Own(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.InTouch(),
-			LeaseVersion: n.leases.Version(dutyShard),
+			Host: n.host(), Loads: n.loads.Own(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.StoreReachableFor(),
+			LeaseVersion: n.leases.RowVersion(dutyShard),
 		},
 		Spent:   n.limits.LocalUsage(now),
 		Placed:  n.router.DrainPlacements(),
@@ -74,7 +74,7 @@
 	n.limits.ApplyPeer(update.Incarnation, update.Spent, now)
 	n.loads.ApplyPlacements(update.Placed)
 	if update.LeaseVersion > 0 {
-		n.leases.Observed(dutyShard, update.LeaseVersion)
+		n.leases.ObserveVersion(dutyShard, update.LeaseVersion)
 	}
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	sum := 0
-	for _, begun := range members.StartedRequests(n.counter.Running() - 1) {
+	for _, begun := range members.StartedRequests(n.counter.CurrentWindow() - 1) {
 		sum += begun
 	}
 	members.SetRequestRate(float64(sum) / n.settings.UsageWindow.Seconds())
@@ -121,7 +121,7 @@
 	}
 	n.countRequests()
 	n.view.Roster().Prune(rowKept)
-	n.view.Endpoints().Expire()
+	n.view.EndpointSyncer().Expire()
 	n.surveySuspects(now)
 	n.noteSuspension()
 	n.noteRole()
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -150,7 +150,7 @@
 func (n *node) serve(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := relay.NewSource(n.store, n.copy, n.peers.Client, n.view.Relays, n.view.RelayLag, n.view.Serves, n.log)
+	source := relay.NewSource(n.store, n.copy, n.peers.Client, n.view.Relays, n.view.MaxRelayLag, n.view.IsAdvertised, n.log)
 	go n.follow(background, source)
 	go n.beat(background)
 	go n.sweep(background)
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -107,7 +107,7 @@
 ) *rolloutsync.Coordinator {
 	held := func() (lease.Grant, time.Duration, bool) {
 		grant, ok := leases.Held(dutyShard)
-		return grant, leases.Left(dutyShard), ok
+		return grant, leases.Remaining(dutyShard), ok
 	}
 	fleet := func(order rollout.Order) rollout.Fleet { return rolloutFleet(view, order) }
 	return rolloutsync.NewCoordinator(rollouts, rollout.DefaultBayesTest(), writer, platform, fleet, clock, held, logger)
@@ -150,7 +150,7 @@
 }
 
 func newLeases(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
-	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, Renew: s.Lease / renewals}, steady.Now)
+	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, RenewInterval: s.Lease / renewals}, steady.Now)
 }
 
 func newDutyCloud(platform Platform, client storeClient, s Settings, leases *lease.Manager) *dutyCloud {
@@ -195,12 +195,12 @@
 			if !view.Ready() {
 				return forward.Starting
 			}
-			limits.FleetRestarted(view.IdleBefore())
+			limits.FleetRestarted(view.IdleBeforeStart())
 			ready.Store(true)
 		}
 		return life.phase()
 	}
-	return forward.New(platform.Protocol(), view.Tables(), router, limits, budget, pool, counter,
+	return forward.New(platform.Protocol(), view.RouteTables(), router, limits, budget, pool, counter,
 		fleet{view.Roster(), home.Node}, rollouts, watch, notices, phase, clock.Now, forward.NewMetrics(registry), logger)
 }
 
--- a/pkg/app/node/rollouts.go
+++ b/pkg/app/node/rollouts.go
@@ -137,10 +137,10 @@
 
 // surveyRollouts brings the split of requests up to date with the endpoints.
 func (n *node) surveyRollouts(now time.Time) {
-	if !n.rollouts.Bounds().Enabled() || !n.view.Endpoints().Loaded() {
+	if !n.rollouts.Bounds().Enabled() || !n.view.EndpointSyncer().Loaded() {
 		return
 	}
-	_, fresh := n.view.Tables().Current()
+	_, fresh := n.view.RouteTables().Current()
 	n.rollouts.UpdateEndpoints(n.view.Directory().View().Infos(), fresh, now)
 	for _, order := range n.rollouts.NewlyExpired(now) {
 		n.log.Warn().Str("service", order.Service).Str("target", order.Target).Int64("order", order.ID).
@@ -160,7 +160,7 @@
 			continue
 		}
 		following, stop := context.WithCancel(ctx)
-		go n.view.FollowRows(following, source, rolloutsync.Table, n.takeRolloutRows)
+		go n.view.FollowTable(following, source, rolloutsync.Table, n.takeRolloutRows)
 		openAt := time.Now()
 		for ctx.Err() == nil && time.Since(openAt) < rowsFollowed {
 			pause.For(ctx, idlePause)
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -166,7 +166,7 @@
 		writeError(w, err)
 		return
 	}
-	send := func(ctx context.Context) (claim.Answer, error) { return p.sendOnce(ctx, body) }
+	send := func(ctx context.Context) (claim.Response, error) { return p.sendOnce(ctx, body) }
 	key := p.request.Header.Get(plainservice.HeaderKey)
 	if key == "" {
 		answer, err := send(ctx)
@@ -194,7 +194,7 @@
 
 // sendOnce sends the call to one endpoint. Only where nothing was sent is
 // another one tried.
-func (p plainCall) sendOnce(ctx context.Context, body []byte) (claim.Answer, error) {
+func (p plainCall) sendOnce(ctx context.Context, body []byte) (claim.Response, error) {
 	var avoid []endpoint.Ref
 	last := errors.New("no endpoint takes calls")
 	for range mostSends {
@@ -210,38 +210,38 @@
 		}
 		p.api.Router.Done(choice, route.Result{Failed: true}, time.Now())
 		if !errors.Is(err, plainservice.ErrNotSent) {
-			return claim.Answer{}, err
+			return claim.Response{}, err
 		}
 		last = err
 		avoid = append(avoid, choice.Endpoint.Ref())
 	}
-	return claim.Answer{}, errors.Join(claim.ErrNotSent, last)
+	return claim.Response{}, errors.Join(claim.ErrNotSent, last)
 }
 
 // keep reads an answer whole, so that a repeat gets the same.
-func (p plainCall) keep(answer plainservice.Answer) (claim.Answer, error) {
+func (p plainCall) keep(answer plainservice.Answer) (claim.Response, error) {
 	defer func() { _ = answer.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(answer.Body, p.api.Limits.AnswerBytes+1))
 	if err != nil {
-		return claim.Answer{}, err
+		return claim.Response{}, err
 	}
 	if int64(len(data)) > p.api.Limits.AnswerBytes {
-		return claim.Answer{}, fmt.Errorf("the answer is longer than %d bytes", p.api.Limits.AnswerBytes)
+		return claim.Response{}, fmt.Errorf("the answer is longer than %d bytes", p.api.Limits.AnswerBytes)
 	}
-	return claim.Answer{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: data}, nil
+	return claim.Response{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: data}, nil
 }
 
-func (p plainCall) writeEnd(w http.ResponseWriter, end claim.End) {
+func (p plainCall) writeEnd(w http.ResponseWriter, end claim.Outcome) {
 	switch end := end.(type) {
 	case claim.Ran:
-		writeAnswer(w, end.Answer, end.Replayed)
+		writeAnswer(w, end.Response, end.Replayed)
 	case claim.NotRun:
 		writeError(w, code.New(code.CallNotRun, end.Err.Error()))
 	case claim.Unknown:
 		writeError(w, code.New(code.CallUnknown, end.Err.Error()))
 	case claim.InProgress:
 		writeError(w, code.New(code.CallInProgress, "a call with this key is under way"))
-	case claim.Reused:
+	case claim.KeyReused:
 		writeError(w, code.New(code.KeyReused, "the key was used for a different call"))
 	}
 }
@@ -249,7 +249,7 @@
 // headerReplayed says that the answer is that of an earlier run.
 const headerReplayed = "Idempotent-Replayed"
 
-func writeAnswer(w http.ResponseWriter, answer claim.Answer, replayed bool) {
+func writeAnswer(w http.ResponseWriter, answer claim.Response, replayed bool) {
 	if answer.ContentType != "" {
 		w.Header().Set("Content-Type", answer.ContentType)
 	}
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -27,19 +27,19 @@
 	return "claim/" + k.Team + "/" + k.Service + "/" + hex.EncodeToString(sum[:16])
 }
 
-// Answer is what a call got, kept for repeats.
-type Answer struct {
+// Response is what a call got, kept for repeats.
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// End is how a call ended.
-type End interface{ end() }
+// Outcome is how a call ended.
+type Outcome interface{ end() }
 
 // Ran says that the call ran and gave an answer.
 type Ran struct {
-	Answer Answer
+	Response Response
 	// Replayed says that it ran at an earlier request with the same key.
 	Replayed bool
 }
@@ -53,18 +53,18 @@
 // InProgress says that a call with the key is under way.
 type InProgress struct{}
 
-// Reused says that the key was used for a different call.
-type Reused struct{}
+// KeyReused says that the key was used for a different call.
+type KeyReused struct{}
 
 func (Ran) end()        {}
 func (NotRun) end()     {}
 func (Unknown) end()    {}
 func (InProgress) end() {}
-func (Reused) end()     {}
+func (KeyReused) end()  {}
 
-// Send sends the call once. It returns ErrNotSent (joined to a reason) only
+// SendFunc sends the call once. It returns ErrNotSent (joined to a reason) only
 // where the call can't have run and won't.
-type Send func(ctx context.Context) (Answer, error)
+type SendFunc func(ctx context.Context) (Response, error)
 
 // ErrNotSent is what Send returns where the call provably did not run.
 var ErrNotSent = errors.New("claim: not sent")
@@ -115,7 +115,7 @@
 
 // Run runs a call at most once for its key. request identifies the call's
 // method, path and body; deadline is when the call is given up.
-func (c *Claims) Run(ctx context.Context, key Key, request string, deadline time.Time, send Send) End {
+func (c *Claims) Run(ctx context.Context, key Key, request string, deadline time.Time, send SendFunc) Outcome {
 	claimed := record{State: stateClaimed, Request: request, Until: deadline.Add(ownerGrace).UnixMilli()}
 	version, end := c.acquire(ctx, key, claimed)
 	if end != nil {
@@ -133,7 +133,7 @@
 		c.record(key, version, record{
 			State: stateDone, Request: request, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body,
 		})
-		return Ran{Answer: answer}
+		return Ran{Response: answer}
 	case errors.Is(err, ErrNotSent):
 		c.record(key, version, record{State: stateNotRun, Request: request})
 		return NotRun{err}
@@ -143,7 +143,7 @@
 }
 
 // acquire commits the claim. A nil End means that it is ours.
-func (c *Claims) acquire(ctx context.Context, key Key, claimed record) (int64, End) {
+func (c *Claims) acquire(ctx context.Context, key Key, claimed record) (int64, Outcome) {
 	ctx, cancel := context.WithTimeout(ctx, claimTime)
 	defer cancel()
 	var condition table.Condition = table.Absent{}
@@ -171,19 +171,19 @@
 
 // found says what a claim that stands already means; nil for one that did not
 // run and may be claimed anew.
-func (c *Claims) found(ctx context.Context, key Key, row table.Row, claimed record) End {
+func (c *Claims) found(ctx context.Context, key Key, row table.Row, claimed record) Outcome {
 	var held record
 	if err := json.Unmarshal(row.Value, &held); err != nil {
 		return Unknown{fmt.Errorf("claim: unreadable: %w", err)}
 	}
 	if held.Request != claimed.Request {
-		return Reused{}
+		return KeyReused{}
 	}
 	switch held.State {
 	case stateNotRun:
 		return nil
 	case stateDone:
-		return Ran{Answer: Answer{held.Status, held.ContentType, held.Body}, Replayed: true}
+		return Ran{Response: Response{held.Status, held.ContentType, held.Body}, Replayed: true}
 	case stateClaimed:
 		if time.Now().UnixMilli() < held.Until {
 			return InProgress{}
@@ -195,7 +195,7 @@
 
 // settle ends the claim of an owner that died. Whether it had sent the call
 // can't be known, so the end is unknown, and written down as such.
-func (c *Claims) settle(ctx context.Context, key Key, row table.Row, held record) End {
+func (c *Claims) settle(ctx context.Context, key Key, row table.Row, held record) Outcome {
 	held.State = stateUnknown
 	c.writer.Commit(ctx, table.Write{Key: key.row(), Value: encode(held), If: table.AtVersion{Version: row.Version}})
 	return Unknown{errors.New("claim: its owner was lost")}
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -43,24 +43,24 @@
 }
 
 // send is the call sent for an unnamed request.
-func (s *service) send(context.Context) (claim.Answer, error) { return s.sendFor("") }
+func (s *service) send(context.Context) (claim.Response, error) { return s.sendFor("") }
 
-func (s *service) sendFor(request string) (claim.Answer, error) {
+func (s *service) sendFor(request string) (claim.Response, error) {
 	time.Sleep(s.took)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.refuse {
-		return claim.Answer{}, claim.ErrNotSent
+		return claim.Response{}, claim.ErrNotSent
 	}
 	s.runs++
 	s.ranFor = append(s.ranFor, request)
 	if s.lose {
-		return claim.Answer{}, errors.New("connection cut")
+		return claim.Response{}, errors.New("connection cut")
 	}
-	return claim.Answer{Status: 200, Body: fmt.Appendf(nil, "run %d", s.runs)}, nil
+	return claim.Response{Status: 200, Body: fmt.Appendf(nil, "run %d", s.runs)}, nil
 }
 
-func call(c *claim.Claims, s *service) claim.End {
+func call(c *claim.Claims, s *service) claim.Outcome {
 	return c.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), s.send)
 }
 
@@ -72,10 +72,10 @@
 		second := claim.New(table.NewWriter(store, "entry-2"))
 		call(first, s)
 		got, ok := call(second, s).(claim.Ran)
-		if !ok || string(got.Answer.Body) != "run 1" || !got.Replayed || s.runs != 1 {
+		if !ok || string(got.Response.Body) != "run 1" || !got.Replayed || s.runs != 1 {
 			t.Errorf("got %+v after %d runs, want the replay of run 1", got, s.runs)
 		}
-		if _, ok := second.Run(context.Background(), key, "POST /other", time.Now().Add(callTime), s.send).(claim.Reused); !ok {
+		if _, ok := second.Run(context.Background(), key, "POST /other", time.Now().Add(callTime), s.send).(claim.KeyReused); !ok {
 			t.Error("a key used for another call: want Reused")
 		}
 	})
@@ -139,12 +139,12 @@
 				killed := make(chan struct{})
 				go func() {
 					defer close(killed)
-					dead.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(ctx context.Context) (claim.Answer, error) {
+					dead.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(ctx context.Context) (claim.Response, error) {
 						if sent {
 							_, _ = s.send(ctx)
 						}
 						<-stuck // The process is gone: it does nothing more.
-						return claim.Answer{}, errors.New("killed")
+						return claim.Response{}, errors.New("killed")
 					})
 				}()
 				synctest.Wait()
@@ -238,12 +238,12 @@
 						time.Sleep(pause)
 						begun := time.Now().UnixNano()
 						request := fmt.Sprintf("%d.%d", entry, try)
-						end := claims.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(context.Context) (claim.Answer, error) {
+						end := claims.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(context.Context) (claim.Response, error) {
 							return s.sendFor(request)
 						})
 						out := output{kind: fmt.Sprintf("%T", end)}
 						if ran, ok := end.(claim.Ran); ok {
-							out.body = string(ran.Answer.Body)
+							out.body = string(ran.Response.Body)
 						}
 						mu.Lock()
 						if _, ok := end.(claim.NotRun); ok {
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -30,17 +30,17 @@
 	First bool
 }
 
-// Wish is how much a node wants a shard.
-type Wish int
+// Intent is how much a node wants a shard.
+type Intent int
 
 // The wishes.
 const (
-	// NotWanted shards are released if held.
-	NotWanted Wish = iota
+	// Release shards are released if held.
+	Release Intent = iota
 	// Standby watches a shard and takes it once its lease has lapsed.
 	Standby
-	// Wanted takes a shard that is free as well.
-	Wanted
+	// Acquire takes a shard that is free as well.
+	Acquire
 )
 
 // record is a lease row's JSON.
@@ -56,8 +56,8 @@
 type Timing struct {
 	// Duration is how long a lease lasts without renewal.
 	Duration time.Duration
-	// Renew is the time between renewals, under a third of Duration.
-	Renew time.Duration
+	// RenewInterval is the time between renewals, under a third of Duration.
+	RenewInterval time.Duration
 }
 
 // safety is the part of the duration that the holder itself counts on.
@@ -115,9 +115,9 @@
 	return Grant{s, h.epoch, h.first}, true
 }
 
-// Left returns how long a shard is held yet without a renewal, by this process's
+// Remaining returns how long a shard is held yet without a renewal, by this process's
 // own clock; 0 if it is not held.
-func (m *Manager) Left(s Shard) time.Duration {
+func (m *Manager) Remaining(s Shard) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h, ok := m.held[s]
@@ -127,9 +127,9 @@
 	return max(h.until.Sub(m.now()), 0)
 }
 
-// Version returns the row's version of a shard that is held, 0 if it is not: others
+// RowVersion returns the row's version of a shard that is held, 0 if it is not: others
 // that hear of it need not read the row.
-func (m *Manager) Version(s Shard) int64 {
+func (m *Manager) RowVersion(s Shard) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h, ok := m.held[s]
@@ -139,9 +139,9 @@
 	return h.version
 }
 
-// Observed notes a shard's version that its holder has just sent. The row was at that version or
+// ObserveVersion notes a shard's version that its holder has just sent. The row was at that version or
 // a later one: if it still has it when it is read, it has not been renewed since.
-func (m *Manager) Observed(s Shard, version int64) {
+func (m *Manager) ObserveVersion(s Shard, version int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if seen, ok := m.seen[s]; !ok || seen.version != version {
@@ -152,9 +152,9 @@
 // heardHolder stands for a holder whose row has not been read.
 const observedHolder = "heard"
 
-// MayHaveLapsed reports whether a shard has not been seen to be renewed for the
+// MayHaveExpired reports whether a shard has not been seen to be renewed for the
 // duration of a lease.
-func (m *Manager) MayHaveLapsed(s Shard) bool {
+func (m *Manager) MayHaveExpired(s Shard) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen, ok := m.seen[s]
@@ -189,16 +189,16 @@
 
 // Step renews, takes and releases leases as wished; it is to be called every
 // Renew. All renewals go in one commit.
-func (m *Manager) Step(ctx context.Context, wishes map[Shard]Wish) {
+func (m *Manager) Step(ctx context.Context, wishes map[Shard]Intent) {
 	m.renew(ctx, wishes)
 	for _, s := range sortedShards(wishes) {
-		if wishes[s] != NotWanted && !m.has(s) {
+		if wishes[s] != Release && !m.has(s) {
 			m.tryTake(ctx, s, wishes[s])
 		}
 	}
 }
 
-func sortedShards(wishes map[Shard]Wish) []Shard {
+func sortedShards(wishes map[Shard]Intent) []Shard {
 	list := make([]Shard, 0, len(wishes))
 	for s := range wishes {
 		list = append(list, s)
@@ -216,8 +216,8 @@
 
 // renew renews the leases still wished for, and releases the others. A shard
 // on standby that is held is kept until the node that wants it is there to
-// take it; the caller wishes NotWanted then.
-func (m *Manager) renew(ctx context.Context, wishes map[Shard]Wish) {
+// take it; the caller wishes Release then.
+func (m *Manager) renew(ctx context.Context, wishes map[Shard]Intent) {
 	started := m.now()
 	shards, writes := m.renewals(wishes)
 	for len(shards) > 0 {
@@ -233,7 +233,7 @@
 	}
 }
 
-func (m *Manager) renewals(wishes map[Shard]Wish) ([]Shard, []table.Write) {
+func (m *Manager) renewals(wishes map[Shard]Intent) ([]Shard, []table.Write) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var shards []Shard
@@ -245,7 +245,7 @@
 	for i, s := range shards {
 		h := m.held[s]
 		next := record{m.holder, h.epoch}
-		if wishes[s] == NotWanted {
+		if wishes[s] == Release {
 			// From here on this process does not act under it any more.
 			h.until = time.Time{}
 			next.Holder = ""
@@ -255,7 +255,7 @@
 	return shards, writes
 }
 
-func (m *Manager) noteRenewed(shards []Shard, wishes map[Shard]Wish, outcome table.Outcome, started time.Time) {
+func (m *Manager) noteRenewed(shards []Shard, wishes map[Shard]Intent, outcome table.Outcome, started time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	done, ok := outcome.(table.Done)
@@ -264,7 +264,7 @@
 		return
 	}
 	for _, s := range shards {
-		if wishes[s] == NotWanted || storeversion.Era(done.Version) != storeversion.Era(m.held[s].version) {
+		if wishes[s] == Release || storeversion.Era(done.Version) != storeversion.Era(m.held[s].version) {
 			// Released, or renewed in a restored store, where the condition may have matched another
 			// holder's row.
 			delete(m.held, s)
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -15,31 +15,31 @@
 	"ironhollow/pkg/table"
 )
 
-var timing = lease.Timing{Duration: 6 * time.Second, Renew: 2 * time.Second}
+var timing = lease.Timing{Duration: 6 * time.Second, RenewInterval: 2 * time.Second}
 
 const shard = lease.Shard(3)
 
 // holder steps a manager until it is paused or killed.
 type holder struct {
 	*lease.Manager
-	wish   lease.Wish
+	wish   lease.Intent
 	paused atomic.Bool
 	stop   chan struct{}
 }
 
-func newHolder(store *tables.Store, name string, wish lease.Wish) *holder {
+func newHolder(store *tables.Store, name string, wish lease.Intent) *holder {
 	h := &holder{Manager: lease.New(table.NewWriter(store, name), name, timing, time.Now), wish: wish, stop: make(chan struct{})}
 	go func() {
 		for {
 			if !h.paused.Load() {
-				ctx, cancel := context.WithTimeout(context.Background(), timing.Renew)
-				h.Step(ctx, map[lease.Shard]lease.Wish{shard: h.wish})
+				ctx, cancel := context.WithTimeout(context.Background(), timing.RenewInterval)
+				h.Step(ctx, map[lease.Shard]lease.Intent{shard: h.wish})
 				cancel()
 			}
 			select {
 			case <-h.stop:
 				return
-			case <-time.After(timing.Renew):
+			case <-time.After(timing.RenewInterval):
 			}
 		}
 	}()
@@ -55,7 +55,7 @@
 func TestTakeOverAfterDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
-		first := newHolder(store, "a", lease.Wanted)
+		first := newHolder(store, "a", lease.Acquire)
 		second := newHolder(store, "b", lease.Standby)
 		time.Sleep(10 * time.Second)
 		if !first.holds() || second.holds() {
@@ -82,8 +82,8 @@
 func hearEachOther(holders []*holder, lost func(from, to int) bool) {
 	for i, from := range holders {
 		for j, to := range holders {
-			if version := from.Version(shard); i != j && version > 0 && !lost(i, j) && !from.paused.Load() {
-				to.Observed(shard, version)
+			if version := from.RowVersion(shard); i != j && version > 0 && !lost(i, j) && !from.paused.Load() {
+				to.ObserveVersion(shard, version)
 			}
 		}
 	}
@@ -94,14 +94,14 @@
 func TestTakeOverByOneThatHears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
-		first := newHolder(store, "a", lease.Wanted)
+		first := newHolder(store, "a", lease.Acquire)
 		second := lease.New(table.NewWriter(store, "b"), "b", timing, time.Now)
-		look := func() { second.Step(context.Background(), map[lease.Shard]lease.Wish{shard: lease.Wanted}) }
+		look := func() { second.Step(context.Background(), map[lease.Shard]lease.Intent{shard: lease.Acquire}) }
 		holders := []*holder{first, {Manager: second}}
 		for range 100 {
 			time.Sleep(200 * time.Millisecond)
 			hearEachOther(holders, func(int, int) bool { return false })
-			if second.MayHaveLapsed(shard) {
+			if second.MayHaveExpired(shard) {
 				t.Fatal("while the holder is heard: got a lease that may have lapsed, want none")
 			}
 		}
@@ -110,9 +110,9 @@
 		hearEachOther(holders, func(int, int) bool { return false })
 		close(first.stop)
 		died := time.Now()
-		for time.Since(died) < time.Minute && second.Version(shard) == 0 {
+		for time.Since(died) < time.Minute && second.RowVersion(shard) == 0 {
 			time.Sleep(200 * time.Millisecond)
-			if second.MayHaveLapsed(shard) {
+			if second.MayHaveExpired(shard) {
 				look()
 			}
 		}
@@ -143,7 +143,7 @@
 					}
 					return tables.None{}
 				})
-				holders := []*holder{newHolder(store, "a", lease.Wanted), newHolder(store, "b", lease.Wanted), newHolder(store, "c", lease.Standby)}
+				holders := []*holder{newHolder(store, "a", lease.Acquire), newHolder(store, "b", lease.Acquire), newHolder(store, "c", lease.Standby)}
 				held := 0
 				for step := range 2400 {
 					if step%150 == 0 {
@@ -199,14 +199,14 @@
 					}
 					return report.Model
 				}
-				paused := newHolder(store, "a", lease.Wanted)
+				paused := newHolder(store, "a", lease.Acquire)
 				time.Sleep(5 * time.Second)
 				stale, ok := paused.Held(shard)
 				if !ok {
 					t.Fatal("the first holder has no lease")
 				}
 				paused.paused.Store(true) // It has asked, and will act when it wakes.
-				next := newHolder(store, "b", lease.Wanted)
+				next := newHolder(store, "b", lease.Acquire)
 				time.Sleep(15 * time.Second)
 				grant, ok := next.Held(shard)
 				if !ok {
@@ -243,15 +243,15 @@
 func TestHandOverOnStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
-		first := newHolder(store, "a", lease.Wanted)
+		first := newHolder(store, "a", lease.Acquire)
 		time.Sleep(5 * time.Second)
-		second := newHolder(store, "b", lease.Wanted)
+		second := newHolder(store, "b", lease.Acquire)
 		close(first.stop)
 		first.Release(context.Background())
 		if first.holds() {
 			t.Error("the shard is held after its release")
 		}
-		time.Sleep(timing.Renew + time.Millisecond)
+		time.Sleep(timing.RenewInterval + time.Millisecond)
 		if !second.holds() {
 			t.Errorf("the shard was not taken within a renewal's time of its release")
 		}
@@ -264,14 +264,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		m := lease.New(table.NewWriter(store, "a"), "a", timing, time.Now)
-		wishes := map[lease.Shard]lease.Wish{}
+		wishes := map[lease.Shard]lease.Intent{}
 		for s := range 50 {
-			wishes[lease.Shard(s)] = lease.Wanted
+			wishes[lease.Shard(s)] = lease.Acquire
 		}
 		m.Step(context.Background(), wishes)
 		before := store.Count(tables.OperationCommit)
 		for range 10 {
-			time.Sleep(timing.Renew)
+			time.Sleep(timing.RenewInterval)
 			m.Step(context.Background(), wishes)
 		}
 		if got := store.Count(tables.OperationCommit) - before; got != 10 {
@@ -291,7 +291,7 @@
 		awake := func() time.Time { return time.Now().Add(suspended) }
 		first := lease.New(table.NewWriter(store, "a"), "a", timing, awake)
 		second := lease.New(table.NewWriter(store, "b"), "b", timing, time.Now)
-		wish := map[lease.Shard]lease.Wish{0: lease.Wanted}
+		wish := map[lease.Shard]lease.Intent{0: lease.Acquire}
 		first.Step(t.Context(), wish)
 		if _, held := first.Held(0); !held {
 			t.Fatal("first: got no lease, want it")
@@ -304,10 +304,10 @@
 		}
 		// All that while has passed for the first too, though its clock stood still.
 		third := lease.New(table.NewWriter(store, "c"), "c", timing, awake)
-		third.Step(t.Context(), map[lease.Shard]lease.Wish{1: lease.Wanted})
+		third.Step(t.Context(), map[lease.Shard]lease.Intent{1: lease.Acquire})
 		suspended += timing.Duration
-		if grant, held := third.Held(1); held || third.Left(1) != 0 || third.Version(1) != 0 || len(third.Grants()) != 0 {
-			t.Errorf("awake after a lease's time: got %+v for another %v, want none", grant, third.Left(1))
+		if grant, held := third.Held(1); held || third.Remaining(1) != 0 || third.RowVersion(1) != 0 || len(third.Grants()) != 0 {
+			t.Errorf("awake after a lease's time: got %+v for another %v, want none", grant, third.Remaining(1))
 		}
 	})
 }
--- a/pkg/lease/take.go
+++ b/pkg/lease/take.go
@@ -9,7 +9,7 @@
 )
 
 // tryTake takes a shard that is free or has lapsed.
-func (m *Manager) tryTake(ctx context.Context, s Shard, wish Wish) {
+func (m *Manager) tryTake(ctx context.Context, s Shard, wish Intent) {
 	row, exists, err := m.writer.Store().Get(ctx, rowKey(s))
 	if err != nil {
 		return
@@ -32,7 +32,7 @@
 // takeAbsent takes a shard whose row was missing when read at readVersion. If a row was seen before
 // or the store was ever restored, the row may have been lost in a restore while its holder is still
 // active. The shard is then taken only after the duration of a lease.
-func (m *Manager) takeAbsent(ctx context.Context, s Shard, wish Wish, readVersion int64) {
+func (m *Manager) takeAbsent(ctx context.Context, s Shard, wish Intent, readVersion int64) {
 	m.mu.Lock()
 	_, wasSeen := m.seen[s]
 	m.mu.Unlock()
@@ -40,7 +40,7 @@
 	if mayBeLost && m.now().Sub(m.see(s, absentVersion, record{}).since) < m.timing.Duration {
 		return
 	}
-	if wish == Wanted {
+	if wish == Acquire {
 		m.take(ctx, s, 1, table.Absent{}, readVersion)
 	}
 }
@@ -63,10 +63,10 @@
 // isFree reports whether a lease may be taken: a released one at once by who
 // wants it, by a standby after a renewal's time; any other once it has been
 // seen unchanged for its whole duration.
-func (m *Manager) isFree(seen sighting, wish Wish) bool {
+func (m *Manager) isFree(seen sighting, wish Intent) bool {
 	waited := m.now().Sub(seen.since)
 	if seen.holder == "" {
-		return wish == Wanted || waited >= m.timing.Renew
+		return wish == Acquire || waited >= m.timing.RenewInterval
 	}
 	return waited >= m.timing.Duration
 }
@@ -74,7 +74,7 @@
 // take commits a grant of a shard if its row, read at readVersion, still meets the condition.
 func (m *Manager) take(ctx context.Context, s Shard, epoch int64, condition table.Condition, readVersion int64) {
 	started := m.now()
-	ctx, cancel := context.WithTimeout(ctx, m.timing.Renew)
+	ctx, cancel := context.WithTimeout(ctx, m.timing.RenewInterval)
 	defer cancel()
 	outcome := m.writer.Commit(ctx, table.Write{Key: rowKey(s), Value: encode(record{m.holder, epoch}), If: condition})
 	done, ok := outcome.(table.Done)
--- a/pkg/rolloutsync/coordinator_test.go
+++ b/pkg/rolloutsync/coordinator_test.go
@@ -96,10 +96,10 @@
 	clock := storeclock.New()
 	clock.Heard(time.Since(f.began) + time.Minute)
 	writer := table.NewWriter(f.store, name)
-	h.leases = lease.New(writer, name, lease.Timing{Duration: 3 * time.Second, Renew: 750 * time.Millisecond}, time.Now)
+	h.leases = lease.New(writer, name, lease.Timing{Duration: 3 * time.Second, RenewInterval: 750 * time.Millisecond}, time.Now)
 	held := func() (lease.Grant, time.Duration, bool) {
 		grant, ok := h.leases.Held(shard)
-		return grant, h.leases.Left(shard), ok
+		return grant, h.leases.Remaining(shard), ok
 	}
 	h.coordinator = rolloutsync.NewCoordinator(h.splitter, rollout.DefaultBayesTest(), writer, status{}, f.fleetInfo, clock, held, discardLogger)
 	h.splitter.ObserveRelease(service, "v1", time.Now())
@@ -112,7 +112,7 @@
 	f.hosts[i] = h
 	f.mu.Unlock()
 	go h.run(ctx, func(ctx context.Context) {
-		h.leases.Step(ctx, map[lease.Shard]lease.Wish{shard: lease.Wanted})
+		h.leases.Step(ctx, map[lease.Shard]lease.Intent{shard: lease.Acquire})
 	}, 700*time.Millisecond)
 	go h.run(ctx, h.coordinator.Step, 100*time.Millisecond)
 	go h.run(ctx, h.sendDirectives, 250*time.Millisecond)
--- a/pkg/storeview/idle_test.go
+++ b/pkg/storeview/idle_test.go
@@ -73,7 +73,7 @@
 		view := storeview.New(decoder{}, time.Second, storeclock.New(), members, route.Location{Node: "self"}, "self", rollout.New(rollout.Bounds{}), logger)
 		ctx, cancel := context.WithCancel(context.Background())
 		view.Follow(ctx, rows{c.list, now}, false)
-		if got := view.IdleBefore(); got != c.want {
+		if got := view.IdleBeforeStart(); got != c.want {
 			t.Errorf("%s: got %v, want %v", c.what, got, c.want)
 		}
 		cancel()
--- a/pkg/storeview/relays.go
+++ b/pkg/storeview/relays.go
@@ -27,7 +27,7 @@
 // the one of its own data centre first and then those of the others, none for a host
 // that follows the store itself.
 func (v *View) Relays() []string {
-	if !v.IsRelayed() {
+	if !v.UsesRelays() {
 		return nil
 	}
 	own := v.roster.Relays(v.home.DataCenter, relaysEach)
@@ -57,20 +57,20 @@
 	return hosts
 }
 
-// Serves reports whether this host is advertised to callers in a fleet with relays.
-func (v *View) Serves() bool { return v.IsRelayed() && v.roster.IsAdvertised(v.home.Node) }
+// IsAdvertised reports whether this host is advertised to callers in a fleet with relays.
+func (v *View) IsAdvertised() bool { return v.UsesRelays() && v.roster.IsAdvertised(v.home.Node) }
 
-// IsRelayed reports whether the fleet is large enough for relays.
-func (v *View) IsRelayed() bool { return v.roster.Sharing() >= relayedFleet }
+// UsesRelays reports whether the fleet is large enough for relays.
+func (v *View) UsesRelays() bool { return v.roster.Sharing() >= relayedFleet }
 
 // IsRelay reports whether this host follows the store for others too.
 func (v *View) IsRelay() bool {
-	return v.IsRelayed() && len(v.Relays()) == 0
+	return v.UsesRelays() && len(v.Relays()) == 0
 }
 
-// RelayLag returns how far a relay may be behind the store with a table. The hosts' rows are read
+// MaxRelayLag returns how far a relay may be behind the store with a table. The hosts' rows are read
 // rarely in a large fleet: what is urgent comes in datagrams.
-func (v *View) RelayLag(table string) time.Duration {
+func (v *View) MaxRelayLag(table string) time.Duration {
 	if table == RosterTable {
 		return 2*v.rosterPause() + relayLag
 	}
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -132,8 +132,8 @@
 // a quiet store.
 const contactFresh = 2500 * time.Millisecond
 
-// InTouch is how long the endpoints' feed has not failed.
-func (v *View) InTouch() time.Duration {
+// StoreReachableFor is how long the endpoints' feed has not failed.
+func (v *View) StoreReachableFor() time.Duration {
 	now := v.clock.Running()
 	since := time.Duration(v.inTouchSince.Load())
 	if since == 0 || now-time.Duration(v.heardAt.Load()) > contactFresh {
@@ -190,8 +190,8 @@
 	start(tables.Endpoints, either(relayPause, endpointPause), v.endpoints.Apply)
 }
 
-// FollowRows follows another table until ctx ends, at the pace of the endpoints'.
-func (v *View) FollowRows(ctx context.Context, source feed.Source, name string, take feed.Take) {
+// FollowTable follows another table until ctx ends, at the pace of the endpoints'.
+func (v *View) FollowTable(ctx context.Context, source feed.Source, name string, take feed.Take) {
 	either := func(relay, other time.Duration) func() time.Duration {
 		return func() time.Duration {
 			if v.IsRelay() {
@@ -217,11 +217,11 @@
 // Directory returns the endpoints as they are known.
 func (v *View) Directory() *endpoint.Directory { return v.directory }
 
-// Tables returns the configuration in force.
-func (v *View) Tables() *routetable.Holder { return v.tables }
+// RouteTables returns the configuration in force.
+func (v *View) RouteTables() *routetable.Holder { return v.tables }
 
-// Endpoints returns the rows of endpoints.
-func (v *View) Endpoints() *discovery.Syncer { return v.endpoints }
+// EndpointSyncer returns the rows of endpoints.
+func (v *View) EndpointSyncer() *discovery.Syncer { return v.endpoints }
 
 // StoreEra returns the highest store era received, 0 if none.
 func (v *View) StoreEra() int64 { return v.storeEra.Load() }
@@ -229,9 +229,9 @@
 // Roster returns the hosts.
 func (v *View) Roster() *roster.Roster { return v.roster }
 
-// NoteCall writes a line when a call to the store, given by a name, begins to fail and when it
+// RecordCallResult writes a line when a call to the store, given by a name, begins to fail and when it
 // succeeds again; a nil err is a success.
-func (v *View) NoteCall(name string, err error) { v.lost.note(v.log, name, err, v.clock.Now()) }
+func (v *View) RecordCallResult(name string, err error) { v.lost.note(v.log, name, err, v.clock.Now()) }
 
 // health notes a dependency that is lost or regained. A history that is gone is
 // an answer: the rows are read anew, and nothing had to lapse for it.
@@ -243,7 +243,7 @@
 	if table == v.decoder.Tables().Endpoints {
 		v.noteContact(err)
 	}
-	v.NoteCall(table, err)
+	v.RecordCallResult(table, err)
 }
 
 // noteContact keeps since when the endpoints' feed has not failed.
@@ -356,9 +356,9 @@
 	idleMargin = 500 * time.Millisecond
 )
 
-// IdleBefore is how long no host served before this process began, as the rows showed
+// IdleBeforeStart is how long no host served before this process began, as the rows showed
 // that it read first; 0 unless all had ended.
-func (v *View) IdleBefore() time.Duration { return time.Duration(v.idle.Load()) }
+func (v *View) IdleBeforeStart() time.Duration { return time.Duration(v.idle.Load()) }
 
 // idleBefore works out how long no host had served when the rows were read.
 func idleBefore(batch feed.Batch) time.Duration {
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -39,8 +39,8 @@
 // Window returns the window a moment falls into.
 func (c *Counter) Window(at time.Time) int64 { return at.UnixNano() / int64(c.length) }
 
-// Running is the window that runs.
-func (c *Counter) Running() int64 { return c.Window(c.now()) }
+// CurrentWindow is the window that runs.
+func (c *Counter) CurrentWindow() int64 { return c.Window(c.now()) }
 
 // RunStarted counts one request of a team; requests without a team are not counted.
 func (c *Counter) RunStarted(team string) {
@@ -79,7 +79,7 @@
 
 // Latest returns the counts of the window that runs and the one before.
 func (c *Counter) Latest() []roster.RequestCount {
-	running := c.Running()
+	running := c.CurrentWindow()
 	var list []roster.RequestCount
 	for _, count := range c.Recent() {
 		if count.Window >= running-1 {
