--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -19,21 +19,21 @@
 
 const shard = lease.Shard(3)
 
-// holder steps a manager until it is paused or killed.
+// holder steps a manager until it is paused or stopped.
 type holder struct {
 	*lease.Manager
-	wish   lease.Intent
+	intent lease.Intent
 	paused atomic.Bool
 	stop   chan struct{}
 }
 
-func newHolder(store *tables.Store, name string, wish lease.Intent) *holder {
-	h := &holder{Manager: lease.New(table.NewWriter(store, name), name, timing, time.Now), wish: wish, stop: make(chan struct{})}
+func newHolder(store *tables.Store, name string, intent lease.Intent) *holder {
+	h := &holder{Manager: lease.New(table.NewWriter(store, name), name, timing, time.Now), intent: intent, stop: make(chan struct{})}
 	go func() {
 		for {
 			if !h.paused.Load() {
 				ctx, cancel := context.WithTimeout(context.Background(), timing.RenewInterval)
-				h.Step(ctx, map[lease.Shard]lease.Intent{shard: h.wish})
+				h.Step(ctx, map[lease.Shard]lease.Intent{shard: h.intent})
 				cancel()
 			}
 			select {
@@ -51,7 +51,8 @@
 	return ok
 }
 
-// TestTakeOverAfterDeath kills a holder and measures how long its standby takes.
+// TestTakeOverAfterDeath stops a holder without a release and measures how long its standby
+// takes to acquire the lease.
 func TestTakeOverAfterDeath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
@@ -63,11 +64,11 @@
 		}
 		before, _ := first.Held(shard)
 		close(first.stop)
-		died := time.Now()
-		for !second.holds() && time.Since(died) < time.Minute {
+		stoppedAt := time.Now()
+		for !second.holds() && time.Since(stoppedAt) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
-		if took := time.Since(died); took > 10*time.Second {
+		if took := time.Since(stoppedAt); took > 10*time.Second {
 			t.Errorf("taken over after %v, want within 10s", took)
 		}
 		if after, _ := second.Held(shard); after.Epoch <= before.Epoch {
@@ -77,9 +78,9 @@
 	})
 }
 
-// hearEachOther lets each manager hear the version that each other one holds by,
-// unless it is lost on the way.
-func hearEachOther(holders []*holder, lost func(from, to int) bool) {
+// exchangeVersions sends the row version of each holder to each other manager, except for
+// messages that lost drops.
+func exchangeVersions(holders []*holder, lost func(from, to int) bool) {
 	for i, from := range holders {
 		for j, to := range holders {
 			if version := from.RowVersion(shard); i != j && version > 0 && !lost(i, j) && !from.paused.Load() {
@@ -89,42 +90,42 @@
 	}
 }
 
-// A standby that hears the holder's version does not read the row, and takes over
-// as soon as one that reads it all the time.
-func TestTakeOverByOneThatHears(t *testing.T) {
+// TestTakeOverByObservingStandby checks that a standby that receives the holder's row version
+// need not read the row, and takes over as fast as one that reads it continuously.
+func TestTakeOverByObservingStandby(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		first := newHolder(store, "a", lease.Acquire)
 		second := lease.New(table.NewWriter(store, "b"), "b", timing, time.Now)
-		look := func() { second.Step(context.Background(), map[lease.Shard]lease.Intent{shard: lease.Acquire}) }
+		step := func() { second.Step(context.Background(), map[lease.Shard]lease.Intent{shard: lease.Acquire}) }
 		holders := []*holder{first, {Manager: second}}
 		for range 100 {
 			time.Sleep(200 * time.Millisecond)
-			hearEachOther(holders, func(int, int) bool { return false })
+			exchangeVersions(holders, func(int, int) bool { return false })
 			if second.MayHaveExpired(shard) {
-				t.Fatal("while the holder is heard: got a lease that may have lapsed, want none")
+				t.Fatal("while the holder's versions arrive: got a lease that may have expired, want none")
 			}
 		}
-		// Between two renewals, and after the last one was heard.
+		// The holder stops between two renewals, after its last version was received.
 		time.Sleep(time.Second)
-		hearEachOther(holders, func(int, int) bool { return false })
+		exchangeVersions(holders, func(int, int) bool { return false })
 		close(first.stop)
-		died := time.Now()
-		for time.Since(died) < time.Minute && second.RowVersion(shard) == 0 {
+		stoppedAt := time.Now()
+		for time.Since(stoppedAt) < time.Minute && second.RowVersion(shard) == 0 {
 			time.Sleep(200 * time.Millisecond)
 			if second.MayHaveExpired(shard) {
-				look()
+				step()
 			}
 		}
-		if took := time.Since(died); took > timing.Duration+time.Second {
+		if took := time.Since(stoppedAt); took > timing.Duration+time.Second {
 			t.Errorf("taken over after %v, want about the lease's %v", took, timing.Duration)
 		}
 	})
 }
 
-// TestNeverTwoHolders pauses holders, cuts the store and loses its answers, and
-// looks at every moment for two that hold the shard at once. From seed 20 on they
-// hear each other's versions, of which some are lost.
+// TestNeverTwoHolders pauses holders, makes the store fail, delay calls and lose answers, and
+// checks every 50 ms that at most one process holds the shard. From seed 20 on the processes
+// also exchange row versions, of which some are lost.
 func TestNeverTwoHolders(t *testing.T) {
 	for seed := range 40 {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -151,7 +152,7 @@
 					}
 					time.Sleep(50 * time.Millisecond)
 					if seed >= 20 && step%4 == 0 {
-						hearEachOther(holders, func(from, to int) bool { return (step/4+from+2*to+seed)%3 == 0 })
+						exchangeVersions(holders, func(from, to int) bool { return (step/4+from+2*to+seed)%3 == 0 })
 					}
 					now := 0
 					for _, h := range holders {
@@ -165,7 +166,7 @@
 					held += now
 				}
 				if held < 400 {
-					t.Errorf("held in %d of 2400 looks, want at least 400: the check must see holders", held)
+					t.Errorf("held in %d of 2400 checks, want at least 400: the test needs checks with a holder", held)
 				}
 				for _, h := range holders {
 					close(h.stop)
@@ -176,10 +177,9 @@
 	}
 }
 
-// TestPausedHolderDoesNoHarm lets a holder act after its lease has lapsed while
-// it was paused between asking and acting. An endpoint that checks refuses the
-// order; one that does not is put right by the present holder, who looks at
-// what is loaded.
+// TestPausedHolderDoesNoHarm pauses a holder between the check of its lease and its order, for
+// longer than the lease. An endpoint that checks epochs refuses the order. One that does not
+// accepts it, and the current holder corrects the loaded model.
 func TestPausedHolderDoesNoHarm(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("endpoint checks: %v", checks), func(t *testing.T) {
@@ -205,7 +205,7 @@
 				if !ok {
 					t.Fatal("the first holder has no lease")
 				}
-				paused.paused.Store(true) // It has asked, and will act when it wakes.
+				paused.paused.Store(true) // It has checked its lease, and sends its order after the pause.
 				next := newHolder(store, "b", lease.Acquire)
 				time.Sleep(15 * time.Second)
 				grant, ok := next.Held(shard)
@@ -220,7 +220,7 @@
 				if checks != (err != nil) {
 					t.Errorf("late order: got error %v; refused should be %v", err, checks)
 				}
-				// The present holder re-asserts until the endpoint reports it.
+				// The current holder repeats its order until the endpoint reports its model.
 				for range 5 {
 					time.Sleep(time.Second)
 					if loaded() != "new" {
@@ -239,7 +239,7 @@
 	}
 }
 
-// TestHandOverOnStop releases leases and measures the gap.
+// TestHandOverOnStop checks that a released lease is acquired within a renewal interval.
 func TestHandOverOnStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
@@ -253,26 +253,26 @@
 		}
 		time.Sleep(timing.RenewInterval + time.Millisecond)
 		if !second.holds() {
-			t.Errorf("the shard was not taken within a renewal's time of its release")
+			t.Errorf("the shard was not acquired within a renewal interval of its release")
 		}
 		close(second.stop)
 	})
 }
 
-// TestRenewalsAreOneCommit holds many shards and counts the store's commits.
+// TestRenewalsAreOneCommit renews many shards and counts the commits of the store.
 func TestRenewalsAreOneCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		m := lease.New(table.NewWriter(store, "a"), "a", timing, time.Now)
-		wishes := map[lease.Shard]lease.Intent{}
+		intents := map[lease.Shard]lease.Intent{}
 		for s := range 50 {
-			wishes[lease.Shard(s)] = lease.Acquire
+			intents[lease.Shard(s)] = lease.Acquire
 		}
-		m.Step(context.Background(), wishes)
+		m.Step(context.Background(), intents)
 		before := store.Count(tables.OperationCommit)
 		for range 10 {
 			time.Sleep(timing.RenewInterval)
-			m.Step(context.Background(), wishes)
+			m.Step(context.Background(), intents)
 		}
 		if got := store.Count(tables.OperationCommit) - before; got != 10 {
 			t.Errorf("commits of 10 renewals of 50 shards: got %d, want 10", got)
@@ -280,34 +280,35 @@
 	})
 }
 
-// A holder's machine is suspended for longer than the lease, which its monotonic clock
-// does not count: awake, it must not act for a moment under a lease that another holds.
-// The users take calls of the one before for broken 300 ms after it woke; it renewed
-// 750 ms later at the latest, and counted on its lease for 2.4 s.
+// TestSuspendedHolderDoesNotAct suspends the machine of a holder for longer than the lease. A
+// monotonic clock does not count that time, so the holder acted after the resume under a lease
+// that another process held: it renewed up to 750 ms after the resume and considered its lease
+// valid for 2.4 s, while users treat calls of the previous holder as faulty from 300 ms after the
+// resume.
 func TestSuspendedHolderDoesNotAct(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		suspended := time.Duration(0)
-		awake := func() time.Time { return time.Now().Add(suspended) }
-		first := lease.New(table.NewWriter(store, "a"), "a", timing, awake)
+		suspendedClock := func() time.Time { return time.Now().Add(suspended) }
+		first := lease.New(table.NewWriter(store, "a"), "a", timing, suspendedClock)
 		second := lease.New(table.NewWriter(store, "b"), "b", timing, time.Now)
-		wish := map[lease.Shard]lease.Intent{0: lease.Acquire}
-		first.Step(t.Context(), wish)
+		intents := map[lease.Shard]lease.Intent{0: lease.Acquire}
+		first.Step(t.Context(), intents)
 		if _, held := first.Held(0); !held {
 			t.Fatal("first: got no lease, want it")
 		}
-		second.Step(t.Context(), wish)
+		second.Step(t.Context(), intents)
 		time.Sleep(timing.Duration)
-		second.Step(t.Context(), wish)
+		second.Step(t.Context(), intents)
 		if _, held := second.Held(0); !held {
-			t.Fatal("second, a lease's time later: got no lease, want it")
+			t.Fatal("second, after the duration of a lease: got no lease, want it")
 		}
-		// All that while has passed for the first too, though its clock stood still.
-		third := lease.New(table.NewWriter(store, "c"), "c", timing, awake)
+		// The same time passes for a suspended holder, though its monotonic clock does not advance.
+		third := lease.New(table.NewWriter(store, "c"), "c", timing, suspendedClock)
 		third.Step(t.Context(), map[lease.Shard]lease.Intent{1: lease.Acquire})
 		suspended += timing.Duration
 		if grant, held := third.Held(1); held || third.Remaining(1) != 0 || third.RowVersion(1) != 0 || len(third.Grants()) != 0 {
-			t.Errorf("awake after a lease's time: got %+v for another %v, want none", grant, third.Remaining(1))
+			t.Errorf("after a suspension as long as the lease: got %+v for another %v, want none", grant, third.Remaining(1))
 		}
 	})
 }
--- a/pkg/lease/take.go
+++ b/pkg/lease/take.go
@@ -8,72 +8,73 @@
 	"ironhollow/pkg/table"
 )
 
-// tryTake takes a shard that is free or has lapsed.
-func (m *Manager) tryTake(ctx context.Context, s Shard, wish Intent) {
+// tryAcquire acquires the lease of a shard if it is available.
+func (m *Manager) tryAcquire(ctx context.Context, s Shard, intent Intent) {
 	row, exists, err := m.writer.Store().Get(ctx, rowKey(s))
 	if err != nil {
 		return
 	}
 	if !exists {
-		m.takeAbsent(ctx, s, wish, row.Version)
+		m.acquireMissing(ctx, s, intent, row.Version)
 		return
 	}
-	var held record
-	if json.Unmarshal(row.Value, &held) != nil {
+	var current record
+	if json.Unmarshal(row.Value, &current) != nil {
 		return
 	}
-	seen := m.see(s, row.Version, held)
-	if !m.isFree(seen, wish) {
+	last := m.observe(s, row.Version, current)
+	if !m.isAvailable(last, intent) {
 		return
 	}
-	m.take(ctx, s, held.Epoch+1, table.AtVersion{Version: row.Version}, row.Version)
+	m.acquire(ctx, s, current.Epoch+1, table.AtVersion{Version: row.Version}, row.Version)
 }
 
-// takeAbsent takes a shard whose row was missing when read at readVersion. If a row was seen before
-// or the store was ever restored, the row may have been lost in a restore while its holder is still
-// active. The shard is then taken only after the duration of a lease.
-func (m *Manager) takeAbsent(ctx context.Context, s Shard, wish Intent, readVersion int64) {
+// acquireMissing acquires a shard whose row was missing when read at readVersion. If a row was
+// observed before or the store was ever restored, the row may have been lost in a restore while its
+// holder is still active. The shard is then acquired only after the duration of a lease.
+func (m *Manager) acquireMissing(ctx context.Context, s Shard, intent Intent, readVersion int64) {
 	m.mu.Lock()
-	_, wasSeen := m.seen[s]
+	_, wasObserved := m.observed[s]
 	m.mu.Unlock()
-	mayBeLost := wasSeen || storeversion.IsRestored(storeversion.Era(readVersion))
-	if mayBeLost && m.now().Sub(m.see(s, absentVersion, record{}).since) < m.timing.Duration {
+	mayBeLost := wasObserved || storeversion.IsRestored(storeversion.Era(readVersion))
+	if mayBeLost && m.now().Sub(m.observe(s, missingRowVersion, record{}).since) < m.timing.Duration {
 		return
 	}
-	if wish == Acquire {
-		m.take(ctx, s, 1, table.Absent{}, readVersion)
+	if intent == Acquire {
+		m.acquire(ctx, s, 1, table.Absent{}, readVersion)
 	}
 }
 
-// absentVersion is the version recorded in a sighting of a missing row.
-const absentVersion = 0
+// missingRowVersion is the version recorded in the observation of a missing row.
+const missingRowVersion = 0
 
-// see notes since when a row has been at its version.
-func (m *Manager) see(s Shard, version int64, held record) sighting {
+// observe records a row that was read and returns its observation, whose time is that of the
+// first read at the version.
+func (m *Manager) observe(s Shard, version int64, current record) observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	seen, ok := m.seen[s]
-	if !ok || seen.version != version {
-		seen = sighting{version, held.Epoch, held.Holder, m.now()}
-		m.seen[s] = seen
+	last, ok := m.observed[s]
+	if !ok || last.version != version {
+		last = observation{version, current.Epoch, current.Holder, m.now()}
+		m.observed[s] = last
 	}
-	return seen
+	return last
 }
 
-// isFree reports whether a lease may be taken: a released one at once by who
-// wants it, by a standby after a renewal's time; any other once it has been
-// seen unchanged for its whole duration.
-func (m *Manager) isFree(seen sighting, wish Intent) bool {
-	waited := m.now().Sub(seen.since)
-	if seen.holder == "" {
-		return wish == Acquire || waited >= m.timing.RenewInterval
+// isAvailable reports whether a lease may be acquired. A released lease is available to the
+// intent Acquire at once and to a standby after a renewal interval. Any other is available once
+// its row has not changed for the duration of a lease.
+func (m *Manager) isAvailable(last observation, intent Intent) bool {
+	unchangedFor := m.now().Sub(last.since)
+	if last.holder == "" {
+		return intent == Acquire || unchangedFor >= m.timing.RenewInterval
 	}
-	return waited >= m.timing.Duration
+	return unchangedFor >= m.timing.Duration
 }
 
-// take commits a grant of a shard if its row, read at readVersion, still meets the condition.
-func (m *Manager) take(ctx context.Context, s Shard, epoch int64, condition table.Condition, readVersion int64) {
-	started := m.now()
+// acquire commits a grant of a shard if its row, read at readVersion, still meets the condition.
+func (m *Manager) acquire(ctx context.Context, s Shard, epoch int64, condition table.Condition, readVersion int64) {
+	sentAt := m.now()
 	ctx, cancel := context.WithTimeout(ctx, m.timing.RenewInterval)
 	defer cancel()
 	outcome := m.writer.Commit(ctx, table.Write{Key: rowKey(s), Value: encode(record{m.holder, epoch}), If: condition})
@@ -86,7 +87,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, wasAbsent := condition.(table.Absent)
-	_, wasSeen := m.seen[s]
-	m.held[s] = &holding{epoch: done.Version, first: wasAbsent && !wasSeen, version: done.Version, until: m.deadline(started), since: started}
-	delete(m.seen, s)
+	_, wasObserved := m.observed[s]
+	m.held[s] = &heldLease{epoch: done.Version, first: wasAbsent && !wasObserved, version: done.Version, expiresAt: m.expiryFrom(sentAt), acquiredAt: sentAt}
+	delete(m.observed, s)
 }
