--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,6 +1,7 @@
-// Package claim runs calls that may not be repeated: at most once for a key,
-// over all entries and their deaths. A claim on the key is committed to the
-// table service before the call is sent; whoever finds a claim never sends.
+// Package claim runs calls that must not be repeated: at most once per key, across all
+// entry processes and their failures. A claim on the key is committed to the table
+// service before the call is sent, and a process that finds a claim does not send,
+// unless the claim records that its call did not run.
 package claim
 
 import (
@@ -16,60 +17,60 @@
 	"ironhollow/pkg/table"
 )
 
-// Key names one call: who makes it, to what, under which key of the caller.
+// Key identifies a call by its team, its service and the caller's idempotency key.
 type Key struct {
 	Team, Service, Key string
 }
 
-// row returns the table key. The caller's key is hashed: it may hold anything.
-func (k Key) row() string {
+// rowKey returns the key in the table. The caller's key is hashed, as it may contain any bytes.
+func (k Key) rowKey() string {
 	sum := sha256.Sum256([]byte(k.Key))
 	return "claim/" + k.Team + "/" + k.Service + "/" + hex.EncodeToString(sum[:16])
 }
 
-// Response is what a call got, kept for repeats.
+// Response is the response to a call, stored for repeats of the call.
 type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Outcome is how a call ended.
-type Outcome interface{ end() }
+// Outcome is the outcome of a call.
+type Outcome interface{ isOutcome() }
 
-// Ran says that the call ran and gave an answer.
+// Ran means that the call ran and returned a response.
 type Ran struct {
 	Response Response
-	// Replayed says that it ran at an earlier request with the same key.
+	// Replayed is set if the call ran for an earlier request with the same key.
 	Replayed bool
 }
 
-// NotRun says that the call did not run for this request and never will.
+// NotRun means that the call did not run for this request and never will.
 type NotRun struct{ Err error }
 
-// Unknown says that the call may have run, once at most.
+// Unknown means that the call may have run, at most once.
 type Unknown struct{ Err error }
 
-// InProgress says that a call with the key is under way.
+// InProgress means that a call with the key is in progress.
 type InProgress struct{}
 
-// KeyReused says that the key was used for a different call.
+// KeyReused means that the key was used before for a different call.
 type KeyReused struct{}
 
-func (Ran) end()        {}
-func (NotRun) end()     {}
-func (Unknown) end()    {}
-func (InProgress) end() {}
-func (KeyReused) end()  {}
+func (Ran) isOutcome()        {}
+func (NotRun) isOutcome()     {}
+func (Unknown) isOutcome()    {}
+func (InProgress) isOutcome() {}
+func (KeyReused) isOutcome()  {}
 
-// SendFunc sends the call once. It returns ErrNotSent (joined to a reason) only
-// where the call can't have run and won't.
+// SendFunc sends the call once. It returns ErrNotSent, joined with the cause, only if the
+// call has not run and never will.
 type SendFunc func(ctx context.Context) (Response, error)
 
-// ErrNotSent is what Send returns where the call provably did not run.
+// ErrNotSent is returned by a SendFunc if the call certainly did not run.
 var ErrNotSent = errors.New("claim: not sent")
 
-// states of a row.
+// The states of a row.
 const (
 	stateClaimed = "claimed"
 	stateDone    = "done"
@@ -77,78 +78,78 @@
 	stateUnknown = "unknown"
 )
 
-// record is a row's JSON.
-type record struct {
+// claimRow is the JSON value of a row.
+type claimRow struct {
 	State string `json:"state"`
-	// Request is a hash of the call, to tell a repeat from a reused key.
+	// Request is a hash of the call, which distinguishes a repeat from a reused key.
 	Request string `json:"request"`
-	// Until is when the claim's owner has ended for certain, in Unix
-	// milliseconds; a claim found after that is of an owner that died.
-	Until       int64  `json:"until"`
-	Status      int    `json:"status,omitempty"`
-	ContentType string `json:"content_type,omitempty"`
-	Body        []byte `json:"body,omitempty"`
+	// OwnerDeadline is when the owner's call has ended at the latest, in Unix milliseconds. A
+	// row still in stateClaimed after that belongs to an owner that failed.
+	OwnerDeadline int64  `json:"until"`
+	Status        int    `json:"status,omitempty"`
+	ContentType   string `json:"content_type,omitempty"`
+	Body          []byte `json:"body,omitempty"`
 }
 
-// Parameters of a claim.
+// Timeouts of a claim.
 const (
-	// claimTime bounds the wait for the store before a call counts as not run.
-	claimTime = 1500 * time.Millisecond
-	// recordTime bounds the wait for the store after a call has ended, while
-	// the caller waits for its answer.
-	recordTime = 300 * time.Millisecond
-	// lateRecordTime is how long the record is tried for afterwards.
-	lateRecordTime = 2 * time.Minute
-	// ownerGrace is added to a claim's deadline for clocks that differ.
-	ownerGrace = 5 * time.Second
+	// claimTimeout limits the commit of a claim. After it the call counts as not run.
+	claimTimeout = 1500 * time.Millisecond
+	// recordWait limits how long the recording of the outcome delays the response.
+	recordWait = 300 * time.Millisecond
+	// recordTimeout limits the recording of an outcome, which continues after the response.
+	recordTimeout = 2 * time.Minute
+	// clockSkewMargin is added to a call's deadline, as the clocks of two hosts may differ.
+	clockSkewMargin = 5 * time.Second
 )
 
-// Claims runs calls under claims.
+// Claims runs calls at most once per key.
 type Claims struct {
 	writer *table.Writer
-	// records are those being written.
-	records sync.WaitGroup
+	// pendingRecords counts the outcomes being written.
+	pendingRecords sync.WaitGroup
 }
 
-// New returns claims kept in the writer's store.
+// New returns claims that are kept in the writer's store.
 func New(writer *table.Writer) *Claims { return &Claims{writer: writer} }
 
-// Run runs a call at most once for its key. request identifies the call's
-// method, path and body; deadline is when the call is given up.
+// Run runs a call at most once for its key. request is a hash of the call's method, path
+// and body; deadline is when the call is abandoned.
 func (c *Claims) Run(ctx context.Context, key Key, request string, deadline time.Time, send SendFunc) Outcome {
-	claimed := record{State: stateClaimed, Request: request, Until: deadline.Add(ownerGrace).UnixMilli()}
-	version, end := c.acquire(ctx, key, claimed)
-	if end != nil {
-		return end
+	claimed := claimRow{State: stateClaimed, Request: request, OwnerDeadline: deadline.Add(clockSkewMargin).UnixMilli()}
+	version, outcome := c.acquire(ctx, key, claimed)
+	if outcome != nil {
+		return outcome
 	}
 	if err := ctx.Err(); err != nil {
-		// The claim stands and nothing was sent. Left as it is, it reads as
-		// "unknown" later, which is safe; saying so now is better.
-		c.record(key, version, record{State: stateNotRun, Request: request})
+		// The claim is committed and nothing was sent. Without a recorded outcome it would
+		// later be read as unknown, which is safe, but "not run" lets the call be repeated.
+		c.record(key, version, claimRow{State: stateNotRun, Request: request})
 		return NotRun{err}
 	}
-	answer, err := send(ctx)
+	response, err := send(ctx)
 	switch {
 	case err == nil:
-		c.record(key, version, record{
-			State: stateDone, Request: request, Status: answer.Status, ContentType: answer.ContentType, Body: answer.Body,
+		c.record(key, version, claimRow{
+			State: stateDone, Request: request, Status: response.Status, ContentType: response.ContentType, Body: response.Body,
 		})
-		return Ran{Response: answer}
+		return Ran{Response: response}
 	case errors.Is(err, ErrNotSent):
-		c.record(key, version, record{State: stateNotRun, Request: request})
+		c.record(key, version, claimRow{State: stateNotRun, Request: request})
 		return NotRun{err}
 	}
-	c.record(key, version, record{State: stateUnknown, Request: request})
+	c.record(key, version, claimRow{State: stateUnknown, Request: request})
 	return Unknown{err}
 }
 
-// acquire commits the claim. A nil End means that it is ours.
-func (c *Claims) acquire(ctx context.Context, key Key, claimed record) (int64, Outcome) {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+// acquire commits the claim and returns its version. The outcome is nil if this process
+// owns the claim.
+func (c *Claims) acquire(ctx context.Context, key Key, claimed claimRow) (int64, Outcome) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	var condition table.Condition = table.Absent{}
 	for {
-		outcome := c.writer.Commit(ctx, table.Write{Key: key.row(), Value: encode(claimed), If: condition})
+		outcome := c.writer.Commit(ctx, table.Write{Key: key.rowKey(), Value: encode(claimed), If: condition})
 		switch outcome := outcome.(type) {
 		case table.Done:
 			return outcome.Version, nil
@@ -158,22 +159,22 @@
 			if len(outcome.Conflicts) == 0 {
 				return 0, NotRun{fmt.Errorf("claim: store: %w", outcome.Err)}
 			}
-			held := outcome.Conflicts[0]
-			end := c.found(ctx, key, held, claimed)
-			if end != nil {
-				return 0, end
+			existing := outcome.Conflicts[0]
+			result := c.resolveExisting(ctx, key, existing, claimed)
+			if result != nil {
+				return 0, result
 			}
-			// The call did not run the last time: claim it anew.
-			condition = table.AtVersion{Version: held.Version}
+			// The earlier call did not run, so its claim is replaced.
+			condition = table.AtVersion{Version: existing.Version}
 		}
 	}
 }
 
-// found says what a claim that stands already means; nil for one that did not
-// run and may be claimed anew.
-func (c *Claims) found(ctx context.Context, key Key, row table.Row, claimed record) Outcome {
-	var held record
-	if err := json.Unmarshal(row.Value, &held); err != nil {
+// resolveExisting returns the outcome that an existing claim represents, or nil if its call
+// did not run and the key may be claimed again.
+func (c *Claims) resolveExisting(ctx context.Context, key Key, existing table.Row, claimed claimRow) Outcome {
+	var held claimRow
+	if err := json.Unmarshal(existing.Value, &held); err != nil {
 		return Unknown{fmt.Errorf("claim: unreadable: %w", err)}
 	}
 	if held.Request != claimed.Request {
@@ -185,34 +186,34 @@
 	case stateDone:
 		return Ran{Response: Response{held.Status, held.ContentType, held.Body}, Replayed: true}
 	case stateClaimed:
-		if time.Now().UnixMilli() < held.Until {
+		if time.Now().UnixMilli() < held.OwnerDeadline {
 			return InProgress{}
 		}
-		return c.settle(ctx, key, row, held)
+		return c.markUnknown(ctx, key, existing, held)
 	}
 	return Unknown{errors.New("claim: its end was not known")}
 }
 
-// settle ends the claim of an owner that died. Whether it had sent the call
-// can't be known, so the end is unknown, and written down as such.
-func (c *Claims) settle(ctx context.Context, key Key, row table.Row, held record) Outcome {
+// markUnknown records the outcome of a claim whose owner failed as unknown, because the owner
+// may or may not have sent the call.
+func (c *Claims) markUnknown(ctx context.Context, key Key, existing table.Row, held claimRow) Outcome {
 	held.State = stateUnknown
-	c.writer.Commit(ctx, table.Write{Key: key.row(), Value: encode(held), If: table.AtVersion{Version: row.Version}})
+	c.writer.Commit(ctx, table.Write{Key: key.rowKey(), Value: encode(held), If: table.AtVersion{Version: existing.Version}})
 	return Unknown{errors.New("claim: its owner was lost")}
 }
 
-// record writes how the call ended. The caller does not wait for it for long:
-// what it is told is true whether or not the record stands, and a claim
-// without a record reads as "unknown" later, never as "not run".
-func (c *Claims) record(key Key, version int64, ended record) {
+// record writes the outcome of a call and waits for the write for recordWait at most. The
+// outcome returned to the caller is correct even if the write fails: a claim without a
+// recorded outcome is later read as unknown, never as not run.
+func (c *Claims) record(key Key, version int64, final claimRow) {
 	done := make(chan struct{})
-	c.records.Go(func() {
+	c.pendingRecords.Go(func() {
 		defer close(done)
-		ctx, cancel := context.WithTimeout(context.Background(), lateRecordTime)
+		ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 		defer cancel()
-		c.writer.Commit(ctx, table.Write{Key: key.row(), Value: encode(ended), If: table.AtVersion{Version: version}})
+		c.writer.Commit(ctx, table.Write{Key: key.rowKey(), Value: encode(final), If: table.AtVersion{Version: version}})
 	})
-	timer := time.NewTimer(recordTime)
+	timer := time.NewTimer(recordWait)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -220,13 +221,14 @@
 	}
 }
 
-// Wait returns once every record is written or given up, for a planned stop.
-func (c *Claims) Wait() { c.records.Wait() }
+// Wait returns once every outcome has been written or its write has timed out, for a planned
+// stop.
+func (c *Claims) Wait() { c.pendingRecords.Wait() }
 
-func encode(r record) []byte {
+func encode(r claimRow) []byte {
 	encoded, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // Plain strings, numbers and bytes.
+		panic(err) // Cannot fail: the row has only strings, numbers and bytes.
 	}
 	return encoded
 }
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -19,7 +19,7 @@
 	"ironhollow/pkg/table"
 )
 
-// TestMain fixes the seed of property tests: the same verdict on each run.
+// TestMain fixes the seed of the property tests, so that each run has the same result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
@@ -29,32 +29,32 @@
 
 const callTime = 5 * time.Second
 
-// service counts its runs.
+// service is a called service that counts its runs.
 type service struct {
 	mu   *sync.Mutex
 	runs int
-	// ranFor names the requests that made a run.
+	// ranFor has the requests that the service ran.
 	ranFor []string
-	// lose makes the service run and its answer be lost.
-	lose bool
-	// refuse turns calls away unrun.
-	refuse bool
-	took   time.Duration
+	// loseResponse makes the service run and lose its response.
+	loseResponse bool
+	// rejectUnsent makes calls fail without a run.
+	rejectUnsent bool
+	latency      time.Duration
 }
 
-// send is the call sent for an unnamed request.
+// send runs the call for a request without a name.
 func (s *service) send(context.Context) (claim.Response, error) { return s.sendFor("") }
 
 func (s *service) sendFor(request string) (claim.Response, error) {
-	time.Sleep(s.took)
+	time.Sleep(s.latency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refuse {
+	if s.rejectUnsent {
 		return claim.Response{}, claim.ErrNotSent
 	}
 	s.runs++
 	s.ranFor = append(s.ranFor, request)
-	if s.lose {
+	if s.loseResponse {
 		return claim.Response{}, errors.New("connection cut")
 	}
 	return claim.Response{Status: 200, Body: fmt.Appendf(nil, "run %d", s.runs)}, nil
@@ -76,13 +76,13 @@
 			t.Errorf("got %+v after %d runs, want the replay of run 1", got, s.runs)
 		}
 		if _, ok := second.Run(context.Background(), key, "POST /other", time.Now().Add(callTime), s.send).(claim.KeyReused); !ok {
-			t.Error("a key used for another call: want Reused")
+			t.Error("a key used for another call: want KeyReused")
 		}
 	})
 }
 
-// TestEndsAreTold brings about each end of a call and then repeats the call.
-func TestEndsAreTold(t *testing.T) {
+// TestOutcomeOfFirstAndRepeatedCall causes each outcome of a call and then repeats the call.
+func TestOutcomeOfFirstAndRepeatedCall(t *testing.T) {
 	down := func(tables.Call) tables.Fault { return tables.Down{} }
 	cases := []struct {
 		name      string
@@ -93,8 +93,8 @@
 		totalRuns int
 	}{
 		{name: "done", first: "claim.Ran", second: "claim.Ran", totalRuns: 1},
-		{name: "turned away unrun, then asked again", service: service{refuse: true}, first: "claim.NotRun", second: "claim.Ran", totalRuns: 1},
-		{name: "answer lost", service: service{lose: true}, first: "claim.Unknown", second: "claim.Unknown", totalRuns: 1},
+		{name: "rejected without a run, then repeated", service: service{rejectUnsent: true}, first: "claim.NotRun", second: "claim.Ran", totalRuns: 1},
+		{name: "answer lost", service: service{loseResponse: true}, first: "claim.Unknown", second: "claim.Unknown", totalRuns: 1},
 		{name: "store down", faults: down, first: "claim.NotRun", second: "claim.Ran", totalRuns: 1},
 	}
 	for _, c := range cases {
@@ -105,15 +105,15 @@
 				s := c.service
 				s.mu = &sync.Mutex{}
 				claims := claim.New(table.NewWriter(store, "entry-1"))
-				begun := time.Now()
+				startedAt := time.Now()
 				if got := fmt.Sprintf("%T", call(claims, &s)); got != c.first {
 					t.Errorf("first: got %s, want %s", got, c.first)
 				}
-				if took := time.Since(begun); took > 2*time.Second {
-					t.Errorf("first: answered after %v, want within 2s", took)
+				if took := time.Since(startedAt); took > 2*time.Second {
+					t.Errorf("first: returned after %v, want within 2s", took)
 				}
 				store.SetFaults(nil)
-				s.refuse, s.lose = false, false
+				s.rejectUnsent, s.loseResponse = false, false
 				if got := fmt.Sprintf("%T", call(claims, &s)); got != c.second {
 					t.Errorf("second: got %s, want %s", got, c.second)
 				}
@@ -126,81 +126,82 @@
 	}
 }
 
-// TestOwnerKilled kills the owner of a claim before and after it sent the call:
-// nobody may tell the two apart, so both ends are unknown and nothing is sent.
+// TestOwnerKilled stops the owner of a claim before and after it sent the call. Other processes
+// cannot distinguish the two, so the outcome must be unknown and nothing may be sent again.
 func TestOwnerKilled(t *testing.T) {
 	for _, sent := range []bool{false, true} {
 		t.Run(fmt.Sprintf("after sending: %v", sent), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := tables.New()
 				s := &service{mu: &sync.Mutex{}}
-				dead := claim.New(table.NewWriter(store, "entry-1"))
-				stuck := make(chan struct{})
-				killed := make(chan struct{})
+				owner := claim.New(table.NewWriter(store, "entry-1"))
+				release := make(chan struct{})
+				ownerReturned := make(chan struct{})
 				go func() {
-					defer close(killed)
-					dead.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(ctx context.Context) (claim.Response, error) {
+					defer close(ownerReturned)
+					owner.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(ctx context.Context) (claim.Response, error) {
 						if sent {
 							_, _ = s.send(ctx)
 						}
-						<-stuck // The process is gone: it does nothing more.
+						<-release // The process has failed and does nothing until it is released.
 						return claim.Response{}, errors.New("killed")
 					})
 				}()
 				synctest.Wait()
 				other := claim.New(table.NewWriter(store, "entry-2"))
 				if _, ok := call(other, s).(claim.InProgress); !ok {
-					t.Error("while the owner may live: want InProgress")
+					t.Error("while the owner may be alive: want InProgress")
 				}
 				time.Sleep(11 * time.Second)
 				if _, ok := call(other, s).(claim.Unknown); !ok {
-					t.Error("after the owner's time: want Unknown")
+					t.Error("after the owner's deadline: want Unknown")
 				}
 				runs := s.runs
 				if want := map[bool]int{false: 0, true: 1}[sent]; runs != want {
 					t.Errorf("runs: got %d, want %d", runs, want)
 				}
-				close(stuck)
-				<-killed
-				dead.Wait()
+				close(release)
+				<-ownerReturned
+				owner.Wait()
 				if _, ok := call(other, s).(claim.Unknown); !ok {
-					t.Error("after the owner came back: want Unknown still")
+					t.Error("after the owner resumed: want Unknown still")
 				}
 			})
 		})
 	}
 }
 
-// history input and output for the linearizability check.
+// input is the input of an operation in the linearizability check.
 type input struct{ entry int }
 
 type output struct {
-	kind string
-	body string
+	typeName string
+	body     string
 }
 
-// model: the state is the run that happened, 0 for none. Ran must show it;
-// "not run" is allowed at any time, for the request itself; "unknown" hides
-// whether this request made the run.
+// model is the specification for the linearizability check. Its state is the number of the run
+// that has happened, 0 for none. Ran must return the response of run 1. NotRun is allowed at
+// any time, as it concerns only the request itself. After Unknown the request may or may not
+// have made the run.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{0} },
 	Step: func(state, _, out any) []any {
-		run, o := state.(int), out.(output)
-		switch o.kind {
+		completedRun, observed := state.(int), out.(output)
+		switch observed.typeName {
 		case "claim.Ran":
-			if o.body == "run 1" {
+			if observed.body == "run 1" {
 				return []any{1}
 			}
 			return nil
 		case "claim.Unknown":
-			return []any{run, 1}
+			return []any{completedRun, 1}
 		}
-		return []any{run}
+		return []any{completedRun}
 	},
 }
 
-// TestHistoriesUnderFaults draws faults at every call of the store and of the
-// service, has four entries race on one key, and checks the history.
+// TestHistoriesUnderFaults draws faults for each call of the store and of the service, lets
+// four entry processes race on one key, and checks that the history is linearizable.
 func TestHistoriesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var operations []porcupine.Operation
@@ -210,7 +211,7 @@
 		faults := rapid.SliceOfN(rapid.IntRange(0, 8), 1, 30).Draw(rt, "faults")
 		lose := rapid.Bool().Draw(rt, "lose")
 		refuse := rapid.Bool().Draw(rt, "refuse")
-		took := time.Duration(rapid.IntRange(0, 900).Draw(rt, "took")) * time.Millisecond
+		latency := time.Duration(rapid.IntRange(0, 900).Draw(rt, "took")) * time.Millisecond
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 2000), 4, 4).Draw(rt, "pauses")
 		synctest.Test(t, func(*testing.T) {
 			store := tables.New()
@@ -227,30 +228,30 @@
 				}
 				return tables.None{}
 			})
-			s := &service{mu: &sync.Mutex{}, lose: lose, refuse: refuse, took: took}
+			s := &service{mu: &sync.Mutex{}, loseResponse: lose, rejectUnsent: refuse, latency: latency}
 			var mu sync.Mutex
 			var wait sync.WaitGroup
 			for entry := range 4 {
 				claims := claim.New(table.NewWriter(store, fmt.Sprintf("entry-%d", entry)))
 				pause := time.Duration(pauses[entry]) * time.Millisecond
 				wait.Go(func() {
-					for try := range 3 {
+					for attempt := range 3 {
 						time.Sleep(pause)
-						begun := time.Now().UnixNano()
-						request := fmt.Sprintf("%d.%d", entry, try)
-						end := claims.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(context.Context) (claim.Response, error) {
+						startedAt := time.Now().UnixNano()
+						request := fmt.Sprintf("%d.%d", entry, attempt)
+						outcome := claims.Run(context.Background(), key, "POST /x", time.Now().Add(callTime), func(context.Context) (claim.Response, error) {
 							return s.sendFor(request)
 						})
-						out := output{kind: fmt.Sprintf("%T", end)}
-						if ran, ok := end.(claim.Ran); ok {
+						out := output{typeName: fmt.Sprintf("%T", outcome)}
+						if ran, ok := outcome.(claim.Ran); ok {
 							out.body = string(ran.Response.Body)
 						}
 						mu.Lock()
-						if _, ok := end.(claim.NotRun); ok {
+						if _, ok := outcome.(claim.NotRun); ok {
 							notRun[request] = true
 						}
 						operations = append(operations, porcupine.Operation{
-							ClientId: entry, Input: input{entry}, Call: begun, Output: out, Return: time.Now().UnixNano(),
+							ClientId: entry, Input: input{entry}, Call: startedAt, Output: out, Return: time.Now().UnixNano(),
 						})
 						mu.Unlock()
 					}
@@ -258,7 +259,7 @@
 			}
 			wait.Wait()
 			store.SetFaults(nil)
-			time.Sleep(5 * time.Minute) // Late writes and records end.
+			time.Sleep(5 * time.Minute) // Wait for late writes and records to end.
 			runs, ranFor = s.runs, s.ranFor
 		})
 		if runs > 1 {
@@ -269,7 +270,7 @@
 		}
 		for _, request := range ranFor {
 			if notRun[request] {
-				rt.Fatalf("request %s was told \"not run\", but it ran", request)
+				rt.Fatalf("request %s: got NotRun, but it ran", request)
 			}
 		}
 	})
