--- a/pkg/usage/reporter.go
+++ b/pkg/usage/reporter.go
@@ -16,19 +16,19 @@
 	"ironhollow/pkg/table"
 )
 
-// Sink takes reports; it sends each once.
+// Sink sends reports, each once per call of Report.
 type Sink interface {
 	Report(ctx context.Context, grant lease.Grant, report Report) error
 }
 
-// settle is how long after a window's end its counts are complete: a heartbeat,
-// its way through the store, and a margin for late ones.
-const settle = 3300 * time.Millisecond
+// settleDelay is the time from a window's end until its counts are complete: a heartbeat
+// interval, the delay through the store, and a margin for late heartbeats.
+const settleDelay = 3300 * time.Millisecond
 
-// reportedKept is how many windows a report stays in the store.
-const reportedKept = 24
+// retainedReports is the number of windows for which a report's row is kept in the store.
+const retainedReports = 24
 
-// Reporter reports windows while this process holds the lease.
+// Reporter reports the windows while this process holds the lease.
 type Reporter struct {
 	counter  *Counter
 	roster   *roster.Roster
@@ -38,9 +38,9 @@
 	storeEra func() int64
 	// done holds the windows whose report the sink has acknowledged to this process or that were skipped.
 	done map[int64]bool
-	// agreed holds the counts of recent windows that this process read from or wrote to the store.
-	// They stay valid when a restore loses the row.
-	agreed map[int64]map[string]int
+	// committed has the counts of recent windows that this process read from or wrote to the store.
+	// They stay valid if a restore loses the row.
+	committed map[int64]map[string]int
 	// epoch and era are the lease's epoch and the store's era that updateEpochAndEra last handled.
 	epoch, era int64
 	// rowsIntactFrom is the first window for which a missing row means that no earlier holder has
@@ -55,22 +55,22 @@
 func NewReporter(counter *Counter, members *roster.Roster, writer *table.Writer, sink Sink, storeEra func() int64, logger *log.Logger) *Reporter {
 	return &Reporter{
 		counter: counter, roster: members, writer: writer, sink: sink, storeEra: storeEra, log: logger,
-		done: map[int64]bool{}, agreed: map[int64]map[string]int{},
+		done: map[int64]bool{}, committed: map[int64]map[string]int{},
 	}
 }
 
-// Step reports the windows that are due. held is asked right before each call.
+// Step reports the windows that are due. It calls held right before each report is sent.
 func (r *Reporter) Step(ctx context.Context, held func() (lease.Grant, bool)) {
 	grant, ok := held()
 	if !ok {
 		return
 	}
 	if err := r.updateEpochAndEra(ctx, grant); err != nil {
-		r.log.Warn().Err(err).Msg("usage not reported yet")
+		r.log.Warn().Err(err).Msg("failed to prepare usage reports, will retry")
 		return
 	}
 	last := r.lastDue()
-	for window := last - keptWindows + 2; window <= last; window++ {
+	for window := last - retainedWindows + 2; window <= last; window++ {
 		if r.done[window] {
 			continue
 		}
@@ -78,25 +78,25 @@
 		if errors.Is(err, errMayBeReported) {
 			r.log.Warn().Int64("window", window).Err(err).Msg("usage report skipped")
 		} else if err != nil {
-			r.log.Warn().Int64("window", window).Err(err).Msg("usage not reported yet")
+			r.log.Warn().Int64("window", window).Err(err).Msg("failed to report usage, will retry")
 			return
 		}
 		r.done[window] = true
-		delete(r.done, window-reportedKept)
-		delete(r.agreed, window-reportedKept)
+		delete(r.done, window-retainedReports)
+		delete(r.committed, window-retainedReports)
 	}
 	r.caughtUp = true
 }
 
 // lastDue returns the last window whose counts are complete.
-func (r *Reporter) lastDue() int64 { return r.counter.Window(r.counter.now().Add(-settle)) - 1 }
+func (r *Reporter) lastDue() int64 { return r.counter.Window(r.counter.now().Add(-settleDelay)) - 1 }
 
-var errNotHeld = errors.New("the lease is not held any more")
+var errNotHeld = errors.New("lease is no longer held")
 
-// report writes the counts to the store first and sends what stands there, so
-// that another holder repeats it to the letter.
+// report writes the counts of a window to the store before it sends them, so that another
+// holder repeats the report unchanged.
 func (r *Reporter) report(ctx context.Context, window int64, held func() (lease.Grant, bool)) error {
-	counts, err := r.agreedCounts(ctx, window)
+	counts, err := r.committedCounts(ctx, window)
 	if err != nil {
 		return err
 	}
@@ -121,10 +121,10 @@
 
 func rowKey(window int64) string { return "usage/" + strconv.FormatInt(window, 10) }
 
-// agreedCounts returns the counts to report for a window: those already read or written, those in the
-// store, or else this process's own, which it writes to the store.
-func (r *Reporter) agreedCounts(ctx context.Context, window int64) (map[string]int, error) {
-	if counts, ok := r.agreed[window]; ok {
+// committedCounts returns the counts to report for a window: those already read or written, those in
+// the store, or else those known to this process, which it writes to the store.
+func (r *Reporter) committedCounts(ctx context.Context, window int64) (map[string]int, error) {
+	if counts, ok := r.committed[window]; ok {
 		return counts, nil
 	}
 	counts, err := r.earlierCounts(ctx, window)
@@ -132,7 +132,7 @@
 		counts, err = r.writeCounts(ctx, window)
 	}
 	if err == nil {
-		r.agreed[window] = counts
+		r.committed[window] = counts
 	}
 	return counts, err
 }
@@ -159,8 +159,8 @@
 	return counts, true, json.Unmarshal(row.Value, &counts)
 }
 
-// writeCounts writes this process's counts of a window and returns them. If the row already exists, it
-// returns the counts in the row.
+// writeCounts writes the counts of a window that are known to this process and returns them. If the
+// row already exists, it returns the counts in the row.
 func (r *Reporter) writeCounts(ctx context.Context, window int64) (map[string]int, error) {
 	counts := r.roster.StartedRequests(window)
 	switch o := r.commitCounts(ctx, window, counts).(type) {
@@ -168,14 +168,14 @@
 		if storeversion.Era(o.Version) != r.era {
 			return nil, r.deleteRow(ctx, window, o.Version)
 		}
-		r.forget(ctx, window-reportedKept)
+		r.deleteOldRow(ctx, window-retainedReports)
 		return counts, nil
 	case table.Refused:
-		found, ok, err := r.readCounts(ctx, window)
+		stored, ok, err := r.readCounts(ctx, window)
 		if err == nil && !ok {
 			err = fmt.Errorf("usage of window %d was not written: %w", window, errors.Join(o.Err, errNotWritten))
 		}
-		return found, err
+		return stored, err
 	default:
 		return nil, errNotWritten
 	}
@@ -190,12 +190,12 @@
 	return r.writer.Commit(ctx, table.Write{Key: rowKey(window), Value: value, If: table.Absent{}})
 }
 
-var errNotWritten = errors.New("the store did not take it")
+var errNotWritten = errors.New("the store did not confirm the write")
 
-// forget removes an old report's row; one that stays is harmless.
-func (r *Reporter) forget(ctx context.Context, window int64) {
+// deleteOldRow deletes the row of an old report. A row that remains is harmless.
+func (r *Reporter) deleteOldRow(ctx context.Context, window int64) {
 	outcome := r.writer.Store().Commit(ctx, table.Commit{Writes: []table.Write{{Key: rowKey(window), Delete: true, If: table.Always{}}}})
 	if _, ok := outcome.(table.Done); !ok {
-		r.log.Debug().Int64("window", window).Msg("old usage row not removed")
+		r.log.Debug().Int64("window", window).Msg("failed to delete old usage row")
 	}
 }
--- a/pkg/usage/restore.go
+++ b/pkg/usage/restore.go
@@ -11,8 +11,8 @@
 	"ironhollow/pkg/table"
 )
 
-// A restored store lacks the rows of windows reported after the backup was taken. The holder rewrites
-// the rows that it knows, and the first holder in an era records which windows may have been reported.
+// A restored store lacks the rows of windows reported after the backup. The holder rewrites the rows
+// that it knows, and the first holder in an era records which windows may have been reported.
 
 var (
 	errMayBeReported = errors.New("an earlier holder may have reported the window before the store was restored")
@@ -62,8 +62,8 @@
 
 // rewriteRows writes the rows of recent windows that may have been lost in a restore.
 func (r *Reporter) rewriteRows(ctx context.Context) error {
-	for window, counts := range r.agreed {
-		if window <= r.lastDue()-keptWindows {
+	for window, counts := range r.committed {
+		if window <= r.lastDue()-retainedWindows {
 			continue
 		}
 		switch o := r.commitCounts(ctx, window, counts).(type) {
@@ -114,7 +114,7 @@
 func (r *Reporter) deleteRow(ctx context.Context, window, version int64) error {
 	outcome := r.writer.Commit(ctx, table.Write{Key: rowKey(window), Delete: true, If: table.AtVersion{Version: version}})
 	if _, isDone := outcome.(table.Done); !isDone {
-		r.log.Warn().Int64("window", window).Msg("usage row written after a store restore not removed")
+		r.log.Warn().Int64("window", window).Msg("failed to delete usage row written after a store restore")
 	}
 	return errRestored
 }
--- a/pkg/usage/usage.go
+++ b/pkg/usage/usage.go
@@ -1,5 +1,5 @@
-// Package usage counts the requests of teams that began to run, by windows of
-// true time, and reports each window once for the whole fleet.
+// Package usage counts the requests of each team that started to run, by windows of
+// the fleet's common clock, and reports each window once for the whole fleet.
 package usage
 
 import (
@@ -10,19 +10,19 @@
 	"ironhollow/pkg/roster"
 )
 
-// Report is one window's counts.
+// Report has the counts of one window.
 type Report struct {
-	// Window numbers the window: it begins Window times its length after the
+	// Window is the number of the window, which starts Window times its length after the
 	// start of 1970.
 	Window int64
 	Counts map[string]int
 }
 
-// keptWindows is how many windows a process tells of: more than pass until one
-// is reported, also after a change of the lease's holder.
-const keptWindows = 5
+// retainedWindows is how many windows a process publishes the counts of. It is more than
+// the number of windows that pass until one is reported, even if the lease's holder changes.
+const retainedWindows = 5
 
-// Counter counts what began at this process. It is safe for concurrent use.
+// Counter counts the requests that started at this process. It is safe for concurrent use.
 type Counter struct {
 	length time.Duration
 	now    func() time.Time
@@ -31,18 +31,19 @@
 	counts map[int64]map[string]int
 }
 
-// NewCounter returns a counter for windows of a length; now is true time.
+// NewCounter returns a counter for windows of the given length; now returns the time of the
+// fleet's common clock.
 func NewCounter(length time.Duration, now func() time.Time) *Counter {
 	return &Counter{length: length, now: now, counts: map[int64]map[string]int{}}
 }
 
-// Window returns the window a moment falls into.
+// Window returns the number of the window that contains a time.
 func (c *Counter) Window(at time.Time) int64 { return at.UnixNano() / int64(c.length) }
 
-// CurrentWindow is the window that runs.
+// CurrentWindow returns the number of the current window.
 func (c *Counter) CurrentWindow() int64 { return c.Window(c.now()) }
 
-// RunStarted counts one request of a team; requests without a team are not counted.
+// RunStarted counts a started request of a team. Requests without a team are not counted.
 func (c *Counter) RunStarted(team string) {
 	if team == "" {
 		return
@@ -56,9 +57,9 @@
 	c.counts[window][team]++
 }
 
-// Recent returns the counts of the last windows, and drops those before.
+// Recent returns the counts of the retained windows and deletes those of earlier ones.
 func (c *Counter) Recent() []roster.RequestCount {
-	oldest := c.Window(c.now()) - keptWindows
+	oldest := c.Window(c.now()) - retainedWindows
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []roster.RequestCount
@@ -77,12 +78,12 @@
 	return list
 }
 
-// Latest returns the counts of the window that runs and the one before.
+// Latest returns the counts of the current and the previous window.
 func (c *Counter) Latest() []roster.RequestCount {
-	running := c.CurrentWindow()
+	current := c.CurrentWindow()
 	var list []roster.RequestCount
 	for _, count := range c.Recent() {
-		if count.Window >= running-1 {
+		if count.Window >= current-1 {
 			list = append(list, count)
 		}
 	}
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -19,7 +19,7 @@
 
 const window = 5 * time.Second
 
-// rows is a table service in memory.
+// rows is an in-memory table service.
 type rows struct {
 	mu      sync.Mutex
 	version int64
@@ -34,7 +34,7 @@
 		return table.Refused{Err: errors.New("down")}
 	}
 	for _, w := range c.Writes {
-		if row, there := r.rows[w.Key]; there && w.If == (table.Absent{}) {
+		if row, exists := r.rows[w.Key]; exists && w.If == (table.Absent{}) {
 			return table.Refused{Conflicts: []table.Row{row}}
 		}
 	}
@@ -58,15 +58,16 @@
 
 func (r *rows) List(context.Context, string, string, int) ([]table.Row, error) { return nil, nil }
 
-// sink takes reports; the answers about one window may be lost.
+// sink records reports. It fails those of one window after recording them, as if the answer
+// had been lost.
 type sink struct {
-	got   []string
-	loses int64
+	reports    []string
+	failWindow int64
 }
 
 func (s *sink) Report(_ context.Context, g lease.Grant, r usage.Report) error {
-	s.got = append(s.got, fmt.Sprintf("%d by %d: %v", r.Window, g.Epoch, r.Counts))
-	if s.loses == r.Window {
+	s.reports = append(s.reports, fmt.Sprintf("%d by %d: %v", r.Window, g.Epoch, r.Counts))
+	if s.failWindow == r.Window {
 		return errors.New("answer lost")
 	}
 	return nil
@@ -88,11 +89,11 @@
 	return h
 }
 
-// hears tells the holder what a process counted in the window at 1000 s.
-func (h *holder) hears(process string, begun int) {
+// receiveCounts gives the holder a process's count in the window at 1000 s.
+func (h *holder) receiveCounts(process string, started int) {
 	h.roster.Merge(roster.Row{
-		Host: roster.Host{Incarnation: process, Node: process}, Sequence: int64(begun),
-		Counts: []roster.RequestCount{{Window: 200, Team: "t", Started: begun}},
+		Host: roster.Host{Incarnation: process, Node: process}, Sequence: int64(started),
+		Counts: []roster.RequestCount{{Window: 200, Team: "t", Started: started}},
 	}, h.now)
 }
 
@@ -100,30 +101,30 @@
 	h.reporter.Step(context.Background(), func() (lease.Grant, bool) { return lease.Grant{Epoch: epoch}, true })
 }
 
-// A new holder that has heard other counts repeats to the letter what the one
-// before may have sent.
-func TestReportsAreRepeatedToTheLetter(t *testing.T) {
+// TestReportsAreRepeatedUnchanged checks that a new holder that has received other counts
+// repeats the report that the previous holder may have sent.
+func TestReportsAreRepeatedUnchanged(t *testing.T) {
 	store := &rows{rows: map[string]table.Row{}}
-	s := &sink{loses: 200}
+	s := &sink{failWindow: 200}
 	first := newHolder("first", store, s)
-	first.hears("a", 3)
-	first.hears("b", 4)
+	first.receiveCounts("a", 3)
+	first.receiveCounts("b", 4)
 	first.now = time.Unix(1009, 0)
 	first.step(1)
 	second := newHolder("second", store, s)
-	second.hears("a", 3)
-	second.hears("b", 5)
+	second.receiveCounts("a", 3)
+	second.receiveCounts("b", 5)
 	second.now = time.Unix(1009, 0)
-	s.loses = 0
+	s.failWindow = 0
 	second.step(2)
 	sent := map[string]bool{}
-	for _, line := range s.got {
+	for _, line := range s.reports {
 		if line[:3] == "200" {
 			sent[line[len("200 by 1"):]] = true
 		}
 	}
 	if len(sent) != 1 || !sent[": map[t:7]"] {
-		t.Errorf("reports of window 200: got %v, want 7 from both", s.got)
+		t.Errorf("reports of window 200: got %v, want 7 from both", s.reports)
 	}
 }
 
@@ -131,38 +132,38 @@
 	store := &rows{rows: map[string]table.Row{}}
 	s := &sink{}
 	h := newHolder("h", store, s)
-	h.hears("a", 3)
+	h.receiveCounts("a", 3)
 	h.now = time.Unix(1006, 0)
 	h.step(1)
-	for _, line := range s.got {
+	for _, line := range s.reports {
 		if line[:3] == "200" {
-			t.Errorf("reported a second after the window's end: %s", line)
+			t.Errorf("reported 1 s after the window's end: %s", line)
 		}
 	}
 	h.now = time.Unix(1009, 0)
-	before := len(s.got)
+	before := len(s.reports)
 	h.reporter.Step(context.Background(), func() (lease.Grant, bool) { return lease.Grant{}, false })
-	if len(s.got) != before {
-		t.Errorf("reported without the lease: %v", s.got[before:])
+	if len(s.reports) != before {
+		t.Errorf("reported without the lease: %v", s.reports[before:])
 	}
 }
 
-// The store takes nothing: nothing is sent, since another holder could not
-// repeat it.
+// TestNothingIsSentThatIsNotWritten checks that nothing is sent while writes to the store
+// fail, since another holder could not repeat it.
 func TestNothingIsSentThatIsNotWritten(t *testing.T) {
 	store := &rows{rows: map[string]table.Row{}, down: true}
 	s := &sink{}
 	h := newHolder("h", store, s)
-	h.hears("a", 3)
+	h.receiveCounts("a", 3)
 	h.now = time.Unix(1009, 0)
 	h.step(1)
-	if len(s.got) != 0 {
-		t.Errorf("sent: got %v, want nothing", s.got)
+	if len(s.reports) != 0 {
+		t.Errorf("sent: got %v, want nothing", s.reports)
 	}
 	store.down = false
 	h.step(1)
-	if len(s.got) == 0 {
-		t.Error("sent after the store is back: got nothing")
+	if len(s.reports) == 0 {
+		t.Error("sent after the store recovered: got nothing")
 	}
 }
 
