--- a/pkg/storeview/idle_test.go
+++ b/pkg/storeview/idle_test.go
@@ -17,7 +17,7 @@
 	"ironhollow/pkg/storeview"
 )
 
-// rows is a store that has rows of hosts, and nothing else.
+// rows is a store that has only rows of hosts.
 type rows struct {
 	list []roster.Row
 	now  time.Duration
@@ -43,30 +43,30 @@
 	return feed.Batch{}, ctx.Err()
 }
 
-// Only where several hosts wrote and all of them stopped, none served: not where one has
-// written since, nor where those that write have just begun.
+// TestIdleBeforeAStart checks that the fleet counts as idle only if several hosts wrote rows
+// and all of them stopped: not if one has written since, unless that one has just started.
 func TestIdleBeforeAStart(t *testing.T) {
 	const now = time.Minute
-	hosts := func(count int, written, since time.Duration) []roster.Row {
+	hosts := func(count int, written, startedAt time.Duration) []roster.Row {
 		var list []roster.Row
 		for i := range count {
 			at := written - time.Duration(i)*100*time.Millisecond
-			list = append(list, roster.Row{Host: roster.Host{Node: fmt.Sprint("n", written, i), StartedAt: since}, Sequence: 1, WrittenAt: at})
+			list = append(list, roster.Row{Host: roster.Host{Node: fmt.Sprint("n", written, i), StartedAt: startedAt}, Sequence: 1, WrittenAt: at})
 		}
 		return list
 	}
 	stopped := hosts(6, now-1700*time.Millisecond, time.Second)
 	for _, c := range []struct {
-		what string
+		name string
 		list []roster.Row
 		want time.Duration
 	}{
 		{"no rows", nil, 0},
 		{"all stopped 1.7 s ago", stopped, 1200 * time.Millisecond},
 		{"one has written since", append(hosts(1, now-200*time.Millisecond, time.Second), stopped...), 0},
-		{"one that has just begun has written since", append(hosts(1, now-200*time.Millisecond, now-time.Second), stopped...), 1200 * time.Millisecond},
-		{"too few to tell", hosts(3, now-1700*time.Millisecond, time.Second), 0},
-		{"they may just not have written yet", hosts(6, now-800*time.Millisecond, time.Second), 0},
+		{"one that has just started has written since", append(hosts(1, now-200*time.Millisecond, now-time.Second), stopped...), 1200 * time.Millisecond},
+		{"too few hosts", hosts(3, now-1700*time.Millisecond, time.Second), 0},
+		{"next writes may not be due yet", hosts(6, now-800*time.Millisecond, time.Second), 0},
 	} {
 		members := roster.New(time.Minute, func(int) time.Duration { return time.Second })
 		logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
@@ -74,7 +74,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		view.Follow(ctx, rows{c.list, now}, false)
 		if got := view.IdleBeforeStart(); got != c.want {
-			t.Errorf("%s: got %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 		cancel()
 	}
--- a/pkg/storeview/loss.go
+++ b/pkg/storeview/loss.go
@@ -7,25 +7,25 @@
 	"github.com/phuslu/log"
 )
 
-// lossLog writes one line when a dependency is lost and one when it is back.
-type lossLog struct {
-	mu    sync.Mutex
-	since map[string]time.Time
+// outageLog logs one line when calls to a dependency begin to fail and one when they succeed again.
+type outageLog struct {
+	mu       sync.Mutex
+	failedAt map[string]time.Time
 }
 
-func (l *lossLog) note(logger *log.Logger, what string, err error, now time.Time) {
+func (l *outageLog) record(logger *log.Logger, name string, err error, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	since, isLost := l.since[what]
+	failedAt, isFailing := l.failedAt[name]
 	switch {
-	case err != nil && !isLost:
-		if l.since == nil {
-			l.since = map[string]time.Time{}
+	case err != nil && !isFailing:
+		if l.failedAt == nil {
+			l.failedAt = map[string]time.Time{}
 		}
-		l.since[what] = now
-		logger.Warn().Str("feed", what).Err(err).Msg("store lost")
-	case err == nil && isLost:
-		delete(l.since, what)
-		logger.Info().Str("feed", what).Dur("after", now.Sub(since)).Msg("store back")
+		l.failedAt[name] = now
+		logger.Warn().Str("feed", name).Err(err).Msg("store lost")
+	case err == nil && isFailing:
+		delete(l.failedAt, name)
+		logger.Info().Str("feed", name).Dur("after", now.Sub(failedAt)).Msg("store back")
 	}
 }
--- a/pkg/storeview/relays_test.go
+++ b/pkg/storeview/relays_test.go
@@ -18,7 +18,7 @@
 	"ironhollow/pkg/storeview"
 )
 
-// decoder decodes nothing: these tests follow no store.
+// decoder returns zero values, as these tests read no rows with it.
 type decoder struct{}
 
 func (decoder) Tables() storeview.Tables { return storeview.Tables{} }
@@ -38,7 +38,7 @@
 	return h
 }
 
-// viewOf is what one host of a fleet knows that has seen all others.
+// viewOf returns the view of a host that knows all hosts of a fleet.
 func viewOf(self, hosts int) *storeview.View {
 	now := time.Now()
 	members := roster.New(time.Minute, func(int) time.Duration { return time.Second })
@@ -52,11 +52,11 @@
 	return storeview.New(decoder{}, time.Second, storeclock.New(), members, home, h.Incarnation, rollout.New(rollout.Bounds{}), logger)
 }
 
-// In a large fleet the largest host of a data centre follows the store, and the
-// others follow it; in a small one all follow the store.
-func TestWhoFollowsThroughWhom(t *testing.T) {
+// TestRelaySelection checks that in a large fleet the largest host of a data centre follows
+// the store and the other hosts follow that host, and that in a small fleet all follow the store.
+func TestRelaySelection(t *testing.T) {
 	for _, c := range []struct {
-		what        string
+		name        string
 		self, hosts int
 		want        string
 	}{
@@ -69,10 +69,10 @@
 		relays := viewOf(c.self, c.hosts).Relays()
 		got := strings.Join(relays[:min(1, len(relays))], "")
 		if got != c.want {
-			t.Errorf("%s: got %q, want %q", c.what, got, c.want)
+			t.Errorf("%s: got %q, want %q", c.name, got, c.want)
 		}
 		if c.want != "" && len(relays) != 4 {
-			t.Errorf("%s: got relays %v, want one of each of 4 data centres", c.what, relays)
+			t.Errorf("%s: got relays %v, want one of each of 4 data centres", c.name, relays)
 		}
 	}
 }
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -1,6 +1,6 @@
-// Package storeview holds what a node knows through the feeds of the platform's
-// store: the configuration in force, the endpoints and the hosts, followed directly
-// or through a relay.
+// Package storeview maintains a node's view of the platform's store: the current
+// configuration, the endpoints and the hosts. It follows the store's tables directly or
+// through a relay.
 package storeview
 
 import (
@@ -27,97 +27,101 @@
 
 // Timing of the feeds.
 const (
-	// feedWait is how long the store holds a call; with the call's own time it
-	// bounds how long a call without an answer stays unnoticed. Shorter ones
-	// cost: every call is priced.
+	// feedWait is how long the store holds a call without changes. Together with the call's
+	// own duration it limits how long an unanswered call stays undetected. A shorter wait
+	// costs more, as each call is billed.
 	feedWait = 2500 * time.Millisecond
 	// feedRetry is the mean pause after a failure.
 	feedRetry = 300 * time.Millisecond
-	// endpointPause and rosterPause gather changes of busy tables, which would otherwise answer a
-	// call each. A leaving endpoint must get no new work 2 s after the store has its row.
+	// endpointPause and rosterPause are pauses between calls that batch the changes of busy
+	// tables, each of which would otherwise end a call. endpointPause is limited by the rule that
+	// a leaving endpoint gets no new work 2 s after the store has its row.
 	endpointPause = 1300 * time.Millisecond
 	rosterPause   = 1400 * time.Millisecond
-	// coreRowsPause is that of the relays of a fleet with levels.
-	coreRowsPause = 2800 * time.Millisecond
-	// relayWait and relayPause are a relay's: the store must have answered it within a second or so,
-	// see package relay, so that its followers are up to date in time.
+	// coreRosterPause replaces rosterPause at the relays of a hierarchical fleet.
+	coreRosterPause = 2800 * time.Millisecond
+	// relayWait and relayPause are the wait and the pause of a relay. The store must have answered
+	// a relay within about a second (see package relay), so that its followers are up to date in
+	// time.
 	relayWait  = 800 * time.Millisecond
 	relayPause = 700 * time.Millisecond
-	// staleAfter is how long after the store's last answer a newer configuration may be in force.
+	// staleAfter is the time since the store's last answer after which the known configuration
+	// may be outdated.
 	staleAfter = feedWait + 500*time.Millisecond
 )
 
-// RosterTable is the store's table of this system's processes.
+// RosterTable is the name of the store's table of this system's hosts.
 const RosterTable = "hosts"
 
-// Tables are names of tables in the platform's store.
+// Tables has the names of tables and keys in the platform's store.
 type Tables struct {
 	Configuration, ConfigurationKey string
 	Endpoints                       string
-	// OrderPrefix begins the keys of the configuration's table that order roll-outs.
+	// OrderPrefix is the prefix of the keys of roll-out orders in the configuration's table.
 	OrderPrefix string
 }
 
-// Decoder reads what others write to the store.
+// Decoder decodes the rows that other systems write to the store.
 type Decoder interface {
-	// Tables names the tables that are followed.
+	// Tables returns the names of the tables to follow.
 	Tables() Tables
 	DecodeConfiguration(value []byte) (routetable.Spec, error)
 	DecodeEndpoint(id string, value []byte) (endpoint.Info, error)
-	// DecodeOrder decodes an order of a roll-out; version is its row's.
+	// DecodeOrder decodes a roll-out order; version is the version of its row.
 	DecodeOrder(value []byte, version int64) (rollout.Order, error)
 }
 
-// View is what a node knows. It is safe for concurrent use.
+// View is a node's view of the store. It is safe for concurrent use.
 type View struct {
-	decoder   Decoder
-	clock     *storeclock.Clock
-	directory *endpoint.Directory
-	tables    *routetable.Holder
-	endpoints *discovery.Syncer
-	roster    *roster.Roster
-	log       *log.Logger
-	home      route.Location
-	self      string
-	lost      lossLog
-	// inTouchSince is since when the endpoints' feed has not failed, heardAt when it
-	// last answered, both counted from the clock's start in nanoseconds; 0 while it
-	// fails.
-	inTouchSince, heardAt atomic.Int64
-	rollouts              *rollout.Splitter
-	// rowsRead says that the hosts' rows have been read once, idle what they showed then.
-	rowsRead bool
-	idle     atomic.Int64
-	// configured says that the configuration's table has been read once.
-	configured bool
-	// storeEra is the highest store era received, 0 if none.
+	decoder     Decoder
+	clock       *storeclock.Clock
+	directory   *endpoint.Directory
+	routeTables *routetable.Holder
+	endpoints   *discovery.Syncer
+	roster      *roster.Roster
+	log         *log.Logger
+	home        route.Location
+	self        string
+	outages     outageLog
+	// reachableSince is the start of the current period without a failure of the endpoints'
+	// feed, or 0 while the feed fails. lastAnswer is the time of the feed's last answer. Both
+	// are in nanoseconds since the clock's start.
+	reachableSince, lastAnswer atomic.Int64
+	rollouts                   *rollout.Splitter
+	// rosterRead is set once the rows of hosts have been read, and idleBeforeStart is computed
+	// from that first read.
+	rosterRead      bool
+	idleBeforeStart atomic.Int64
+	// configurationRead is set once the configuration's table has been read.
+	configurationRead bool
+	// storeEra is the highest store era received, or 0 if none.
 	storeEra atomic.Int64
 }
 
-// New returns the view of a host whose process has the incarnation self. heartbeat
-// is the time between two writes of an endpoint's row.
+// New returns the view of the host whose process has the incarnation self. heartbeat is
+// the interval at which an endpoint writes its row.
 func New(decoder Decoder, heartbeat time.Duration, c *storeclock.Clock, members *roster.Roster, home route.Location, self string,
 	rollouts *rollout.Splitter, logger *log.Logger,
 ) *View {
 	directory := endpoint.NewDirectory()
-	othersHeard := func(whole time.Duration) bool { return members.PeerReachedStore(self, whole, c.Now()) }
+	peerReachedStore := func(duration time.Duration) bool { return members.PeerReachedStore(self, duration, c.Now()) }
 	return &View{
-		decoder:   decoder,
-		clock:     c,
-		directory: directory,
-		tables:    routetable.NewHolder(staleAfter, c.Now),
-		endpoints: discovery.New(directory, decodeSeen(decoder, rollouts, c), heartbeat, othersHeard, c.Now, logger),
-		roster:    members,
-		log:       logger,
-		home:      home,
-		self:      self,
-		rollouts:  rollouts,
+		decoder:     decoder,
+		clock:       c,
+		directory:   directory,
+		routeTables: routetable.NewHolder(staleAfter, c.Now),
+		endpoints:   discovery.New(directory, decodeAndObserve(decoder, rollouts, c), heartbeat, peerReachedStore, c.Now, logger),
+		roster:      members,
+		log:         logger,
+		home:        home,
+		self:        self,
+		rollouts:    rollouts,
 	}
 }
 
-// decodeSeen decodes endpoints' rows and notes their versions before requests can go
-// there.
-func decodeSeen(decoder Decoder, rollouts *rollout.Splitter, c *storeclock.Clock) discovery.DecodeFunc {
+// decodeAndObserve returns a function that decodes an endpoint's row and passes its release to
+// rollouts before requests can be sent to the endpoint.
+func decodeAndObserve(decoder Decoder, rollouts *rollout.Splitter, c *storeclock.Clock) discovery.DecodeFunc {
 	return func(id string, value []byte) (endpoint.Info, error) {
 		info, err := decoder.DecodeEndpoint(id, value)
 		if err == nil {
@@ -127,44 +131,45 @@
 	}
 }
 
-// contactFresh is how long ago the endpoints' feed must have answered to count as
-// in touch: its rows change all the time, so that a call that hangs is no sign of
-// a quiet store.
-const contactFresh = 2500 * time.Millisecond
+// answerTimeout is how long after the last answer of the endpoints' feed the store counts
+// as reachable. The rows of endpoints change continuously, so a call without an answer does
+// not mean that there are no changes.
+const answerTimeout = 2500 * time.Millisecond
 
-// StoreReachableFor is how long the endpoints' feed has not failed.
+// StoreReachableFor returns how long the endpoints' feed has not failed, or 0 if its last
+// answer is older than answerTimeout.
 func (v *View) StoreReachableFor() time.Duration {
 	now := v.clock.Running()
-	since := time.Duration(v.inTouchSince.Load())
-	if since == 0 || now-time.Duration(v.heardAt.Load()) > contactFresh {
+	since := time.Duration(v.reachableSince.Load())
+	if since == 0 || now-time.Duration(v.lastAnswer.Load()) > answerTimeout {
 		return 0
 	}
 	return now - since
 }
 
-// Parameters of a start.
+// Parameters of the start of the feeds.
 const (
-	// relaysFound is how long hosts that all start for the first time take to find their relays;
-	// until then they follow the store itself.
-	relaysFound = time.Second
-	// rosterSoon is how long the other feeds wait for the hosts' rows, which have the relays to
-	// follow; the store may be away.
-	rosterSoon = time.Second
-	// rosterLook is the pause between two looks whether they are there.
-	rosterLook = 20 * time.Millisecond
+	// relayDiscoveryTime is how long hosts of a fleet that starts for the first time need to
+	// discover their relays. Until then they follow the store directly.
+	relayDiscoveryTime = time.Second
+	// rosterTimeout limits how long the other feeds wait for the rows of hosts, from which the
+	// relays are selected. The store may be unavailable.
+	rosterTimeout = time.Second
+	// rosterPollInterval is the interval of the checks whether the rows have been read.
+	rosterPollInterval = 20 * time.Millisecond
 )
 
-// awaitRoster waits until the hosts' rows are known, or for rosterSoon.
+// awaitRoster waits until the rows of hosts have been read, for rosterTimeout at most.
 func (v *View) awaitRoster(ctx context.Context) {
-	for waited := time.Duration(0); !v.roster.Loaded() && waited < rosterSoon; waited += rosterLook {
-		pause.For(ctx, rosterLook)
+	for waited := time.Duration(0); !v.roster.Loaded() && waited < rosterTimeout; waited += rosterPollInterval {
+		pause.For(ctx, rosterPollInterval)
 	}
 }
 
-// Follow starts the feeds; it returns once all have begun.
+// Follow starts the feeds and returns once all are started.
 func (v *View) Follow(ctx context.Context, source feed.Source, firstStart bool) {
 	tables := v.decoder.Tables()
-	either := func(relay, other time.Duration) func() time.Duration {
+	byRole := func(relay, other time.Duration) func() time.Duration {
 		return func() time.Duration {
 			if v.IsRelay() {
 				return relay
@@ -172,27 +177,27 @@
 			return other
 		}
 	}
-	start := func(name string, pause func() time.Duration, take feed.Take) {
-		timing := feed.Timing{Wait: either(relayWait, feedWait), Pause: pause, Retry: feedRetry}
-		heard := func(batch feed.Batch) {
+	startFeed := func(name string, pause func() time.Duration, apply feed.Take) {
+		timing := feed.Timing{Wait: byRole(relayWait, feedWait), Pause: pause, Retry: feedRetry}
+		receive := func(batch feed.Batch) {
 			v.clock.Heard(batch.StoreTime)
-			v.noteEra(name, batch)
-			take(batch)
+			v.recordEra(name, batch)
+			apply(batch)
 		}
-		go feed.New(source, name, timing, heard, v.health).Run(ctx)
+		go feed.New(source, name, timing, receive, v.handleFeedResult).Run(ctx)
 	}
-	start(RosterTable, v.rosterPause, v.takeRoster)
+	startFeed(RosterTable, v.rosterPause, v.applyRoster)
 	if firstStart {
-		pause.For(ctx, relaysFound)
+		pause.For(ctx, relayDiscoveryTime)
 	}
 	v.awaitRoster(ctx)
-	start(tables.Configuration, func() time.Duration { return 0 }, v.takeConfiguration)
-	start(tables.Endpoints, either(relayPause, endpointPause), v.endpoints.Apply)
+	startFeed(tables.Configuration, func() time.Duration { return 0 }, v.applyConfiguration)
+	startFeed(tables.Endpoints, byRole(relayPause, endpointPause), v.endpoints.Apply)
 }
 
-// FollowTable follows another table until ctx ends, at the pace of the endpoints'.
-func (v *View) FollowTable(ctx context.Context, source feed.Source, name string, take feed.Take) {
-	either := func(relay, other time.Duration) func() time.Duration {
+// FollowTable follows another table with the timing of the endpoints' feed until ctx is done.
+func (v *View) FollowTable(ctx context.Context, source feed.Source, name string, apply feed.Take) {
+	byRole := func(relay, other time.Duration) func() time.Duration {
 		return func() time.Duration {
 			if v.IsRelay() {
 				return relay
@@ -200,71 +205,75 @@
 			return other
 		}
 	}
-	timing := feed.Timing{Wait: either(relayWait, feedWait), Pause: either(relayPause, endpointPause), Retry: feedRetry}
-	feed.New(source, name, timing, take, v.health).Run(ctx)
+	timing := feed.Timing{Wait: byRole(relayWait, feedWait), Pause: byRole(relayPause, endpointPause), Retry: feedRetry}
+	feed.New(source, name, timing, apply, v.handleFeedResult).Run(ctx)
 }
 
-// rosterPause grows with the fleet, as the rows' number does. In a fleet with levels only
-// its core writes rows again and again; its relays, which are of the core, find each other
-// by them where all of the core before is gone.
+// rosterPause returns the pause between reads of the rows of hosts. It increases with the
+// size of the fleet and so with the number of rows. In a hierarchical fleet only the hosts of
+// the core write their rows repeatedly. The relays belong to the core and discover each other
+// through these rows if all earlier hosts of the core are gone.
 func (v *View) rosterPause() time.Duration {
 	if v.roster.IsHierarchical() && v.IsRelay() {
-		return coreRowsPause
+		return coreRosterPause
 	}
 	return roster.ScaleInterval(rosterPause, v.roster.Sharing())
 }
 
-// Directory returns the endpoints as they are known.
+// Directory returns the directory of known endpoints.
 func (v *View) Directory() *endpoint.Directory { return v.directory }
 
-// RouteTables returns the configuration in force.
-func (v *View) RouteTables() *routetable.Holder { return v.tables }
+// RouteTables returns the holder of the current configuration.
+func (v *View) RouteTables() *routetable.Holder { return v.routeTables }
 
-// EndpointSyncer returns the rows of endpoints.
+// EndpointSyncer returns the syncer that applies the rows of endpoints to the directory.
 func (v *View) EndpointSyncer() *discovery.Syncer { return v.endpoints }
 
-// StoreEra returns the highest store era received, 0 if none.
+// StoreEra returns the highest store era received, or 0 if none.
 func (v *View) StoreEra() int64 { return v.storeEra.Load() }
 
-// Roster returns the hosts.
+// Roster returns the roster of hosts.
 func (v *View) Roster() *roster.Roster { return v.roster }
 
-// RecordCallResult writes a line when a call to the store, given by a name, begins to fail and when it
-// succeeds again; a nil err is a success.
-func (v *View) RecordCallResult(name string, err error) { v.lost.note(v.log, name, err, v.clock.Now()) }
+// RecordCallResult records the result of the named call to the store; a nil err is a success. It
+// logs a line when the call begins to fail and when it succeeds again.
+func (v *View) RecordCallResult(name string, err error) {
+	v.outages.record(v.log, name, err, v.clock.Now())
+}
 
-// health notes a dependency that is lost or regained. A history that is gone is
-// an answer: the rows are read anew, and nothing had to lapse for it.
-func (v *View) health(table string, err error) {
+// handleFeedResult records the result of a feed's call. feed.ErrHistoryGone does not count as a
+// failure: the store has answered, and the feed reads a new snapshot without any rows having
+// expired.
+func (v *View) handleFeedResult(table string, err error) {
 	if errors.Is(err, feed.ErrHistoryGone) {
 		v.log.Info().Str("feed", table).Err(err).Msg("history no longer available, reading a new snapshot")
 		return
 	}
 	if table == v.decoder.Tables().Endpoints {
-		v.noteContact(err)
+		v.updateReachability(err)
 	}
 	v.RecordCallResult(table, err)
 }
 
-// noteContact keeps since when the endpoints' feed has not failed.
-func (v *View) noteContact(err error) {
+// updateReachability updates reachableSince and lastAnswer for a result of the endpoints' feed.
+func (v *View) updateReachability(err error) {
 	if err != nil {
-		v.inTouchSince.Store(0)
+		v.reachableSince.Store(0)
 		v.endpoints.MarkStoreUnavailable()
 		return
 	}
 	now := max(int64(v.clock.Running()), 1)
-	v.heardAt.Store(now)
-	v.inTouchSince.CompareAndSwap(0, now)
+	v.lastAnswer.Store(now)
+	v.reachableSince.CompareAndSwap(0, now)
 }
 
-func (v *View) takeConfiguration(batch feed.Batch) {
-	v.tables.Confirm()
-	first := !v.configured
-	v.configured = true
+func (v *View) applyConfiguration(batch feed.Batch) {
+	v.routeTables.Confirm()
+	first := !v.configurationRead
+	v.configurationRead = true
 	for _, row := range batch.Rows {
 		if strings.HasPrefix(row.Key, v.decoder.Tables().OrderPrefix) {
-			v.takeOrder(row, first)
+			v.applyOrder(row, first)
 			continue
 		}
 		if row.Key != v.decoder.Tables().ConfigurationKey || row.Deleted {
@@ -272,18 +281,18 @@
 		}
 		spec, err := v.decoder.DecodeConfiguration(row.Value)
 		if err != nil {
-			v.log.Error().Err(err).Int64("row", row.Version).Msg("configuration not taken")
+			v.log.Error().Err(err).Int64("row", row.Version).Msg("failed to decode configuration")
 			continue
 		}
-		if v.tables.Adopt(spec) {
+		if v.routeTables.Adopt(spec) {
 			v.log.Info().Int64("version", spec.Version).Int64("row", row.Version).Int("routes", len(spec.Routes)).Int("teams", len(spec.Teams)).Msg("configuration in force")
 		}
 	}
 }
 
-// noteEra records the highest store era received, and logs it when it is first received and after each
-// restore.
-func (v *View) noteEra(table string, batch feed.Batch) {
+// recordEra records the highest store era received. It logs the era when it is first received and after
+// each restore.
+func (v *View) recordEra(table string, batch feed.Batch) {
 	era := storeversion.Era(batch.Version)
 	for previous := v.storeEra.Load(); era > previous; previous = v.storeEra.Load() {
 		if v.storeEra.CompareAndSwap(previous, era) {
@@ -293,16 +302,16 @@
 	}
 }
 
-// takeOrder applies an operator's order of a roll-out. first says that this process has just
-// started: it may be an old one.
-func (v *View) takeOrder(row feed.Row, first bool) {
+// applyOrder applies an operator's roll-out order. first is set if the row is from the first
+// read after the start of this process, so that the order may be an old one.
+func (v *View) applyOrder(row feed.Row, first bool) {
 	if row.Deleted {
-		v.log.Info().Str("row", row.Key).Msg("order of a roll-out removed: it goes on as it was given")
+		v.log.Info().Str("row", row.Key).Msg("row of a roll-out order deleted, the roll-out continues as ordered")
 		return
 	}
 	order, err := v.decoder.DecodeOrder(row.Value, row.Version)
 	if err != nil {
-		v.log.Error().Err(err).Int64("row", row.Version).Msg("order of a roll-out not taken")
+		v.log.Error().Err(err).Int64("row", row.Version).Msg("failed to decode roll-out order")
 		return
 	}
 	if v.rollouts.AddOrder(order, first) {
@@ -311,23 +320,23 @@
 	}
 }
 
-func (v *View) takeRoster(batch feed.Batch) {
+func (v *View) applyRoster(batch feed.Batch) {
 	now := v.clock.Now()
 	v.roster.NoteStoreResponse(now)
-	if !v.rowsRead {
-		v.rowsRead = true
-		v.idle.Store(int64(idleBefore(batch)))
+	if !v.rosterRead {
+		v.rosterRead = true
+		v.idleBeforeStart.Store(int64(idleTime(batch)))
 	}
-	named := map[string]bool{v.self: true}
+	present := map[string]bool{v.self: true}
 	for _, stored := range batch.Rows {
 		if stored.Deleted {
 			v.roster.Remove(stored.Key)
 			continue
 		}
-		named[stored.Key] = true
+		present[stored.Key] = true
 		row, err := roster.Decode(stored.Key, stored.Value)
 		if err != nil {
-			v.log.Error().Err(err).Msg("host's row not taken")
+			v.log.Error().Err(err).Msg("failed to decode host row")
 			continue
 		}
 		if row.WrittenAt > 0 {
@@ -336,36 +345,36 @@
 		v.roster.Merge(row, now)
 	}
 	if batch.Full {
-		v.roster.Retain(func(incarnation string) bool { return named[incarnation] })
+		v.roster.Retain(func(incarnation string) bool { return present[incarnation] })
 	}
 }
 
-// Parameters of what the hosts' rows show at a start.
+// Parameters of the computation of idleBeforeStart.
 const (
-	// youngTime is how old processes are at most that may have begun together with this
-	// one: what they wrote does not show that any lived before.
-	youngTime = 3 * time.Second
-	// leastWriters is how many hosts must have written within a row's time before the
-	// last write: then one of them would have written since if it lived.
-	leastWriters = 4
-	writersTime  = 3 * time.Second
-	// leastIdle is how long none must have written for all to have ended: of four that
-	// write every 1.5 s, in turn by chance, all are silent that long once in 81 times.
-	leastIdle = time.Second
-	// idleMargin is how long after the last row the last host may have lived.
+	// recentStart is the maximum age of a process that may have started together with this
+	// one. Rows of such processes are ignored, as they do not show that a host served before.
+	recentStart = 3 * time.Second
+	// minWriters is how many hosts must have written within writerWindow before the last
+	// write. With that many, one of them would have written since if it were still alive.
+	minWriters   = 4
+	writerWindow = 3 * time.Second
+	// minIdle is the minimum time without a write after which all hosts count as stopped. Four
+	// hosts that write every 1.5 s, at random phases, are all silent that long in 1 of 81 cases.
+	minIdle = time.Second
+	// idleMargin is how long after the last write the last host may still have been alive.
 	idleMargin = 500 * time.Millisecond
 )
 
-// IdleBeforeStart is how long no host served before this process began, as the rows showed
-// that it read first; 0 unless all had ended.
-func (v *View) IdleBeforeStart() time.Duration { return time.Duration(v.idle.Load()) }
+// IdleBeforeStart returns how long no host had served before this process started, computed
+// from its first read of the rows of hosts. It is 0 unless all hosts had stopped.
+func (v *View) IdleBeforeStart() time.Duration { return time.Duration(v.idleBeforeStart.Load()) }
 
-// idleBefore works out how long no host had served when the rows were read.
-func idleBefore(batch feed.Batch) time.Duration {
+// idleTime computes from the rows of hosts how long no host had served when they were read.
+func idleTime(batch feed.Batch) time.Duration {
 	var written []time.Duration
 	for _, stored := range batch.Rows {
 		row, err := roster.Decode(stored.Key, stored.Value)
-		if err == nil && !stored.Deleted && row.WrittenAt > 0 && batch.StoreTime-row.StartedAt > youngTime {
+		if err == nil && !stored.Deleted && row.WrittenAt > 0 && batch.StoreTime-row.StartedAt > recentStart {
 			written = append(written, row.WrittenAt)
 		}
 	}
@@ -374,16 +383,17 @@
 	}
 	slices.Sort(written)
 	last := written[len(written)-1]
-	recent := slices.IndexFunc(written, func(at time.Duration) bool { return last-at <= writersTime })
+	recent := slices.IndexFunc(written, func(at time.Duration) bool { return last-at <= writerWindow })
 	idle := batch.StoreTime - last
-	if len(written)-recent < leastWriters || idle < leastIdle {
+	if len(written)-recent < minWriters || idle < minIdle {
 		return 0
 	}
 	return idle - idleMargin
 }
 
-// Ready reports whether all that is needed to serve is known.
+// Ready reports whether the configuration, the endpoints and the hosts are known, all of
+// which are needed to serve.
 func (v *View) Ready() bool {
-	table, _ := v.tables.Current()
+	table, _ := v.routeTables.Current()
 	return table != nil && v.endpoints.Loaded() && v.roster.Loaded()
 }
