--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -43,7 +43,7 @@
 		if has != held {
 			held = has
 			n.log.Info().Bool("held", held).Msg("lease of the duties")
-			n.orderer.Forget()
+			n.orderer.Reset()
 		}
 		if held {
 			n.doDuties(ctx)
@@ -76,7 +76,7 @@
 	for ctx.Err() == nil {
 		_, held := n.leases.Held(dutyShard)
 		if held || n.standsBy() && n.mustLook() {
-			n.leases.Step(ctx, map[lease.Shard]lease.Wish{dutyShard: lease.Wanted})
+			n.leases.Step(ctx, map[lease.Shard]lease.Intent{dutyShard: lease.Acquire})
 		}
 		pause.For(ctx, n.settings.Lease/renewals)
 	}
@@ -85,7 +85,7 @@
 // mustLook reports whether the holder of the lease is not heard, or has not
 // renewed it for its duration: it may have lost the store.
 func (n *node) mustLook() bool {
-	return n.leases.MayHaveLapsed(dutyShard) || !n.view.Roster().DutiesHeld(string(n.incarnation), holderHeard, n.clock.Now())
+	return n.leases.MayHaveExpired(dutyShard) || !n.view.Roster().DutiesHeld(string(n.incarnation), holderHeard, n.clock.Now())
 }
 
 // standsBy reports whether this host is among those that watch the lease.
@@ -117,7 +117,7 @@
 var errLeaseEnds = errors.New("too little is left of the lease")
 
 func (d *dutyCloud) within(ctx context.Context) (context.Context, context.CancelFunc, error) {
-	left := d.leases.Left(dutyShard)
+	left := d.leases.Remaining(dutyShard)
 	if left < leastLeft {
 		return nil, nil, errLeaseEnds
 	}
@@ -146,15 +146,15 @@
 }
 
 func (n *node) orderEndpoints(ctx context.Context, held func() (lease.Grant, bool)) {
-	current, _ := n.view.Tables().Current()
-	if current == nil || !n.view.Endpoints().Loaded() {
+	current, _ := n.view.RouteTables().Current()
+	if current == nil || !n.view.EndpointSyncer().Loaded() {
 		return
 	}
-	serving := map[autoscale.Place]int{}
+	serving := map[autoscale.Pool]int{}
 	now := n.clock.Now()
 	for _, info := range n.view.Directory().View().Infos() {
 		if info.State == endpoint.Live && n.rollouts.CountsTowardCapacity(&info, now) {
-			serving[autoscale.Place{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
+			serving[autoscale.Pool{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
 		}
 	}
 	works := n.view.Roster().Demands(now)
@@ -167,18 +167,18 @@
 			continue
 		}
 		supply := func(dataCenter string, reclaimable bool) (int, int) {
-			place := autoscale.Place{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
-			return serving[place], n.orderer.Soon(place, serving[place], service.Scaling.Boot, now)
+			place := autoscale.Pool{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
+			return serving[place], n.orderer.Booting(place, serving[place], service.Scaling.Boot, now)
 		}
-		demand := n.traffic.Demand(service.Name, works[service.Name], now)
-		demand.Most = most
+		demand := n.traffic.Observe(service.Name, works[service.Name], now)
+		demand.MaxLoad = most
 		orders, _ := autoscale.Plan(service, demand, supply)
 		n.noteReplaced(service.Name)
 		if n.rollouts.InProgress(service.Name) {
 			keepAll(orders, service.Scaling.Most)
 		}
-		count := func(p autoscale.Place) int { return serving[p] }
-		n.orderer.Step(ctx, orders, count, service.Scaling.Boot, now, held)
+		count := func(p autoscale.Pool) int { return serving[p] }
+		n.orderer.Reconcile(ctx, orders, count, service.Scaling.Boot, now, held)
 	}
 }
 
@@ -187,7 +187,7 @@
 func (n *node) noteReplaced(service string) {
 	if order := n.rollouts.CompletedOrder(service); order != n.replaced[service] {
 		n.replaced[service] = order
-		n.orderer.ForgetService(service)
+		n.orderer.ResetService(service)
 	}
 }
 
@@ -195,7 +195,7 @@
 // the version before must carry all requests until it is decided.
 func keepAll(orders []autoscale.Order, most int) {
 	for i := range orders {
-		orders[i].Keep = most
+		orders[i].Retain = most
 	}
 }
 
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -35,8 +35,8 @@
 	manager := newLeases(writer, incarnation, settings)
 	nodeDutyCloud := newDutyCloud(platform, nodeStoreClient, settings, manager)
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
-	orderer := newOrderer(nodeDutyCloud, logger)
-	traffic := autoscale.NewTraffic()
+	reconciler := newOrderer(nodeDutyCloud, logger)
+	demandTracker := autoscale.NewDemandTracker()
 	windowBudget := newBudget(settings)
 	watch := newWatch(registry, logger)
 	tracker := newNotices(view, router, logger)
@@ -66,9 +66,9 @@
 		pool:        pool,
 		counter:     counter,
 		reporter:    reporter,
-		orderer:     orderer,
+		orderer:     reconciler,
 		leases:      manager,
-		traffic:     traffic,
+		traffic:     demandTracker,
 		forwarder:   forwarder,
 		registry:    registry,
 		row:         nodeOwnRow,
--- a/pkg/route/route_test.go
+++ b/pkg/route/route_test.go
@@ -155,8 +155,8 @@
 // must go to another data centre.
 func TestLongWorkAvoidsReclaimRisk(t *testing.T) {
 	r, _, estimator := newRouter(8)
-	estimator.SetHosts(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
-	estimator.Reclaimed(hazard.Place{DataCenter: "dc0", Class: "c"}, 2, now)
+	estimator.SetHosts(hazard.Pool{DataCenter: "dc0", Class: "c"}, 2, now)
+	estimator.RecordReclaim(hazard.Pool{DataCenter: "dc0", Class: "c"}, 2, now)
 	q := query()
 	q.AnswerTokens = 3000
 	q.RiskWeight = 4
