--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -10,7 +10,7 @@
 
 // ownWorks is the engine time asked for here, of services whose size follows it.
 func (n *node) ownWorks(now time.Time) []roster.Demand {
-	current, _ := n.view.Tables().Current()
+	current, _ := n.view.RouteTables().Current()
 	if current == nil {
 		return nil
 	}
@@ -28,8 +28,8 @@
 	now := n.clock.Now()
 	return gossip.Update{
 		Status: roster.Status{
-			Host: n.host(), Loads: n.loads.LocalLoads(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.InTouch(),
-			LeaseVersion: n.leases.Version(dutyShard),
+			Host: n.host(), Loads: n.loads.LocalLoads(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.StoreReachableFor(),
+			LeaseVersion: n.leases.RowVersion(dutyShard),
 		},
 		TeamUsage:  n.limits.LocalUsage(now),
 		Placements: n.router.DrainPlacements(),
@@ -74,7 +74,7 @@
 	n.limits.ApplyPeer(update.Incarnation, update.TeamUsage, now)
 	n.loads.ApplyPlacements(update.Placements)
 	if update.LeaseVersion > 0 {
-		n.leases.Observed(dutyShard, update.LeaseVersion)
+		n.leases.ObserveVersion(dutyShard, update.LeaseVersion)
 	}
 }
 
@@ -83,7 +83,7 @@
 	return gossip.Update{
 		Status:     roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loads.LocalLoadsAt(endpoints)},
 		Placements: n.router.DrainPlacements(),
-		Notices:    n.notices.ReportsOf(endpoints, n.clock.Now()),
+		Notices:    n.notices.ReportsFor(endpoints, n.clock.Now()),
 	}
 }
 
@@ -105,7 +105,7 @@
 		return
 	}
 	sum := 0
-	for _, begun := range members.StartedRequests(n.counter.Running() - 1) {
+	for _, begun := range members.StartedRequests(n.counter.CurrentWindow() - 1) {
 		sum += begun
 	}
 	members.SetRequestRate(float64(sum) / n.settings.UsageWindow.Seconds())
@@ -121,7 +121,7 @@
 	}
 	n.countRequests()
 	n.view.Roster().Prune(rowKept)
-	n.view.Endpoints().Expire()
+	n.view.EndpointSyncer().Expire()
 	n.surveySuspects(now)
 	n.noteSuspension()
 	n.noteRole()
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -79,7 +79,7 @@
 // newCopy passes on rows of endpoints only where something of them has changed that
 // is decoded: their heartbeats tell nothing but that they live, and a row that is not
 // renewed is removed by the store.
-func newCopy(platform Platform, clock *storeclock.Clock) *relay.Copy {
+func newCopy(platform Platform, clock *storeclock.Clock) *relay.Replica {
 	endpoints := platform.Tables().Endpoints
 	says := func(table string, before, now []byte) bool {
 		if table != endpoints {
@@ -93,7 +93,7 @@
 		}
 		return held != heard
 	}
-	return relay.NewCopy(clock.Now, says)
+	return relay.NewReplica(clock.Now, says)
 }
 
 func newHome(s Settings) route.Location {
@@ -107,7 +107,7 @@
 ) *rolloutsync.Coordinator {
 	held := func() (lease.Grant, time.Duration, bool) {
 		grant, ok := leases.Held(dutyShard)
-		return grant, leases.Left(dutyShard), ok
+		return grant, leases.Remaining(dutyShard), ok
 	}
 	fleet := func(order rollout.Order) rollout.Fleet { return rolloutFleet(view, order) }
 	return rolloutsync.NewCoordinator(rollouts, rollout.DefaultBayesTest(), writer, platform, fleet, clock, held, logger)
@@ -150,7 +150,7 @@
 }
 
 func newLeases(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
-	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, Renew: s.Lease / renewals}, steady.Now)
+	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, RenewInterval: s.Lease / renewals}, steady.Now)
 }
 
 func newDutyCloud(platform Platform, client storeClient, s Settings, leases *lease.Manager) *dutyCloud {
@@ -161,8 +161,8 @@
 	return usage.NewReporter(counter, view.Roster(), writer, cloud, view.StoreEra, logger)
 }
 
-func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Orderer {
-	return autoscale.NewOrderer(cloud, logger)
+func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Reconciler {
+	return autoscale.NewReconciler(cloud, logger)
 }
 
 func newBudget(s Settings) *retry.WindowBudget {
@@ -181,12 +181,12 @@
 	return watchdog.New(registry, logger)
 }
 
-func newNotices(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Board {
+func newNotices(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Tracker {
 	return notice.New(view.Directory(), router, logger)
 }
 
 func newForwarder(platform Platform, view *storeview.View, home route.Location, router *route.Router, limits *limit.CostLimiter, budget *retry.WindowBudget,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Tracker, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// What is known once stays known.
 	var ready atomic.Bool
@@ -195,12 +195,12 @@
 			if !view.Ready() {
 				return forward.Starting
 			}
-			limits.FleetRestarted(view.IdleBefore())
+			limits.FleetRestarted(view.IdleBeforeStart())
 			ready.Store(true)
 		}
 		return life.phase()
 	}
-	return forward.New(platform.Protocol(), view.Tables(), router, limits, budget, pool, counter,
+	return forward.New(platform.Protocol(), view.RouteTables(), router, limits, budget, pool, counter,
 		fleet{view.Roster(), home.Node}, rollouts, watch, notices, phase, clock.Now, forward.NewMetrics(registry), logger)
 }
 
--- a/pkg/gossip/notices.go
+++ b/pkg/gossip/notices.go
@@ -30,10 +30,10 @@
 func (m *mapMessage) addNotices(list []notice.Report) {
 	for _, r := range list {
 		if r.LimitVersion > 0 {
-			m.Limits = append(m.Limits, wireLimit{Endpoint: r.Endpoint, Born: r.Born, Version: r.LimitVersion, PerSecond: float64(r.Notice.Limit)})
+			m.Limits = append(m.Limits, wireLimit{Endpoint: r.Endpoint, Born: r.StartedMS, Version: r.LimitVersion, PerSecond: float64(r.Notice.Limit)})
 			continue
 		}
-		m.Notices = append(m.Notices, wireNotice{Endpoint: r.Endpoint, Born: r.Born, Leaving: r.Notice.Leaving, BackoffMS: r.Notice.Backoff.Milliseconds()})
+		m.Notices = append(m.Notices, wireNotice{Endpoint: r.Endpoint, Born: r.StartedMS, Leaving: r.Notice.Leaving, BackoffMS: r.Notice.Backoff.Milliseconds()})
 	}
 }
 
@@ -43,14 +43,14 @@
 	var list []notice.Report
 	for _, w := range m.Notices {
 		backoff := endpoint.BackoffFromSeconds(float64(w.BackoffMS) / millisecondsPerSecond)
-		list = append(list, notice.Report{Endpoint: w.Endpoint, Born: w.Born, Notice: endpoint.Notice{Leaving: w.Leaving, Backoff: backoff}})
+		list = append(list, notice.Report{Endpoint: w.Endpoint, StartedMS: w.Born, Notice: endpoint.Notice{Leaving: w.Leaving, Backoff: backoff}})
 	}
 	for _, w := range m.Limits {
 		limit := endpoint.Limit(w.PerSecond)
 		if inRange := limit >= endpoint.MinLimit && limit <= endpoint.MaxLimit; w.Version == 0 || !inRange && limit != 0 {
 			continue
 		}
-		list = append(list, notice.Report{Endpoint: w.Endpoint, Born: w.Born, Notice: endpoint.Notice{Limit: limit}, LimitVersion: w.Version})
+		list = append(list, notice.Report{Endpoint: w.Endpoint, StartedMS: w.Born, Notice: endpoint.Notice{Limit: limit}, LimitVersion: w.Version})
 	}
 	return list
 }
--- a/pkg/gossip/shares_test.go
+++ b/pkg/gossip/shares_test.go
@@ -80,7 +80,7 @@
 }
 
 func (s *limitSharing) send(h *simHost) {
-	s.hosts[h] = s.hosts[h].With(advertisedNames(h), s.fleet.now)
+	s.hosts[h] = s.hosts[h].WithNames(advertisedNames(h), s.fleet.now)
 	for i, bucket := range s.buckets[h] {
 		for bucket.Allows(s.hosts[h], s.fleet.now) {
 			bucket.Take()
