--- a/pkg/soak/caller.go
+++ b/pkg/soak/caller.go
@@ -19,8 +19,8 @@
 // report collects what callers saw. It is safe for concurrent use.
 type report struct {
 	mu     sync.Mutex
-	served map[standin.Kind]int
-	failed map[standin.Kind]int
+	served map[standin.RequestKind]int
+	failed map[standin.RequestKind]int
 	// once are requests that may run once at most; promised those of them that
 	// were said not to have run.
 	once, promised []string
@@ -29,7 +29,7 @@
 }
 
 func newReport() *report {
-	return &report{served: map[standin.Kind]int{}, failed: map[standin.Kind]int{}}
+	return &report{served: map[standin.RequestKind]int{}, failed: map[standin.RequestKind]int{}}
 }
 
 func (r *report) wrong(format string, args ...any) {
@@ -38,7 +38,7 @@
 	r.broken = append(r.broken, fmt.Sprintf(format, args...))
 }
 
-func (r *report) count(kind standin.Kind, served bool) {
+func (r *report) count(kind standin.RequestKind, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if served {
@@ -104,7 +104,7 @@
 	callerTime = 6 * time.Second
 )
 
-var kinds = []standin.Kind{standin.Safe, standin.Once, standin.Once, standin.Stream, standin.Resume}
+var kinds = []standin.RequestKind{standin.Safe, standin.Once, standin.Once, standin.Stream, standin.Resume}
 
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -146,7 +146,7 @@
 }
 
 // ask sends one request and checks what comes back.
-func (c *caller) ask(kind standin.Kind, address string) {
+func (c *caller) ask(kind standin.RequestKind, address string) {
 	c.number++
 	id := fmt.Sprintf("%s-%s-%d", c.name, kind, c.number)
 	body := "body of " + id
@@ -164,7 +164,7 @@
 	defer cancel()
 	sent := time.Now()
 	response, err := c.client.Do(r.WithContext(ctx))
-	if time.Since(sent) > standin.Deadline+answerTime {
+	if time.Since(sent) > standin.RequestTimeout+answerTime {
 		c.report.late(unanswered{id, address, sent, time.Now()})
 	}
 	if err != nil {
@@ -185,19 +185,19 @@
 	}
 }
 
-func (c *caller) failure(kind standin.Kind, id string, status int) {
+func (c *caller) failure(kind standin.RequestKind, id string, status int) {
 	c.report.count(kind, false)
 	if status == http.StatusNotFound || status == http.StatusUnauthorized {
 		c.report.wrong("%s was answered %d although its route and key were there all the time", id, status)
 	}
-	if standin.IsPromise(status) && (kind == standin.Once || kind == standin.Stream) {
+	if standin.MeansNotRun(status) && (kind == standin.Once || kind == standin.Stream) {
 		c.report.mu.Lock()
 		defer c.report.mu.Unlock()
 		c.report.promised = append(c.report.promised, id)
 	}
 }
 
-func (c *caller) checkAnswer(kind standin.Kind, id, sent string, body io.Reader) bool {
+func (c *caller) checkAnswer(kind standin.RequestKind, id, sent string, body io.Reader) bool {
 	text, err := io.ReadAll(body)
 	if err != nil {
 		return false
@@ -205,7 +205,7 @@
 	if kind == standin.Safe {
 		sent = ""
 	}
-	if want := standin.Answer(id, sent); string(text) != want {
+	if want := standin.ResponseBody(id, sent); string(text) != want {
 		c.report.wrong("%s got %q, want %q", id, text, want)
 		return false
 	}
@@ -222,8 +222,8 @@
 		line, err := reader.ReadString('\n')
 		event.WriteString(line)
 		if err == io.EOF && event.Len() == 0 {
-			if number <= standin.Events(id) {
-				c.report.wrong("the stream of %s ended as whole after %d of %d events", id, number-1, standin.Events(id))
+			if number <= standin.EventCount(id) {
+				c.report.wrong("the stream of %s ended as whole after %d of %d events", id, number-1, standin.EventCount(id))
 				return false
 			}
 			return true
--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -15,7 +15,7 @@
 // Crashing is a request that ends each endpoint that runs it and comes again, with new
 // ids, at any host.
 type Crashing struct {
-	Kind standin.Kind
+	Kind standin.RequestKind
 	// Every is the time between two tries, Lasting how long they come.
 	Every, Lasting time.Duration
 	// KillAll kills all hosts at once when half of that is over.
@@ -68,7 +68,7 @@
 // numbers of their own: the other faults of a seed stay.
 func drawCrashing(o Options) (requests []Crashing, after []time.Duration) {
 	random := rand.New(rand.NewPCG(o.Seed, crashingStream))
-	kinds := []standin.Kind{standin.Safe, standin.Once, standin.Stream, standin.Resume}
+	kinds := []standin.RequestKind{standin.Safe, standin.Once, standin.Stream, standin.Resume}
 	for range random.IntN(mostCrashing + 1) {
 		every := 200*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
 		requests = append(requests, Crashing{Kind: kinds[random.IntN(len(kinds))], Every: every, Lasting: o.Length + recovery + calm})
@@ -104,7 +104,7 @@
 	const mostLate = 3
 	requests, _ := drawCrashing(r.options)
 	for i := range requests {
-		ended := r.ledger.Crashing(crashingBody(i))
+		ended := r.ledger.CrashTimes(crashingBody(i))
 		late := 0
 		for _, at := range ended {
 			if at.After(since) {
@@ -117,7 +117,7 @@
 	}
 }
 
-func crashingBody(number int) string { return fmt.Sprintf("%s%d", standin.CrashingBody, number) }
+func crashingBody(number int) string { return fmt.Sprintf("%s%d", standin.CrashBodyPrefix, number) }
 
 // sendCrashing sends one crashing request's tries.
 func (r *run) sendCrashing(ctx context.Context, number int, c Crashing) CrashingOutcome {
@@ -149,10 +149,10 @@
 		r.wait(ctx, c.Every/2+time.Duration(random.Int64N(int64(c.Every))))
 	}
 	tries.Wait()
-	ended := r.ledger.Crashing(body)
+	ended := r.ledger.CrashTimes(body)
 	outcome.Ended = len(ended)
 	for _, at := range ended {
-		if len(ended) > heldAfter && at.Sub(ended[heldAfter-1]) > contactTime+standin.CrashTime {
+		if len(ended) > heldAfter && at.Sub(ended[heldAfter-1]) > contactTime+standin.CrashDelay {
 			outcome.Late++
 		}
 	}
@@ -161,7 +161,7 @@
 }
 
 // tryCrashing sends one try and reports whether it was refused as not run.
-func (r *run) tryCrashing(client *http.Client, kind standin.Kind, address, id, body string) bool {
+func (r *run) tryCrashing(client *http.Client, kind standin.RequestKind, address, id, body string) bool {
 	request, err := standin.NewRequest(address, standin.Once, id, body)
 	if err != nil {
 		r.report.wrong("%s: %v", id, err)
@@ -174,10 +174,10 @@
 		return false
 	}
 	defer func() { _ = response.Body.Close() }()
-	if standin.IsPromise(response.StatusCode) && r.ledger.Runs(id) > 0 {
+	if standin.MeansNotRun(response.StatusCode) && r.ledger.Runs(id) > 0 {
 		r.report.wrong("%s was said not to have run, and ran", id)
 	}
-	return standin.IsPromise(response.StatusCode)
+	return standin.MeansNotRun(response.StatusCode)
 }
 
 // killAll kills all hosts' processes at once; they are started again.
--- a/pkg/soak/fault.go
+++ b/pkg/soak/fault.go
@@ -37,7 +37,7 @@
 
 // storeTrouble makes the store down, slow or lossy for all.
 type storeTrouble struct {
-	trouble standin.Trouble
+	trouble standin.StoreFaults
 	lasting time.Duration
 }
 
@@ -78,7 +78,7 @@
 	case 5:
 		return harmEndpoint{random.IntN(endpoints), harm, lasting}
 	case 6:
-		troubles := []standin.Trouble{{Down: true}, {Slow: 200 * time.Millisecond}, {LoseWrites: 0.4}}
+		troubles := []standin.StoreFaults{{Down: true}, {Slow: 200 * time.Millisecond}, {LoseWrites: 0.4}}
 		return storeTrouble{troubles[random.IntN(len(troubles))], lasting}
 	case 7:
 		return leave{random.IntN(endpoints)}
@@ -113,14 +113,14 @@
 		r.later(f.lasting, func() { p.Set(Pass) })
 	case storeTrouble:
 		r.harmAll(f.lasting + traces)
-		r.store.SetTrouble(f.trouble)
-		r.later(f.lasting, func() { r.store.SetTrouble(standin.Trouble{}) })
+		r.store.SetFaults(f.trouble)
+		r.later(f.lasting, func() { r.store.SetFaults(standin.StoreFaults{}) })
 	case forget:
-		r.store.Forget()
+		r.store.DropHistory()
 	case leave:
-		r.replace(f.endpoint, func(e *standin.Endpoint) { e.Leave(serveOn) })
+		r.replace(f.endpoint, func(e *standin.Endpoint) { e.Drain(serveOn) })
 	case crash:
-		r.replace(f.endpoint, (*standin.Endpoint).Crash)
+		r.replace(f.endpoint, (*standin.Endpoint).Stop)
 	case reconfigure:
 		r.reconfigure()
 	}
--- a/pkg/soak/limits.go
+++ b/pkg/soak/limits.go
@@ -13,7 +13,7 @@
 
 // LimitsOutcome is what endpoints that named limits received.
 type LimitsOutcome struct {
-	Limited []standin.Limited
+	Limited []standin.AdvertisedLimit
 	// After is how many requests the endpoint that withdrew its limit served in the end.
 	After int
 	// Served and Failed are of requests sent while limits were named.
@@ -34,24 +34,24 @@
 	limited := []*standin.Endpoint{r.endpoints[0], r.endpoints[plainEndpoints]}
 	for _, perSecond := range []float64{4, 1, 8} {
 		r.log("an endpoint of each service names a limit of %v a second", perSecond)
-		r.store.SetTrouble(standin.Trouble{Down: perSecond == 8})
+		r.store.SetFaults(standin.StoreFaults{Down: perSecond == 8})
 		for _, e := range limited {
-			e.Limit(perSecond)
+			e.AdvertiseLimit(perSecond)
 		}
 		r.wait(ctx, limitHeld)
 	}
-	r.store.SetTrouble(standin.Trouble{})
+	r.store.SetFaults(standin.StoreFaults{})
 	served, failed := r.report.totals()
 	for _, e := range limited {
-		e.Limit(0)
+		e.AdvertiseLimit(0)
 	}
 	r.wait(ctx, recovery)
-	before := r.ledger.Arrived(limited[0].ID())
+	before := r.ledger.ArrivalCount(limited[0].ID())
 	r.wait(ctx, calm)
-	after := r.ledger.Arrived(limited[0].ID()) - before
+	after := r.ledger.ArrivalCount(limited[0].ID()) - before
 	stopCallers()
 	r.checkRuns()
-	return r.outcome(), LimitsOutcome{r.ledger.Limited(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
+	return r.outcome(), LimitsOutcome{r.ledger.AdvertisedLimits(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
 }
 
 // limitsRequests has an endpoint name a limit.
@@ -90,8 +90,8 @@
 			r.mu.Lock()
 			e := r.endpoints[f.endpoint]
 			r.mu.Unlock()
-			e.Limit(f.perSecond)
-			time.AfterFunc(f.lasting, func() { e.Limit(0) })
+			e.AdvertiseLimit(f.perSecond)
+			time.AfterFunc(f.lasting, func() { e.AdvertiseLimit(0) })
 		})
 	}
 }
@@ -99,8 +99,8 @@
 // checkLimits checks that no endpoint got more than the limit that it named allows, but for
 // times after a host was stopped, which has to be told again.
 func (r *run) checkLimits() {
-	for _, l := range r.ledger.Limited() {
-		came, allowed := l.MostBut(func(from, to time.Time) bool { return r.anyStopped(from, to) })
+	for _, l := range r.ledger.AdvertisedLimits() {
+		came, allowed := l.MaxArrivalsExcept(func(from, to time.Time) bool { return r.anyStopped(from, to) })
 		if came > allowed {
 			r.report.wrong("%s named a limit of %.2f a second and got %d requests in a window, %d allowed", l.Endpoint, l.Limit, came, allowed)
 		}
--- a/pkg/soak/limits_test.go
+++ b/pkg/soak/limits_test.go
@@ -22,7 +22,7 @@
 		t.Errorf("limits named: got %d, want %d", got, want)
 	}
 	for _, l := range limits.Limited {
-		came, allowed := l.Most()
+		came, allowed := l.MaxArrivals()
 		if came > allowed {
 			t.Errorf("%s named %v a second: got %d requests in 4 s, want %d at most", l.Endpoint, l.Limit, came, allowed)
 		}
--- a/pkg/soak/notices.go
+++ b/pkg/soak/notices.go
@@ -47,7 +47,7 @@
 	notices.Served, notices.Failed = r.turnAway(ctx)
 	stopCallers()
 	r.checkRuns()
-	notices.Unheard = len(r.ledger.Unheard())
+	notices.Unheard = len(r.ledger.LateAfterNotice())
 	notices.Backoffs = r.ledger.Backoffs()
 	return r.outcome(), notices, ctx.Err()
 }
@@ -56,11 +56,11 @@
 func (r *run) leaveUnwritten(ctx context.Context) {
 	r.log("the store is away; an endpoint of each service leaves")
 	r.harmAll(noticeServeOn + traces)
-	r.store.SetTrouble(standin.Trouble{Down: true})
-	r.endpoints[0].Leave(noticeServeOn)
-	r.endpoints[plainEndpoints].Leave(noticeServeOn)
+	r.store.SetFaults(standin.StoreFaults{Down: true})
+	r.endpoints[0].Drain(noticeServeOn)
+	r.endpoints[plainEndpoints].Drain(noticeServeOn)
 	r.wait(ctx, noticeServeOn)
-	r.store.SetTrouble(standin.Trouble{})
+	r.store.SetFaults(standin.StoreFaults{})
 }
 
 // turnAway has another endpoint of each service turn requests away and returns what
@@ -68,8 +68,8 @@
 func (r *run) turnAway(ctx context.Context) (served, failed int) {
 	r.log("an endpoint of each service turns requests away")
 	servedBefore, failedBefore := r.report.totals()
-	r.endpoints[1].TurnAway(turnAway, noticeBackoff)
-	r.endpoints[plainEndpoints+1].TurnAway(turnAway, noticeBackoff)
+	r.endpoints[1].RejectRequests(turnAway, noticeBackoff)
+	r.endpoints[plainEndpoints+1].RejectRequests(turnAway, noticeBackoff)
 	r.wait(ctx, turnAway+noticeBackoff)
 	served, failed = r.report.totals()
 	return served - servedBefore, failed - failedBefore
@@ -111,7 +111,7 @@
 			r.mu.Lock()
 			e := r.endpoints[f.endpoint]
 			r.mu.Unlock()
-			e.TurnAway(f.lasting, f.backoff)
+			e.RejectRequests(f.lasting, f.backoff)
 		})
 	}
 }
@@ -119,14 +119,14 @@
 // checkNotices checks that what endpoints said in answers was kept by all hosts, but for
 // what a host forgot that was stopped since.
 func (r *run) checkNotices() {
-	for _, late := range r.ledger.Unheard() {
+	for _, late := range r.ledger.LateAfterNotice() {
 		if !r.anyStopped(late.At.Add(-late.After), late.At) {
 			r.report.wrong("%s came to an endpoint %v after an answer had said that it leaves", late.Request, late.After)
 		}
 	}
 	for _, backoff := range r.ledger.Backoffs() {
-		if most := 2 * len(r.nodes); backoff.Came > most && !r.anyStopped(backoff.Asked, backoff.Ends) {
-			r.report.wrong("%s had asked for a backoff of %v and got %d requests from %d hosts", backoff.Endpoint, backoff.Ends.Sub(backoff.Asked), backoff.Came, len(r.nodes))
+		if most := 2 * len(r.nodes); backoff.Requests > most && !r.anyStopped(backoff.Start, backoff.End) {
+			r.report.wrong("%s had asked for a backoff of %v and got %d requests from %d hosts", backoff.Endpoint, backoff.End.Sub(backoff.Start), backoff.Requests, len(r.nodes))
 		}
 	}
 }
--- a/pkg/soak/notices_test.go
+++ b/pkg/soak/notices_test.go
@@ -27,8 +27,8 @@
 	}
 	for _, backoff := range notices.Backoffs {
 		const most = 2 * hosts
-		if backoff.Came > most {
-			t.Errorf("%s asked for backoff and got %d requests in that time, want %d at most from %d hosts", backoff.Endpoint, backoff.Came, most, hosts)
+		if backoff.Requests > most {
+			t.Errorf("%s asked for backoff and got %d requests in that time, want %d at most from %d hosts", backoff.Endpoint, backoff.Requests, most, hosts)
 		}
 	}
 	if sent := notices.Served + notices.Failed; notices.Failed*20 > sent {
--- a/pkg/soak/process.go
+++ b/pkg/soak/process.go
@@ -19,7 +19,7 @@
 
 // node is one host: the same addresses over all its processes.
 type node struct {
-	file    standin.NodeFile
+	file    standin.NodeSettings
 	program string
 	folder  string
 	// store is the proxy between this host and the store.
@@ -66,9 +66,9 @@
 		return nil, err
 	}
 	n := &node{program: program, folder: folder, store: proxy}
-	n.file = standin.NodeFile{
+	n.file = standin.NodeSettings{
 		Name: fmt.Sprintf("node-%d", number), Store: proxy.Address(), Cloud: cloudAddress,
-		GraceS: int(grace / time.Second), LeaseMS: 3000, WindowS: 2, RetryWindow: 10,
+		GraceS: int(grace / time.Second), LeaseMS: 3000, ReportWindowS: 2, RetryWindowS: 10,
 	}
 	for _, address := range []*string{&n.file.Callers, &n.file.Ready, &n.file.Directory, &n.file.Admin} {
 		if *address, _, err = freePort(); err != nil {
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	path := filepath.Join(folder, n.file.Name+".toml")
-	return n, os.WriteFile(path, []byte(n.file.Settings()), 0o600)
+	return n, os.WriteFile(path, []byte(n.file.TOML()), 0o600)
 }
 
 // start starts a process, and another whenever it ends, until end.
@@ -94,7 +94,7 @@
 		return err
 	}
 	n.process = exec.Command(n.program)
-	n.process.Env = append(os.Environ(), platform.SettingsVariable+"="+filepath.Join(n.folder, n.file.Name+".toml"))
+	n.process.Env = append(os.Environ(), platform.SettingsPathVariable+"="+filepath.Join(n.folder, n.file.Name+".toml"))
 	n.process.Stdout, n.process.Stderr = log, log
 	n.done = make(chan struct{})
 	if err := n.process.Start(); err != nil {
--- a/pkg/soak/restores.go
+++ b/pkg/soak/restores.go
@@ -47,7 +47,7 @@
 	var restored RestoresOutcome
 	for i := range restores {
 		r.wait(ctx, noticeSettle)
-		backup := r.store.Copy()
+		backup := r.store.Backup()
 		r.wait(ctx, stepPause)
 		r.reconfigure()
 		r.wait(ctx, stepPause)
@@ -64,17 +64,17 @@
 
 // restore takes the store down, restores it from a backup, calls write, and keeps the store down for
 // the given outage.
-func (r *run) restore(ctx context.Context, backup standin.Copy, outage time.Duration, write func()) {
+func (r *run) restore(ctx context.Context, backup standin.Backup, outage time.Duration, write func()) {
 	before, _ := r.store.Version()
 	r.harmAll(stepPause + outage + traces)
-	r.store.SetTrouble(standin.Trouble{Down: true})
+	r.store.SetFaults(standin.StoreFaults{Down: true})
 	r.wait(ctx, stepPause)
 	r.store.Restore(backup)
 	write()
 	r.wait(ctx, outage)
 	after, era := r.store.Version()
 	r.log("store restored from a backup: era %d, version %d, %d before the restore", era, after, before)
-	r.store.SetTrouble(standin.Trouble{})
+	r.store.SetFaults(standin.StoreFaults{})
 }
 
 // reconfigure writes the next configuration to the store.
@@ -136,7 +136,7 @@
 		r.later(after, func() {
 			restoring.Lock()
 			defer restoring.Unlock()
-			backup := r.store.Copy()
+			backup := r.store.Backup()
 			r.wait(ctx, age)
 			r.restore(ctx, backup, 0, func() {})
 		})
--- a/pkg/soak/rollout.go
+++ b/pkg/soak/rollout.go
@@ -85,7 +85,7 @@
 // version in use.
 func (r *run) rollout(ctx context.Context, order Rollout, running *string) (RolloutOutcome, error) {
 	service := standin.PlainService
-	before := r.ledger.OfVersion(*running)
+	before := r.ledger.RunsOfVersion(*running)
 	_, failedBefore := r.report.totals()
 	r.log("order of %s", order.Target.Name)
 	value := map[string]any{"service": service, "target_version": order.Target.Name, "period_s": order.Period.Seconds()}
@@ -105,17 +105,17 @@
 	}
 	state := r.awaitState(ctx, service, order.Target.Name, ordered.Add(order.Period+stateLate))
 	outcome := RolloutOutcome{State: state, After: time.Since(ordered)}
-	outcome.Tried = r.ledger.OfVersion(order.Target.Name)
+	outcome.Tried = r.ledger.RunsOfVersion(order.Target.Name)
 	switch state {
 	case "completed":
 		// The others stop at once.
 		r.endVersion(*running)
 	case "reverted":
 		r.wait(ctx, drainsAfter)
-		outcome.Tried = r.ledger.OfVersion(order.Target.Name)
+		outcome.Tried = r.ledger.RunsOfVersion(order.Target.Name)
 		r.endVersion(order.Target.Name)
 	}
-	outcome.Asked = r.ledger.OfVersion(*running) - before + outcome.Tried
+	outcome.Asked = r.ledger.RunsOfVersion(*running) - before + outcome.Tried
 	if state == "completed" {
 		*running = order.Target.Name
 	}
@@ -140,8 +140,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.endpoints {
-		if e != nil && e.Is(standin.PlainService, version) {
-			e.Crash()
+		if e != nil && e.Matches(standin.PlainService, version) {
+			e.Stop()
 		}
 	}
 }
@@ -189,7 +189,7 @@
 // StoreDown turns all calls to the store away for a time.
 func (r *run) StoreDown(lasting time.Duration) {
 	r.log("store down for %v", lasting)
-	r.store.SetTrouble(standin.Trouble{Down: true})
+	r.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(lasting)
-	r.store.SetTrouble(standin.Trouble{})
+	r.store.SetFaults(standin.StoreFaults{})
 }
--- a/pkg/soak/rollout_test.go
+++ b/pkg/soak/rollout_test.go
@@ -21,11 +21,11 @@
 	}{
 		{soak.Rollout{Target: standin.Version{Name: "v2"}, Period: period, Boot: 500 * time.Millisecond}, "completed"},
 		{soak.Rollout{
-			Target: standin.Version{Name: "v3", SlowPart: 0.6, SlowBy: 60 * time.Millisecond}, Period: period, Boot: 2500 * time.Millisecond,
+			Target: standin.Version{Name: "v3", SlowShare: 0.6, SlowDelay: 60 * time.Millisecond}, Period: period, Boot: 2500 * time.Millisecond,
 			Meanwhile: func(h soak.Hosts) { h.StoreDown(2 * time.Second) },
 		}, "reverted"},
 		{soak.Rollout{
-			Target: standin.Version{Name: "v4", FailPart: 0.5}, Period: period, Boot: 2500 * time.Millisecond,
+			Target: standin.Version{Name: "v4", FailShare: 0.5}, Period: period, Boot: 2500 * time.Millisecond,
 			Meanwhile: func(h soak.Hosts) { h.KillOwner() },
 		}, "reverted"},
 	}
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -72,7 +72,7 @@
 	random  *rand.Rand
 	store   *standin.Store
 	cloud   *standin.Cloud
-	ledger  *standin.Ledger
+	ledger  *standin.RequestLog
 	nodes   []*node
 	report  *report
 	version int
@@ -116,13 +116,13 @@
 // outcome is how the run ended, once callers have stopped and all is checked.
 func (r *run) outcome() Outcome {
 	served, failed := r.report.totals()
-	return Outcome{served, failed, r.cloud.Reports(), append(r.report.broken, r.cloud.Broken()...)}
+	return Outcome{served, failed, r.cloud.ReportedWindows(), append(r.report.broken, r.cloud.Violations()...)}
 }
 
 func newRun(o Options) *run {
 	return &run{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, 0)), store: standin.NewStore(), cloud: standin.NewCloud(),
-		ledger: standin.NewLedger(), report: newReport(), version: 1, started: time.Now(),
+		ledger: standin.NewRequestLog(), report: newReport(), version: 1, started: time.Now(),
 	}
 }
 
@@ -321,7 +321,7 @@
 	r.checkNotices()
 	r.checkLimits()
 	r.checkAnswered()
-	for _, late := range r.ledger.Late() {
+	for _, late := range r.ledger.LateRequests() {
 		calmThen := true
 		for _, n := range r.nodes {
 			calmThen = calmThen && !n.harmed(late.At)
@@ -342,7 +342,7 @@
 	r.over = true
 	for i, e := range r.endpoints {
 		if e != nil {
-			e.Crash()
+			e.Stop()
 			r.proxies[i].Close()
 		}
 	}
