--- a/pkg/route/feedback.go
+++ b/pkg/route/feedback.go
@@ -123,7 +123,7 @@
 	if result.TokensReported {
 		uncached = max(result.PromptTokens-result.CachedTokens, 0)
 	}
-	g.speed.Learn(enginemodel.Answer{Tokens: uncached + c.aheadTokens, First: result.FirstToken, Made: result.Tokens, Decode: result.Decode})
+	g.speed.Observe(enginemodel.Sample{PrefillTokens: uncached + c.aheadTokens, FirstToken: result.FirstToken, DecodedTokens: result.Tokens, DecodeTime: result.Decode})
 }
 
 // minCacheTrust is the minimum of cacheTrust. It keeps an endpoint's cache in use, so that the
@@ -288,7 +288,7 @@
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	return s.group.speed.Figures().TokenGap
+	return s.group.speed.Timings().TokenGap
 }
 
 // TotalSlots returns the number of requests that the endpoints of a target run concurrently.
--- a/pkg/route/score.go
+++ b/pkg/route/score.go
@@ -60,7 +60,7 @@
 // score computes the expected time at one endpoint.
 func (r *Router) score(s *slot, q Query, now time.Time) score {
 	l := &s.load
-	f := s.group.speed.Figures()
+	f := s.group.speed.Timings()
 	running := l.estimateRunning(q.reportOnly)
 	waiting := l.waiting
 	if running > l.slots {
@@ -69,13 +69,13 @@
 	}
 	cached := int(l.cacheTrust * float64(min(s.cachedTokens, q.PromptTokens)))
 	uncached := q.PromptTokens - cached + q.GeneratedTokens
-	prefillTime := f.FirstToken(uncached)
+	prefillTime := f.TimeToFirstToken(uncached)
 	wait := prefillTime
 	if running >= l.slots {
 		wait += l.meanDuration * time.Duration(waiting+1) / time.Duration(max(l.slots, 1))
 	}
-	ahead := l.prefillAhead(f.Prefill, now)
-	wait += time.Duration(ahead) * f.Prefill
+	ahead := l.prefillAhead(f.PrefillPerToken, now)
+	wait += time.Duration(ahead) * f.PrefillPerToken
 	queued := wait - prefillTime
 	// A fuller batch decodes more slowly. This also spreads load that fits in one batch.
 	crowding := 1 + crowdingWeight*float64(running)/float64(max(l.slots, 1))
@@ -87,8 +87,8 @@
 	if needsConnection {
 		wait += connectWeight
 	}
-	total := wait + decode + prefillWeight*time.Duration(uncached)*f.Prefill
-	total -= homeWeight * time.Duration(min(s.homeTokens, uncached)) * f.Prefill
+	total := wait + decode + prefillWeight*time.Duration(uncached)*f.PrefillPerToken
+	total -= homeWeight * time.Duration(min(s.homeTokens, uncached)) * f.PrefillPerToken
 	if needsConnection && q.mayExplore && l.isIdle(now) {
 		total -= exploreWeight
 	}
@@ -106,11 +106,11 @@
 	}
 	l := &s.load
 	if now.Sub(l.hazardAt) > hazardCacheTime || l.hazardAt.IsZero() {
-		l.hazardPerHour = r.hazard.Rate(hazard.Place{DataCenter: s.info.DataCenter, Class: s.info.Class}, now)
+		l.hazardPerHour = r.hazard.Rate(hazard.Pool{DataCenter: s.info.DataCenter, Class: s.info.Class}, now)
 		l.hazardAt = now
 	}
 	probability := min(1, l.hazardPerHour*duration.Seconds()/secondsPerHour)
 	// On average half of the answer is lost, and all of the prompt.
-	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.speed.Figures().Prefill
+	lost := duration/2 + time.Duration(q.PromptTokens+q.GeneratedTokens)*s.group.speed.Timings().PrefillPerToken
 	return time.Duration(probability * q.RiskWeight * float64(lost))
 }
