--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -132,7 +132,7 @@
 	}
 	if e.Status()/100 != 2 || meta.Signed {
 		c.notice = noticeOf(meta)
-		c.f.notices.ApplyAnswer(choice.Endpoint, c.notice, c.sentAt, c.f.clock())
+		c.f.notices.ApplyResponse(choice.Endpoint, c.notice, c.sentAt, c.f.clock())
 	}
 	if meta.NotRun {
 		drainBody(e)
