--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -37,9 +37,9 @@
 	gatherKey = "accept/"
 )
 
-// Gatherer commits through the data centre's entry. It is safe for concurrent
+// Committer commits through the data centre's entry. It is safe for concurrent
 // use.
-type Gatherer struct {
+type Committer struct {
 	self  membership.Node
 	nodes *membership.Table
 	local *job.Batcher
@@ -54,32 +54,32 @@
 
 // Counts count jobs by the way they went.
 type Counts struct {
-	// Local were committed here for callers of this entry, Sent through another
+	// Local were committed here for callers of this entry, Forwarded through another
 	// entry, Served for another one, and Fallback here after the other did not
 	// answer.
-	Local, Sent, Served, Fallback int64
+	Local, Forwarded, Served, Fallback int64
 }
 
 // New returns a gatherer over this entry's own batcher.
-func New(self membership.Node, nodes *membership.Table, local *job.Batcher, store table.Store, links Links) *Gatherer {
-	return &Gatherer{self: self, nodes: nodes, local: local, store: store, links: links, waiting: map[int64]chan peer.Accepted{}}
+func New(self membership.Node, nodes *membership.Table, local *job.Batcher, store table.Store, links Links) *Committer {
+	return &Committer{self: self, nodes: nodes, local: local, store: store, links: links, waiting: map[int64]chan peer.Accepted{}}
 }
 
 // Counts returns the counters so far.
-func (g *Gatherer) Counts() Counts {
+func (g *Committer) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts
 }
 
-func (g *Gatherer) count(change func(*Counts)) {
+func (g *Committer) count(change func(*Counts)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.counts)
 }
 
 // gatherer returns the entry that commits for this data centre.
-func (g *Gatherer) gatherer() (membership.Node, bool) {
+func (g *Committer) gatherer() (membership.Node, bool) {
 	var centre []membership.Node
 	for _, n := range g.nodes.ServingNodes() {
 		if n.DataCenter == g.self.DataCenter {
@@ -94,7 +94,7 @@
 }
 
 // Commit inserts the rows of one job.
-func (g *Gatherer) Commit(ctx context.Context, rows []table.Write) table.Outcome {
+func (g *Committer) Commit(ctx context.Context, rows []table.Write) table.Outcome {
 	node, remote := g.gatherer()
 	if !remote {
 		g.count(func(c *Counts) { c.Local++ })
@@ -103,7 +103,7 @@
 	if answer, ok := g.ask(ctx, node, rows); ok {
 		switch answer.Outcome {
 		case peer.AcceptDone:
-			g.count(func(c *Counts) { c.Sent++ })
+			g.count(func(c *Counts) { c.Forwarded++ })
 			return table.Done{Version: answer.Version}
 		case peer.AcceptConflict:
 			return g.settle(ctx, rows)
@@ -116,7 +116,7 @@
 
 // settle commits here. A row that stands already and is the same is this job's
 // own, inserted by the other entry: its owner and time are in it.
-func (g *Gatherer) settle(ctx context.Context, rows []table.Write) table.Outcome {
+func (g *Committer) settle(ctx context.Context, rows []table.Write) table.Outcome {
 	outcome := g.local.Commit(ctx, rows)
 	refused, ok := outcome.(table.Refused)
 	if !ok {
@@ -135,7 +135,7 @@
 }
 
 // ask sends the rows to another entry and waits for its answer.
-func (g *Gatherer) ask(ctx context.Context, node membership.Node, rows []table.Write) (peer.Accepted, bool) {
+func (g *Committer) ask(ctx context.Context, node membership.Node, rows []table.Write) (peer.Accepted, bool) {
 	request := g.next.Add(1)
 	answer := make(chan peer.Accepted, 1)
 	g.mu.Lock()
@@ -169,7 +169,7 @@
 const serveTime = 5 * time.Second
 
 // Handle takes what other entries send; it is a peer.Handler.
-func (g *Gatherer) Handle(reply peer.Sender, message peer.Message) {
+func (g *Committer) Handle(reply peer.Sender, message peer.Message) {
 	switch m := message.(type) {
 	case peer.Accept:
 		go g.serve(reply, m)
@@ -186,7 +186,7 @@
 // errEmpty says that an entry asked for nothing.
 var errEmpty = errors.New("accept: no rows")
 
-func (g *Gatherer) serve(reply peer.Sender, m peer.Accept) {
+func (g *Committer) serve(reply peer.Sender, m peer.Accept) {
 	ctx, cancel := context.WithTimeout(context.Background(), serveTime)
 	defer cancel()
 	rows, err := rowsOf(m)
--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -19,7 +19,7 @@
 // site is the entries of one data centre, with messages passed by hand.
 type site struct {
 	rows      *tables.Store
-	gatherers map[string]*accept.Gatherer
+	gatherers map[string]*accept.Committer
 	batchers  map[string]*job.Batcher
 	// lose drops messages; it is asked for each.
 	lose func(m peer.Message) bool
@@ -50,7 +50,7 @@
 func (l links) Ensure(membership.Node) {}
 
 func newSite(entries int, window time.Duration) *site {
-	s := &site{rows: tables.New(), gatherers: map[string]*accept.Gatherer{}, batchers: map[string]*job.Batcher{}, lose: func(peer.Message) bool { return false }}
+	s := &site{rows: tables.New(), gatherers: map[string]*accept.Committer{}, batchers: map[string]*job.Batcher{}, lose: func(peer.Message) bool { return false }}
 	nodes := membership.NewTable()
 	for i := range entries {
 		nodes.Merge(membership.Node{ID: fmt.Sprintf("n%d", i), Incarnation: 1, Status: membership.Alive, Ready: true, DataCenter: "dc"})
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -62,7 +62,7 @@
 	worker    *job.Worker
 	batcher   *job.Batcher
 	claims    *claim.Claims
-	accepts   *accept.Gatherer
+	accepts   *accept.Committer
 	history   *explain.History
 	mesh      *peer.Mesh
 	peers     *peer.Server
@@ -146,7 +146,7 @@
 }
 
 // newAccepts gathers the data centre's accepted jobs over the peers' links.
-func newAccepts(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.Guard, peers *peer.Server) *accept.Gatherer {
+func newAccepts(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.Guard, peers *peer.Server) *accept.Committer {
 	gatherer := accept.New(self, nodes, batcher, guard, peers)
 	peers.SetHandler(gatherer.Handle)
 	return gatherer
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -45,7 +45,7 @@
 	guard *table.Guard, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
 	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engines engine.API,
 	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
-	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
+	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Committer, history *explain.History, mesh *peer.Mesh,
 	peers *peer.Server, api *callerapi.API, t process.TLS,
 ) *App {
 	return &App{
--- a/pkg/app/entry/wire_gen.go
+++ b/pkg/app/entry/wire_gen.go
@@ -58,8 +58,8 @@
 	}
 	peerCounters := peer.NewCounters(registerer)
 	server := newPeers(ctx, mesh, tls, peerCounters)
-	gatherer := newAccepts(node, table, batcher, guard, server)
-	jobStore := job.NewStore(writer, objectStore, gatherer)
+	committer := newAccepts(node, table, batcher, guard, server)
+	jobStore := job.NewStore(writer, objectStore, committer)
 	jobGenerator := newGenerator(holder, runner, concurrencyLimiters)
 	jobCounters := job.NewCounters(registerer)
 	worker := newWorker(ctx, jobStore, jobGenerator, node, settings, jobCounters)
@@ -68,6 +68,6 @@
 	plainserviceAPI := newPlain(client)
 	callerapiCounters := callerapi.NewCounters(registerer)
 	callerapiAPI := newAPI(settings, node, holder, table, router, runner, rateLimiter, concurrencyLimiters, jobStore, worker, jobCounters, claims, plainserviceAPI, budget, tracker, history, traceTracer, callerapiCounters)
-	app := newApp(settings, node, logger, registry, tracer, guard, writer, holder, store, table, directory, estimator, router, api, runner, rateLimiter, concurrencyLimiters, budget, jobStore, worker, batcher, claims, gatherer, history, mesh, server, callerapiAPI, tls)
+	app := newApp(settings, node, logger, registry, tracer, guard, writer, holder, store, table, directory, estimator, router, api, runner, rateLimiter, concurrencyLimiters, budget, jobStore, worker, batcher, claims, committer, history, mesh, server, callerapiAPI, tls)
 	return app, nil
 }
--- a/pkg/app/load/hop.go
+++ b/pkg/app/load/hop.go
@@ -99,7 +99,7 @@
 		if allocsBefore, err = measure.Counters(ctx, h.http, w.admin); err != nil {
 			return err
 		}
-		if before, err = measure.OfProcess(w.pid); err != nil {
+		if before, err = measure.ProcessUsage(w.pid); err != nil {
 			return err
 		}
 	}
@@ -108,7 +108,7 @@
 		return err
 	}
 	if w.pid != 0 {
-		if after, err = measure.OfProcess(w.pid); err != nil {
+		if after, err = measure.ProcessUsage(w.pid); err != nil {
 			return err
 		}
 		if allocsAfter, err = measure.Counters(ctx, h.http, w.admin); err != nil {
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -202,12 +202,12 @@
 	var cpu time.Duration
 	var memory int64
 	for _, pid := range pids {
-		usage, err := measure.OfProcess(pid)
+		usage, err := measure.ProcessUsage(pid)
 		if err != nil {
 			return 0, 0, err
 		}
 		cpu += usage.CPU
-		memory += usage.Resident
+		memory += usage.ResidentBytes
 	}
 	return cpu, memory, nil
 }
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -168,17 +168,17 @@
 		}
 		supply := func(dataCenter string, reclaimable bool) (int, int) {
 			place := autoscale.Pool{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
-			return serving[place], n.orderer.Booting(place, serving[place], service.Scaling.Boot, now)
+			return serving[place], n.orderer.Booting(place, serving[place], service.Scaling.BootTime, now)
 		}
 		demand := n.traffic.Observe(service.Name, works[service.Name], now)
 		demand.MaxLoad = most
 		orders, _ := autoscale.Plan(service, demand, supply)
 		n.noteReplaced(service.Name)
 		if n.rollouts.InProgress(service.Name) {
-			keepAll(orders, service.Scaling.Most)
+			keepAll(orders, service.Scaling.MaxEndpoints)
 		}
 		count := func(p autoscale.Pool) int { return serving[p] }
-		n.orderer.Reconcile(ctx, orders, count, service.Scaling.Boot, now, held)
+		n.orderer.Reconcile(ctx, orders, count, service.Scaling.BootTime, now, held)
 	}
 }
 
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -124,7 +124,7 @@
 	if !known {
 		return
 	}
-	written, _ := n.clock.Store()
+	written, _ := n.clock.StoreTime()
 	row := roster.Row{
 		Host:        n.host(),
 		Sequence:    n.row.sequence,
@@ -161,7 +161,7 @@
 		DataCenter:    n.settings.DataCenter,
 		CallerAddress: n.settings.Callers,
 		PeerAddress:   n.settings.Peers,
-		StartedAt:     n.clock.Since(),
+		StartedAt:     n.clock.StoreStartTime(),
 		Millicores:    int(millicores * n.settings.Cores),
 		Leaving:       n.life.leaving(),
 	}
--- a/pkg/app/node/life.go
+++ b/pkg/app/node/life.go
@@ -23,7 +23,7 @@
 func newLife(clock *storeclock.Clock) *life { return &life{clock: clock} }
 
 // leave begins the end.
-func (l *life) leave() { l.leavingSince.Store(max(int64(l.clock.Running()), 1)) }
+func (l *life) leave() { l.leavingSince.Store(max(int64(l.clock.Uptime()), 1)) }
 
 // leaving reports whether the process has begun to leave.
 func (l *life) leaving() bool { return l.leavingSince.Load() != 0 }
@@ -33,7 +33,7 @@
 	switch {
 	case !l.leaving():
 		return forward.Serving
-	case l.clock.Running()-time.Duration(l.leavingSince.Load()) < streamsTaken:
+	case l.clock.Uptime()-time.Duration(l.leavingSince.Load()) < streamsTaken:
 		return forward.Draining
 	default:
 		return forward.Stopping
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -66,7 +66,7 @@
 	log         *log.Logger
 	clock       *storeclock.Clock
 	life        *life
-	store       *storecalls.Counted
+	store       *storecalls.CountingStore
 	// copy is what others follow through this host, by peers.
 	copy      *relay.Replica
 	peers     peerClient
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -72,7 +72,7 @@
 
 func newPool() *upstream.Pool { return upstream.New(deadPeer) }
 
-func newStore(platform Platform, client storeClient, s Settings, registry *prometheus.Registry) *storecalls.Counted {
+func newStore(platform Platform, client storeClient, s Settings, registry *prometheus.Registry) *storecalls.CountingStore {
 	return storecalls.New(platform.Store(client.Client, s), registry)
 }
 
@@ -135,7 +135,7 @@
 // from the time of day; by this host's own time of day while that is not known.
 func newCounter(s Settings, clock *storeclock.Clock, view *storeview.View) *usage.Counter {
 	trueTime := func() time.Time {
-		storeNow, known := clock.Store()
+		storeNow, known := clock.StoreTime()
 		offset, agreed := view.Roster().ClockOffset()
 		if !known || !agreed {
 			return clock.Now()
@@ -145,7 +145,7 @@
 	return usage.NewCounter(s.UsageWindow, trueTime)
 }
 
-func newWriter(store *storecalls.Counted, self Incarnation) *table.Writer {
+func newWriter(store *storecalls.CountingStore, self Incarnation) *table.Writer {
 	return table.NewWriter(store, string(self))
 }
 
--- a/pkg/app/node/quarantine.go
+++ b/pkg/app/node/quarantine.go
@@ -32,7 +32,7 @@
 func (n *node) keepQuarantine(ctx context.Context) {
 	go n.keeper.Run(ctx)
 	n.awaitStore(ctx)
-	for n.clock.Running() < othersTell {
+	for n.clock.Uptime() < othersTell {
 		if n.view.Roster().Loaded() && n.view.Roster().IsAdvertised(n.settings.Node) {
 			n.keeper.Load(ctx)
 			return
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -20,7 +20,7 @@
 	nodeLife := newLife(clock)
 	nodeStoreClient := newStoreClient()
 	registry := process.NewRegistry()
-	counted := newStore(platform, nodeStoreClient, settings, registry)
+	countingStore := newStore(platform, nodeStoreClient, settings, registry)
 	replica := newCopy(platform, clock)
 	nodePeerClient := newPeerClient()
 	location := newHome(settings)
@@ -31,7 +31,7 @@
 	costLimiter := newLimits(settings, clock)
 	pool := newPool()
 	counter := newCounter(settings, clock, view)
-	writer := newWriter(counted, incarnation)
+	writer := newWriter(countingStore, incarnation)
 	manager := newLeases(writer, incarnation, settings)
 	nodeDutyCloud := newDutyCloud(platform, nodeStoreClient, settings, manager)
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
@@ -56,7 +56,7 @@
 		log:         logger,
 		clock:       clock,
 		life:        nodeLife,
-		store:       counted,
+		store:       countingStore,
 		copy:        replica,
 		peers:       nodePeerClient,
 		view:        view,
--- a/pkg/autoscale/autoscale_test.go
+++ b/pkg/autoscale/autoscale_test.go
@@ -15,7 +15,7 @@
 
 func newService(limit int) routetable.Service {
 	return routetable.Service{Name: "svc", Scaling: &routetable.Scaling{
-		Least: 1, Most: limit, Boot: 4 * time.Second, ReclaimablePrice: 0.15,
+		MinEndpoints: 1, MaxEndpoints: limit, BootTime: 4 * time.Second, ReclaimablePrice: 0.15,
 		Prices: map[string]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9},
 	}}
 }
--- a/pkg/autoscale/plan.go
+++ b/pkg/autoscale/plan.go
@@ -59,12 +59,12 @@
 		withBooting.add(min(servingCount+booting, perDataCenter))
 		serving.add(min(servingCount, perDataCenter))
 	}
-	ordered := distributeOnDemand(dataCenters, withBooting.onDemandShortfall(need), s.Most)
-	retained := distributeOnDemand(dataCenters, serving.onDemandShortfall(need), s.Most)
+	ordered := distributeOnDemand(dataCenters, withBooting.onDemandShortfall(need), s.MaxEndpoints)
+	retained := distributeOnDemand(dataCenters, serving.onDemandShortfall(need), s.MaxEndpoints)
 	var orders []Order
 	for _, dataCenter := range dataCenters {
 		retain := max(ordered[dataCenter], retained[dataCenter])
-		reclaimable := min(perDataCenter, s.Most-retain)
+		reclaimable := min(perDataCenter, s.MaxEndpoints-retain)
 		orders = append(orders,
 			Order{service.Name, dataCenter, true, reclaimable, reclaimable},
 			Order{service.Name, dataCenter, false, ordered[dataCenter], retain})
@@ -88,7 +88,7 @@
 	if !demand.Measured {
 		count = max(count, reclaimableBeforeMeasurement(s, demand, dataCenters-losses))
 	}
-	return min(max(count, s.Least), s.Most)
+	return min(max(count, s.MinEndpoints), s.MaxEndpoints)
 }
 
 // reclaimableBeforeMeasurement returns the number of reclaimable endpoints of each data
@@ -96,7 +96,7 @@
 // can serve it: a share of what the operator allows, but no more than teams that use the
 // whole of their limits need.
 func reclaimableBeforeMeasurement(s *routetable.Scaling, demand Demand, surviving int) int {
-	allowed := int(unmeasuredShare * float64(s.Most))
+	allowed := int(unmeasuredShare * float64(s.MaxEndpoints))
 	if demand.MaxLoad <= 0 {
 		return allowed
 	}
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -66,7 +66,7 @@
 	}
 	return plainservice.Call{
 		Method: p.request.Method, Path: path, Header: p.request.Header, Body: body, Length: length,
-		Deadline: p.deadline, Once: once,
+		Deadline: p.deadline, AtMostOnce: once,
 	}
 }
 
@@ -74,7 +74,7 @@
 const mostSends = 3
 
 // sendRepeatable sends a call until one endpoint answers, within the budget.
-func (p plainCall) sendRepeatable(ctx context.Context, body []byte) (plainservice.Answer, error) {
+func (p plainCall) sendRepeatable(ctx context.Context, body []byte) (plainservice.Response, error) {
 	p.api.Budget.RecordFirstSend(time.Now())
 	var avoid []endpoint.Ref
 	var last error
@@ -100,15 +100,15 @@
 	if last == nil {
 		last = fmt.Errorf("%w: no endpoint of %s takes calls", plainservice.ErrNotSent, p.service.Name())
 	}
-	return plainservice.Answer{}, last
+	return plainservice.Response{}, last
 }
 
 // send sends a call once and takes in what the answer, or a refusal, says of its
 // endpoint.
-func (p plainCall) send(ctx context.Context, choice route.Choice, call plainservice.Call) (plainservice.Answer, error) {
+func (p plainCall) send(ctx context.Context, choice route.Choice, call plainservice.Call) (plainservice.Response, error) {
 	sent := time.Now()
 	answer, err := p.api.Plain.Send(ctx, choice.Endpoint.Address, call)
-	var away *plainservice.TurnedAway
+	var away *plainservice.RejectedError
 	switch {
 	case err == nil:
 		p.api.Notices.ApplyResponse(choice.Endpoint, answer.Notice, sent, time.Now())
@@ -219,7 +219,7 @@
 }
 
 // keep reads an answer whole, so that a repeat gets the same.
-func (p plainCall) keep(answer plainservice.Answer) (claim.Response, error) {
+func (p plainCall) keep(answer plainservice.Response) (claim.Response, error) {
 	defer func() { _ = answer.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(answer.Body, p.api.Limits.AnswerBytes+1))
 	if err != nil {
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -116,10 +116,10 @@
 
 // connectionLimit is this entry host's share of the connections that an endpoint accepts.
 func (c *call) connectionLimit() int {
-	if c.service.Connections == 0 {
+	if c.service.MaxConnections == 0 {
 		return 0
 	}
-	return max(int(c.f.fleet.Share()*float64(c.service.Connections)), 1)
+	return max(int(c.f.fleet.Share()*float64(c.service.MaxConnections)), 1)
 }
 
 // classify turns the head of a response into a result and reads its body.
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -83,7 +83,7 @@
 // retried even on a route that allows only one attempt.
 func TestMovedAddressIsNoAttempt(t *testing.T) {
 	limited := spec()
-	limited.Routes[1].Attempts = 1
+	limited.Routes[1].MaxAttempts = 1
 	moved := respond(strings.Replace(notRunResponse, "503 Service Unavailable", "421 Misdirected Request", 1), true)
 	s := newHarness(t, limited, true, moved, moved)
 	s.addEndpoint("good", respondOK("answer"))
@@ -316,7 +316,7 @@
 
 func TestBodiesBeyondTheLimit(t *testing.T) {
 	limited := spec()
-	limited.Limits = routetable.Limits{BodyBytes: 10}
+	limited.Limits = routetable.Limits{MaxBodyBytes: 10}
 	s := newHarness(t, limited, true, respondOK("answer"))
 	if got := s.send("POST", "/once/x", "0123456789"); got.status != 200 {
 		t.Errorf("at the limit: got %d, want 200", got.status)
--- a/pkg/forward/harness_test.go
+++ b/pkg/forward/harness_test.go
@@ -323,7 +323,7 @@
 	newRoute := func(prefix string, kind routetable.Kind, attempts int, resumable bool) routetable.Route {
 		return routetable.Route{
 			Name: prefix, Host: "h.example", Prefix: prefix, Kind: kind, Splits: splits, Timeout: 2 * time.Second,
-			Objective: time.Second, Attempts: attempts, Resumable: resumable,
+			LatencyObjective: time.Second, MaxAttempts: attempts, Resumable: resumable,
 		}
 	}
 	return routetable.Spec{
--- a/pkg/forward/intake.go
+++ b/pkg/forward/intake.go
@@ -48,7 +48,7 @@
 
 func (c *call) authorize() error {
 	c.priority = c.route.Priority
-	if c.route.Public || !c.table.NeedsKey() {
+	if c.route.Public || !c.table.RequiresKeys() {
 		return nil
 	}
 	team, ok := c.table.Team(c.meta.Key)
@@ -73,7 +73,7 @@
 }
 
 func (c *call) readBody() error {
-	maxBytes := c.table.Limits().BodyBytes
+	maxBytes := c.table.Limits().MaxBodyBytes
 	if maxBytes <= 0 {
 		maxBytes = defaultMaxBodyBytes
 	}
--- a/pkg/forward/rejecting_test.go
+++ b/pkg/forward/rejecting_test.go
@@ -44,7 +44,7 @@
 			t.Parallel()
 			custom := spec()
 			once := custom.Routes[1]
-			once.Name, once.Prefix, once.Attempts = "/one/", "/one/", 1
+			once.Name, once.Prefix, once.MaxAttempts = "/one/", "/one/", 1
 			custom.Routes = append(custom.Routes, once)
 			var enabled atomic.Bool
 			enabled.Store(true)
--- a/pkg/forward/relay.go
+++ b/pkg/forward/relay.go
@@ -102,7 +102,7 @@
 		e.Close()
 		observed.Failed = err != nil && ctx.Err() == nil
 		observed.Decode = c.f.clock().Sub(startedAt)
-		observed.Tokens = (s.eventCount - 1) * c.service.Stride
+		observed.Tokens = (s.eventCount - 1) * c.service.TokensPerEvent
 		c.recordRolloutStream(current.rolloutSend, choice, observed)
 		c.finishAttempt(choice, current.rolloutSend, observed)
 		// An endpoint that resumes a stream also reads the answer so far, so its first token
--- a/pkg/forward/run.go
+++ b/pkg/forward/run.go
@@ -130,7 +130,7 @@
 	if c.route.Kind != routetable.Stream || c.deliveredAttempts() > 0 {
 		return true
 	}
-	stream := admission.Stream{Objective: c.route.Objective, Priority: c.priority}
+	stream := admission.Stream{Objective: c.route.LatencyObjective, Priority: c.priority}
 	retryAfter, late := stream.ShouldReject(admission.EstimateOf(choice))
 	c.retryAfter = retryAfter
 	return !late
@@ -187,5 +187,5 @@
 		return true
 	}
 	c.attempts = c.deliveredAttempts()
-	return c.attempts < c.route.Attempts && (isNotRun || c.route.MayRepeat())
+	return c.attempts < c.route.MaxAttempts && (isNotRun || c.route.MayRepeat())
 }
--- a/pkg/forward/token_gap_test.go
+++ b/pkg/forward/token_gap_test.go
@@ -30,7 +30,7 @@
 // number of tokens of an event.
 func TestStreamsUpdateTokenGap(t *testing.T) {
 	custom := spec()
-	custom.Services = []routetable.Service{{Name: "svc", Stride: 2}}
+	custom.Services = []routetable.Service{{Name: "svc", TokensPerEvent: 2}}
 	const pause = 20 * time.Millisecond
 	s := newHarness(t, custom, true, streamWithPauses(12, pause))
 	if got := s.router.TokenGap("e0"); got != time.Millisecond {
--- a/pkg/measure/process.go
+++ b/pkg/measure/process.go
@@ -23,12 +23,12 @@
 // Usage is what a process has used so far.
 type Usage struct {
 	CPU time.Duration
-	// Resident is in bytes.
-	Resident int64
+	// ResidentBytes is in bytes.
+	ResidentBytes int64
 }
 
-// OfProcess reads a process's usage.
-func OfProcess(pid int) (Usage, error) {
+// ProcessUsage reads a process's usage.
+func ProcessUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
--- a/pkg/measure/slope.go
+++ b/pkg/measure/slope.go
@@ -38,11 +38,11 @@
 
 // Interval is a mean with the half width of its 95% interval.
 type Interval struct {
-	Mean, Half float64
+	Mean, HalfWidth float64
 }
 
-// MeanOf returns the mean of values with its interval.
-func MeanOf(values []float64) Interval {
+// MeanInterval returns the mean of values with its interval.
+func MeanInterval(values []float64) Interval {
 	if len(values) < 2 {
 		return Interval{stat.Mean(values, nil), math.NaN()}
 	}
--- a/pkg/plainservice/plainservice.go
+++ b/pkg/plainservice/plainservice.go
@@ -47,12 +47,12 @@
 	// Length is the body's length, -1 if not known.
 	Length   int64
 	Deadline time.Time
-	// Once says that the call may not be repeated.
-	Once bool
+	// AtMostOnce says that the call may not be repeated.
+	AtMostOnce bool
 }
 
-// Answer is what the endpoint said. Body must be closed.
-type Answer struct {
+// Response is what the endpoint said. Body must be closed.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
@@ -64,14 +64,14 @@
 // that the endpoint itself said that it did not run the call.
 var ErrNotSent = errors.New("plainservice: not sent")
 
-// TurnedAway is an ErrNotSent of an endpoint that did not run the call by its own word.
-type TurnedAway struct{ Notice endpoint.Notice }
+// RejectedError is an ErrNotSent of an endpoint that did not run the call by its own word.
+type RejectedError struct{ Notice endpoint.Notice }
 
 // Error says that the endpoint turned the call away.
-func (*TurnedAway) Error() string { return "plainservice: endpoint turned the call away" }
+func (*RejectedError) Error() string { return "plainservice: endpoint turned the call away" }
 
 // Unwrap makes it an ErrNotSent.
-func (*TurnedAway) Unwrap() error { return ErrNotSent }
+func (*RejectedError) Unwrap() error { return ErrNotSent }
 
 // noticeOf reads what an answer's head says of its endpoint.
 func noticeOf(response *http.Response) endpoint.Notice {
@@ -85,7 +85,7 @@
 type API interface {
 	// Send sends a call once. An error that is not ErrNotSent leaves open
 	// whether the call ran.
-	Send(ctx context.Context, address string, call Call) (Answer, error)
+	Send(ctx context.Context, address string, call Call) (Response, error)
 }
 
 // Client is an API over HTTP.
@@ -107,29 +107,29 @@
 }
 
 // Send sends a call; one marked Once leaves this process once at most.
-func (c *Client) Send(ctx context.Context, address string, call Call) (Answer, error) {
+func (c *Client) Send(ctx context.Context, address string, call Call) (Response, error) {
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, onceReader(call))
 	if err != nil {
-		return Answer{}, errors.Join(ErrNotSent, err)
+		return Response{}, errors.Join(ErrNotSent, err)
 	}
 	request.ContentLength = call.Length
-	request.Header = EndToEnd(call.Header)
+	request.Header = EndToEndHeaders(call.Header)
 	request.Header.Set(HeaderDeadline, strconv.FormatInt(call.Deadline.UnixMilli(), 10))
 	request.GetBody = nil
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(request.Header))
 	client := c.repeatable
-	if call.Once {
+	if call.AtMostOnce {
 		client = c.once
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return Answer{}, classify(err)
+		return Response{}, classify(err)
 	}
 	if response.Header.Get(HeaderNotRun) != "" {
 		_ = response.Body.Close()
-		return Answer{}, &TurnedAway{noticeOf(response)}
+		return Response{}, &RejectedError{noticeOf(response)}
 	}
-	return Answer{response.StatusCode, EndToEnd(response.Header), response.Body, noticeOf(response)}, nil
+	return Response{response.StatusCode, EndToEndHeaders(response.Header), response.Body, noticeOf(response)}, nil
 }
 
 // onceReader hides a body's type, so that net/http can't rewind and resend it.
@@ -155,9 +155,9 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of headers without those of one connection, and
+// EndToEndHeaders returns a copy of headers without those of one connection, and
 // without the caller's bearer key.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
 		out = http.Header{}
--- a/pkg/policybench/report_test.go
+++ b/pkg/policybench/report_test.go
@@ -84,7 +84,7 @@
 	for _, o := range outcomes {
 		values = append(values, of(o))
 	}
-	return measure.MeanOf(values)
+	return measure.MeanInterval(values)
 }
 
 func firstP95(o policybench.Outcome) float64 { return o.FirstP95.Seconds() }
@@ -157,7 +157,7 @@
 func writeRow(b *strings.Builder, name string, outcomes []policybench.Outcome) {
 	ms := func(of func(policybench.Outcome) time.Duration) string {
 		i := mean(outcomes, func(o policybench.Outcome) float64 { return of(o).Seconds() * 1000 })
-		return fmt.Sprintf("%.0f ± %.0f ms", i.Mean, i.Half)
+		return fmt.Sprintf("%.0f ± %.0f ms", i.Mean, i.HalfWidth)
 	}
 	hosts := mean(outcomes, func(o policybench.Outcome) float64 { return float64(o.Hosts) })
 	cost := mean(outcomes, func(o policybench.Outcome) float64 { return o.CostPerThousand })
@@ -167,7 +167,7 @@
 	broken := mean(outcomes, func(o policybench.Outcome) float64 { return float64(o.Broken) })
 	sent := mean(outcomes, func(o policybench.Outcome) float64 { return o.SentRatio })
 	fmt.Fprintf(b, "| %s | %.0f | %.3f ± %.3f | %.2f ± %.2f %% | %s | %s | %s | %.1f ms | %.2f %% | %.0f | %.3f |\n", name, hosts.Mean,
-		cost.Mean, cost.Half, again.Mean, again.Half,
+		cost.Mean, cost.HalfWidth, again.Mean, again.HalfWidth,
 		ms(func(o policybench.Outcome) time.Duration { return o.FirstP50 }), ms(func(o policybench.Outcome) time.Duration { return o.FirstP95 }),
 		ms(func(o policybench.Outcome) time.Duration { return o.FirstP99 }), gap.Mean, failed.Mean, broken.Mean, sent.Mean)
 }
@@ -228,7 +228,7 @@
 				failed := mean(o, func(o policybench.Outcome) float64 { return 100 * float64(o.Failed) / float64(o.Requests) })
 				broken := mean(o, func(o policybench.Outcome) float64 { return float64(o.Broken) })
 				fmt.Fprintf(b, "| %g | %s | %.3f ± %.3f | %.2f ± %.2f %% | %.2f ± %.2f s | %.2f s | %.1f ms | %.2f %% | %.0f |\n", w.xs[i], p.Name,
-					cost.Mean, cost.Half, again.Mean, again.Half, p95.Mean, p95.Half, p99.Mean, gap.Mean, failed.Mean, broken.Mean)
+					cost.Mean, cost.HalfWidth, again.Mean, again.HalfWidth, p95.Mean, p95.HalfWidth, p99.Mean, gap.Mean, failed.Mean, broken.Mean)
 				lines[p.Name] = append(lines[p.Name], plotter.XY{X: w.xs[i], Y: p95.Mean})
 			}
 		}
--- a/pkg/quarantinesync/syncer.go
+++ b/pkg/quarantinesync/syncer.go
@@ -80,7 +80,7 @@
 // apply applies rows and deletes the expired ones.
 func (s *Syncer) apply(ctx context.Context, rows []table.Row) {
 	now := s.clock.Now()
-	storeNow, known := s.clock.Store()
+	storeNow, known := s.clock.StoreTime()
 	for _, row := range rows {
 		if !known {
 			return
@@ -157,7 +157,7 @@
 func (s *Syncer) write(ctx context.Context, c quarantine.Case) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	storeNow, known := s.clock.Store()
+	storeNow, known := s.clock.StoreTime()
 	if !known {
 		return false
 	}
--- a/pkg/quarantinesync/syncer_test.go
+++ b/pkg/quarantinesync/syncer_test.go
@@ -31,7 +31,7 @@
 func newHost(store table.Store, name string, storeNow time.Duration) *host {
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	h := &host{watch: quarantine.NewWatch(prometheus.NewRegistry(), logger), clock: storeclock.New()}
-	h.clock.Heard(storeNow)
+	h.clock.Observe(storeNow)
 	h.syncer = quarantinesync.NewSyncer(h.watch, table.NewWriter(store, name), h.clock, h.era.Load, logger)
 	return h
 }
--- a/pkg/rolloutlab/play.go
+++ b/pkg/rolloutlab/play.go
@@ -156,7 +156,7 @@
 		rate *= 1.7
 	}
 	p.after(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		p.hosts[p.random.IntN(len(p.hosts))].serve(p.line.Planned())
+		p.hosts[p.random.IntN(len(p.hosts))].serve(p.line.Scheduled())
 		p.arrive()
 	})
 }
--- a/pkg/rolloutsync/coordinator.go
+++ b/pkg/rolloutsync/coordinator.go
@@ -82,7 +82,7 @@
 // Step takes over the open orders, decides, and writes the decisions.
 func (c *Coordinator) Step(ctx context.Context) {
 	grant, left, ok := c.currentLease()
-	now, known := c.clock.Store()
+	now, known := c.clock.StoreTime()
 	if !ok || !known || left < minLeaseLeft {
 		c.dropAll()
 		return
@@ -289,7 +289,7 @@
 	o.version = version
 	o.owner.SetPhase(step.Write, step.Reason)
 	if step.Write.Ended() {
-		o.endedAt, _ = c.clock.Store()
+		o.endedAt, _ = c.clock.StoreTime()
 		o.directive = o.owner.Next(rollout.Fleet{}, o.endedAt).Directive
 	}
 	c.splitter.ApplyState(state, c.clock.Now())
@@ -299,7 +299,7 @@
 
 // ApplyReport applies a host's report.
 func (c *Coordinator) ApplyReport(incarnation string, r rollout.Report) {
-	now, known := c.clock.Store()
+	now, known := c.clock.StoreTime()
 	if !known {
 		return
 	}
--- a/pkg/rolloutsync/coordinator_test.go
+++ b/pkg/rolloutsync/coordinator_test.go
@@ -94,7 +94,7 @@
 	name := fmt.Sprintf("h%d.%d", i, f.starts)
 	h := &host{fleet: f, name: name, splitter: rollout.New(bounds)}
 	clock := storeclock.New()
-	clock.Heard(time.Since(f.began) + time.Minute)
+	clock.Observe(time.Since(f.began) + time.Minute)
 	writer := table.NewWriter(f.store, name)
 	h.leases = lease.New(writer, name, lease.Timing{Duration: 3 * time.Second, RenewInterval: 750 * time.Millisecond}, time.Now)
 	held := func() (lease.Grant, time.Duration, bool) {
--- a/pkg/routetable/holder.go
+++ b/pkg/routetable/holder.go
@@ -22,8 +22,8 @@
 	return &Holder{staleAfter: staleAfter, now: now}
 }
 
-// Confirm notes that the store has answered about the configuration, with or without a change.
-func (h *Holder) Confirm() { h.confirmedAt.Store(h.now().UnixNano()) }
+// MarkConfirmed notes that the store has answered about the configuration, with or without a change.
+func (h *Holder) MarkConfirmed() { h.confirmedAt.Store(h.now().UnixNano()) }
 
 // Adopt puts a version in force and reports whether it is newer than the one
 // before. It is called from one goroutine.
--- a/pkg/routetable/holder_test.go
+++ b/pkg/routetable/holder_test.go
@@ -18,7 +18,7 @@
 		adopted bool
 		inForce int64
 	}{{3, true, 3}, {7, true, 7}, {5, false, 7}, {7, false, 7}, {8, true, 8}} {
-		h.Confirm()
+		h.MarkConfirmed()
 		if got := h.Adopt(routetable.Spec{Version: c.version}); got != c.adopted {
 			t.Errorf("version %d adopted: got %v, want %v", c.version, got, c.adopted)
 		}
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -45,13 +45,13 @@
 	Splits []Split
 	// Timeout is how long a request may be held in all.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
+	// LatencyObjective is the time within which an answer, or the first event of a
 	// stream, is in time.
-	Objective time.Duration
-	// EventGap is the longest pause between events in time, 0 if not a stream.
-	EventGap time.Duration
-	// Attempts is the most endpoints a request is sent to, at least 1.
-	Attempts int
+	LatencyObjective time.Duration
+	// MaxEventGap is the longest pause between events in time, 0 if not a stream.
+	MaxEventGap time.Duration
+	// MaxAttempts is the most endpoints a request is sent to, at least 1.
+	MaxAttempts int
 	// Priority ranks requests; 0 goes first.
 	Priority int
 	// Public routes ask for no key.
@@ -68,23 +68,23 @@
 // Service is a group of endpoints that routes name.
 type Service struct {
 	Name string
-	// Connections is how many connections an endpoint accepts from all entry
+	// MaxConnections is how many connections an endpoint accepts from all entry
 	// hosts together, 0 for no bound.
-	Connections int
+	MaxConnections int
 	// Slots is how many requests an engine runs at once, 0 for a plain service.
 	Slots int
-	// Stride is how many tokens an event of a stream holds, 1 if not known.
-	Stride int
+	// TokensPerEvent is how many tokens an event of a stream holds, 1 if not known.
+	TokensPerEvent int
 	// Scaling is nil for services whose size is fixed.
 	Scaling *Scaling
 }
 
 // Scaling says how many endpoints of a service may be ordered and their price.
 type Scaling struct {
-	// Least and Most bound the endpoints of one data centre, both classes together.
-	Least, Most int
-	// Boot is the time from an order to the first request served.
-	Boot time.Duration
+	// MinEndpoints and MaxEndpoints bound the endpoints of one data centre, both classes together.
+	MinEndpoints, MaxEndpoints int
+	// BootTime is the time from an order to the first request served.
+	BootTime time.Duration
 	// ReclaimablePrice is the price of a reclaimable endpoint as a share of the
 	// others' price.
 	ReclaimablePrice float64
@@ -109,8 +109,8 @@
 
 // Limits bound what a caller may send.
 type Limits struct {
-	HeaderBytes, BodyBytes  int64
-	HeaderTimeout, IdleTime time.Duration
+	MaxHeaderBytes, MaxBodyBytes int64
+	HeaderTimeout, IdleTimeout   time.Duration
 }
 
 // Spec is a configuration version as read from the store.
@@ -171,8 +171,8 @@
 	return s, ok
 }
 
-// NeedsKey reports whether routes that are not public ask for a key.
-func (t *Table) NeedsKey() bool { return len(t.spec.Teams) > 0 }
+// RequiresKeys reports whether routes that are not public ask for a key.
+func (t *Table) RequiresKeys() bool { return len(t.spec.Teams) > 0 }
 
 // TokenRate returns the tokens a second that all teams together may ask for; ok is false
 // where there are none, or one has no limit in tokens.
--- a/pkg/storecalls/storecalls.go
+++ b/pkg/storecalls/storecalls.go
@@ -22,8 +22,8 @@
 	feed.Source
 }
 
-// Counted is a store whose calls are counted. It is safe for concurrent use.
-type Counted struct {
+// CountingStore is a store whose calls are counted. It is safe for concurrent use.
+type CountingStore struct {
 	store Store
 	total *prometheus.CounterVec
 
@@ -37,15 +37,15 @@
 
 // New returns a store that counts into a registry. A snapshot counts as one call,
 // also where it takes several pages.
-func New(store Store, registry prometheus.Registerer) *Counted {
-	c := &Counted{store: store, since: map[kind]int{}, total: prometheus.NewCounterVec(prometheus.CounterOpts{
+func New(store Store, registry prometheus.Registerer) *CountingStore {
+	c := &CountingStore{store: store, since: map[kind]int{}, total: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "ironhollow_store_calls_total", Help: "Calls to the platform's store by what they do and by table.",
 	}, []string{"does", "table"})}
 	registry.MustRegister(c.total)
 	return c
 }
 
-func (c *Counted) count(does, key string) {
+func (c *CountingStore) count(does, key string) {
 	name, _, _ := strings.Cut(key, "/")
 	c.total.WithLabelValues(does, name).Inc()
 	c.mu.Lock()
@@ -55,7 +55,7 @@
 
 // Summary returns the calls since it was last asked, as "does table=count", empty for
 // none.
-func (c *Counted) Summary() string {
+func (c *CountingStore) Summary() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]string, 0, len(c.since))
@@ -68,7 +68,7 @@
 }
 
 // Commit is a call of table.Store.
-func (c *Counted) Commit(ctx context.Context, commit table.Commit) table.Outcome {
+func (c *CountingStore) Commit(ctx context.Context, commit table.Commit) table.Outcome {
 	key := ""
 	if len(commit.Writes) > 0 {
 		key = commit.Writes[0].Key
@@ -78,25 +78,25 @@
 }
 
 // Get is a call of table.Store.
-func (c *Counted) Get(ctx context.Context, key string) (row table.Row, ok bool, err error) {
+func (c *CountingStore) Get(ctx context.Context, key string) (row table.Row, ok bool, err error) {
 	c.count("read", key)
 	return c.store.Get(ctx, key)
 }
 
 // List is a call of table.Store.
-func (c *Counted) List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
+func (c *CountingStore) List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
 	c.count("list", prefix)
 	return c.store.List(ctx, prefix, after, limit)
 }
 
 // Snapshot is a call of feed.Source.
-func (c *Counted) Snapshot(ctx context.Context, name string) (feed.Batch, error) {
+func (c *CountingStore) Snapshot(ctx context.Context, name string) (feed.Batch, error) {
 	c.count("snapshot", name)
 	return c.store.Snapshot(ctx, name)
 }
 
 // Changes is a call of feed.Source.
-func (c *Counted) Changes(ctx context.Context, name string, after int64, wait time.Duration) (feed.Batch, error) {
+func (c *CountingStore) Changes(ctx context.Context, name string, after int64, wait time.Duration) (feed.Batch, error) {
 	c.count("changes", name)
 	return c.store.Changes(ctx, name, after, wait)
 }
--- a/pkg/storeclock/clock.go
+++ b/pkg/storeclock/clock.go
@@ -24,15 +24,15 @@
 // New returns a clock that starts now.
 func New() *Clock { return &Clock{start: steady.Now()} }
 
-// Running returns the time since the clock's start.
-func (c *Clock) Running() time.Duration { return steady.Since(c.start) }
+// Uptime returns the time since the clock's start.
+func (c *Clock) Uptime() time.Duration { return steady.Since(c.start) }
 
 // Now returns the time of day at the start plus what has passed since: steps
 // of the time of day don't show.
 func (c *Clock) Now() time.Time { return c.start.Add(steady.Since(c.start)) }
 
-// Heard applies the store's clock of an answer that has just come.
-func (c *Clock) Heard(store time.Duration) {
+// Observe applies the store's clock of an answer that has just come.
+func (c *Clock) Observe(store time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	start := store - steady.Since(c.start)
@@ -42,8 +42,8 @@
 	}
 }
 
-// Store returns the store's clock now.
-func (c *Clock) Store() (time.Duration, bool) {
+// StoreTime returns the store's clock now.
+func (c *Clock) StoreTime() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.storeStart + steady.Since(c.start), c.known
@@ -51,13 +51,13 @@
 
 // Offset returns this host's time of day less the store's clock.
 func (c *Clock) Offset() (time.Duration, bool) {
-	now, ok := c.Store()
+	now, ok := c.StoreTime()
 	return time.Duration(time.Now().UnixNano()) - now, ok
 }
 
-// Since returns the store's clock at the start, rounded so that it stays the
+// StoreStartTime returns the store's clock at the start, rounded so that it stays the
 // same while better answers come; 0 while it is not known.
-func (c *Clock) Since() time.Duration {
+func (c *Clock) StoreStartTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.known {
--- a/pkg/storeclock/clock_test.go
+++ b/pkg/storeclock/clock_test.go
@@ -15,16 +15,16 @@
 		c := storeclock.New()
 		began := time.Now()
 		store := func() time.Duration { return time.Hour + time.Since(began) }
-		if _, known := c.Store(); known {
+		if _, known := c.StoreTime(); known {
 			t.Error("store's clock before it was heard: got known, want not")
 		}
 		for _, delay := range []time.Duration{300, 20, 900} {
 			at := store()
 			time.Sleep(delay * time.Millisecond)
-			c.Heard(at)
+			c.Observe(at)
 		}
 		time.Sleep(5 * time.Second)
-		got, known := c.Store()
+		got, known := c.StoreTime()
 		if want := store() - 20*time.Millisecond; !known || got != want {
 			t.Errorf("store's clock: got %v, %v, want %v: 20 ms behind", got, known, want)
 		}
@@ -36,13 +36,13 @@
 func TestSinceIsSteady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := storeclock.New()
-		if got := c.Since(); got != 0 {
+		if got := c.StoreStartTime(); got != 0 {
 			t.Errorf("start while the store's clock is not known: got %v, want 0", got)
 		}
-		c.Heard(time.Hour + 200*time.Millisecond)
-		first := c.Since()
-		c.Heard(time.Hour + 400*time.Millisecond)
-		if got := c.Since(); got != first || first != time.Hour {
+		c.Observe(time.Hour + 200*time.Millisecond)
+		first := c.StoreStartTime()
+		c.Observe(time.Hour + 400*time.Millisecond)
+		if got := c.StoreStartTime(); got != first || first != time.Hour {
 			t.Errorf("start: got %v and then %v, want %v", first, got, time.Hour)
 		}
 	})
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -139,7 +139,7 @@
 // StoreReachableFor returns how long the endpoints' feed has not failed, or 0 if its last
 // answer is older than answerTimeout.
 func (v *View) StoreReachableFor() time.Duration {
-	now := v.clock.Running()
+	now := v.clock.Uptime()
 	since := time.Duration(v.reachableSince.Load())
 	if since == 0 || now-time.Duration(v.lastAnswer.Load()) > answerTimeout {
 		return 0
@@ -180,7 +180,7 @@
 	startFeed := func(name string, pause func() time.Duration, apply feed.BatchHandler) {
 		timing := feed.Timing{PollTimeout: byRole(relayWait, feedWait), PollDelay: pause, RetryDelay: feedRetry}
 		receive := func(batch feed.Batch) {
-			v.clock.Heard(batch.StoreTime)
+			v.clock.Observe(batch.StoreTime)
 			v.recordEra(name, batch)
 			apply(batch)
 		}
@@ -262,13 +262,13 @@
 		v.endpoints.MarkStoreUnavailable()
 		return
 	}
-	now := max(int64(v.clock.Running()), 1)
+	now := max(int64(v.clock.Uptime()), 1)
 	v.lastAnswer.Store(now)
 	v.reachableSince.CompareAndSwap(0, now)
 }
 
 func (v *View) applyConfiguration(batch feed.Batch) {
-	v.routeTables.Confirm()
+	v.routeTables.MarkConfirmed()
 	first := !v.configurationRead
 	v.configurationRead = true
 	for _, row := range batch.Rows {
--- a/pkg/timeline/timeline.go
+++ b/pkg/timeline/timeline.go
@@ -25,8 +25,8 @@
 	heap.Push(&t.events, event{t.now + pause, t.planned, do})
 }
 
-// Planned is how many things were planned so far.
-func (t *Timeline) Planned() int { return t.planned }
+// Scheduled is how many things were planned so far.
+func (t *Timeline) Scheduled() int { return t.planned }
 
 // Run does what was planned until the end, or until over says so; nil never does.
 func (t *Timeline) Run(end time.Duration, over func() bool) {
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -24,8 +24,8 @@
 	line.After(2*time.Minute, note("after the end"))
 	line.Run(30*time.Second, nil)
 	want := []string{"first", "second", "third", "fourth", "the one that reaches the end"}
-	if !slices.Equal(got, want) || line.Now() != time.Minute || line.Planned() != 6 {
-		t.Errorf("got %q at %v, %d planned, want %q at 1m, 6 planned", got, line.Now(), line.Planned(), want)
+	if !slices.Equal(got, want) || line.Now() != time.Minute || line.Scheduled() != 6 {
+		t.Errorf("got %q at %v, %d planned, want %q at 1m, 6 planned", got, line.Now(), line.Scheduled(), want)
 	}
 	line.Run(time.Hour, func() bool { return true })
 	if got := len(got); got != 6 {
