--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -1,9 +1,9 @@
-// Package accept gathers the jobs that a data centre's entries accept into few
-// commits. At the planned size an entry accepts a job or two a second, so that
-// batches of one entry would hold one job each and the store would see a
-// commit for every job. One entry of each data centre, chosen by rendezvous
-// hashing, therefore commits for the others. It decides nothing: whoever asked
-// it commits alone where it does not answer, and the rows tell who was first.
+// Package accept batches the inserts of accepted jobs across the entries of a data centre. At the
+// planned size an entry accepts one or two jobs per second, so that a batch of one entry would
+// contain a single job and the store would receive one commit per job. Therefore one entry per data
+// centre, chosen by rendezvous hashing, commits for the others. It has no authority over the
+// outcome: an entry that gets no answer from it commits the rows itself, and the rows in the store
+// determine which insert was first.
 package accept
 
 import (
@@ -20,25 +20,26 @@
 	"ironhollow/pkg/table"
 )
 
-// Links is how other entries are reached.
+// Links sends messages to other entries.
 type Links interface {
-	// SendTo sends on the link to a node; false if there is none.
+	// SendTo sends a message over the link to a node and reports whether there is a link.
 	SendTo(node string, message peer.Message) bool
-	// Ensure begins to link to a node.
+	// Ensure starts to open a link to a node if there is none.
 	Ensure(node membership.Node)
 }
 
-// Parameters of asking another entry.
+// Parameters of commits through another entry.
 const (
-	// answerTime bounds the wait for the other entry; a commit takes some
-	// milliseconds and its window ten.
-	answerTime = 500 * time.Millisecond
-	// gatherKey is hashed with a data centre's name to choose its entry.
-	gatherKey = "accept/"
+	// answerTimeout bounds the wait for the answer of the other entry. A commit takes a few
+	// milliseconds and its batch window ten.
+	answerTimeout = 500 * time.Millisecond
+	// committerHashPrefix is hashed with the name of a data centre to choose the entry that commits
+	// for it.
+	committerHashPrefix = "accept/"
 )
 
-// Committer commits through the data centre's entry. It is safe for concurrent
-// use.
+// Committer commits accepted jobs through the entry that is chosen for the data centre. It is safe
+// for concurrent use.
 type Committer struct {
 	self  membership.Node
 	nodes *membership.Table
@@ -46,84 +47,87 @@
 	store table.Store
 	links Links
 
-	next    atomic.Int64
-	mu      sync.Mutex
-	waiting map[int64]chan peer.Accepted
-	counts  Counts
+	lastRequest atomic.Int64
+	mu          sync.Mutex
+	pending     map[int64]chan peer.Accepted
+	counts      Counts
 }
 
-// Counts count jobs by the way they went.
+// Counts counts jobs by where they were committed.
 type Counts struct {
-	// Local were committed here for callers of this entry, Forwarded through another
-	// entry, Served for another one, and Fallback here after the other did not
-	// answer.
+	// Local jobs are from callers of this entry and were committed here, Forwarded jobs by another
+	// entry. Served jobs were committed here for another entry. Fallback jobs were committed here
+	// because the other entry did not answer, or reported neither success nor a conflict.
 	Local, Forwarded, Served, Fallback int64
 }
 
-// New returns a gatherer over this entry's own batcher.
+// New returns a committer that uses local, the batcher of this entry, for the commits that it makes
+// itself.
 func New(self membership.Node, nodes *membership.Table, local *job.Batcher, store table.Store, links Links) *Committer {
-	return &Committer{self: self, nodes: nodes, local: local, store: store, links: links, waiting: map[int64]chan peer.Accepted{}}
+	return &Committer{self: self, nodes: nodes, local: local, store: store, links: links, pending: map[int64]chan peer.Accepted{}}
 }
 
-// Counts returns the counters so far.
-func (g *Committer) Counts() Counts {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.counts
+// Counts returns the current counts.
+func (c *Committer) Counts() Counts {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.counts
 }
 
-func (g *Committer) count(change func(*Counts)) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	change(&g.counts)
+func (c *Committer) updateCounts(update func(*Counts)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	update(&c.counts)
 }
 
-// gatherer returns the entry that commits for this data centre.
-func (g *Committer) gatherer() (membership.Node, bool) {
-	var centre []membership.Node
-	for _, n := range g.nodes.ServingNodes() {
-		if n.DataCenter == g.self.DataCenter {
-			centre = append(centre, n)
+// remoteCommitter returns the entry that commits for this data centre, or false if that is this
+// entry or there is none.
+func (c *Committer) remoteCommitter() (membership.Node, bool) {
+	var candidates []membership.Node
+	for _, n := range c.nodes.ServingNodes() {
+		if n.DataCenter == c.self.DataCenter {
+			candidates = append(candidates, n)
 		}
 	}
-	top := membership.TopByHash(gatherKey+g.self.DataCenter, centre, 1)
-	if len(top) == 0 || top[0].ID == g.self.ID {
+	top := membership.TopByHash(committerHashPrefix+c.self.DataCenter, candidates, 1)
+	if len(top) == 0 || top[0].ID == c.self.ID {
 		return membership.Node{}, false
 	}
 	return top[0], true
 }
 
 // Commit inserts the rows of one job.
-func (g *Committer) Commit(ctx context.Context, rows []table.Write) table.Outcome {
-	node, remote := g.gatherer()
+func (c *Committer) Commit(ctx context.Context, rows []table.Write) table.Outcome {
+	committer, remote := c.remoteCommitter()
 	if !remote {
-		g.count(func(c *Counts) { c.Local++ })
-		return g.local.Commit(ctx, rows)
+		c.updateCounts(func(counts *Counts) { counts.Local++ })
+		return c.local.Commit(ctx, rows)
 	}
-	if answer, ok := g.ask(ctx, node, rows); ok {
+	if answer, ok := c.commitRemotely(ctx, committer, rows); ok {
 		switch answer.Outcome {
 		case peer.AcceptDone:
-			g.count(func(c *Counts) { c.Forwarded++ })
+			c.updateCounts(func(counts *Counts) { counts.Forwarded++ })
 			return table.Done{Version: answer.Version}
 		case peer.AcceptConflict:
-			return g.settle(ctx, rows)
+			return c.commitLocally(ctx, rows)
 		}
 	}
-	// It did not answer, or does not know: both may insert, the row decides.
-	g.count(func(c *Counts) { c.Fallback++ })
-	return g.settle(ctx, rows)
+	// There was no answer, or the other entry refused the rows or does not know the outcome. Both
+	// entries may insert the rows; the row in the store decides.
+	c.updateCounts(func(counts *Counts) { counts.Fallback++ })
+	return c.commitLocally(ctx, rows)
 }
 
-// settle commits here. A row that stands already and is the same is this job's
-// own, inserted by the other entry: its owner and time are in it.
-func (g *Committer) settle(ctx context.Context, rows []table.Write) table.Outcome {
-	outcome := g.local.Commit(ctx, rows)
+// commitLocally commits the rows here. If the job's row exists already with the same value, the
+// other entry inserted it for this job, as the value contains the job's owner and time.
+func (c *Committer) commitLocally(ctx context.Context, rows []table.Write) table.Outcome {
+	outcome := c.local.Commit(ctx, rows)
 	refused, ok := outcome.(table.Refused)
 	if !ok {
 		return outcome
 	}
 	if len(refused.Conflicts) == 0 {
-		// This try was turned away; the other entry's may stand all the same.
+		// This attempt was refused, but the attempt of the other entry may still have taken effect.
 		return table.Unknown{Err: refused.Err}
 	}
 	for _, row := range refused.Conflicts {
@@ -134,27 +138,27 @@
 	return outcome
 }
 
-// ask sends the rows to another entry and waits for its answer.
-func (g *Committer) ask(ctx context.Context, node membership.Node, rows []table.Write) (peer.Accepted, bool) {
-	request := g.next.Add(1)
+// commitRemotely sends the rows to another entry and waits for its answer.
+func (c *Committer) commitRemotely(ctx context.Context, node membership.Node, rows []table.Write) (peer.Accepted, bool) {
+	request := c.lastRequest.Add(1)
 	answer := make(chan peer.Accepted, 1)
-	g.mu.Lock()
-	g.waiting[request] = answer
-	g.mu.Unlock()
+	c.mu.Lock()
+	c.pending[request] = answer
+	c.mu.Unlock()
 	defer func() {
-		g.mu.Lock()
-		delete(g.waiting, request)
-		g.mu.Unlock()
+		c.mu.Lock()
+		delete(c.pending, request)
+		c.mu.Unlock()
 	}()
 	message := peer.Accept{Request: request}
 	for _, row := range rows {
 		message.Rows = append(message.Rows, peer.AcceptRow{Key: row.Key, Value: row.Value})
 	}
-	if !g.links.SendTo(node.ID, message) {
-		g.links.Ensure(node)
+	if !c.links.SendTo(node.ID, message) {
+		c.links.Ensure(node)
 		return peer.Accepted{}, false
 	}
-	timer := time.NewTimer(answerTime)
+	timer := time.NewTimer(answerTimeout)
 	defer timer.Stop()
 	select {
 	case a := <-answer:
@@ -165,38 +169,38 @@
 	return peer.Accepted{}, false
 }
 
-// serveTime bounds a commit made for another entry.
-const serveTime = 5 * time.Second
+// serveTimeout bounds a commit for another entry.
+const serveTimeout = 5 * time.Second
 
-// Handle takes what other entries send; it is a peer.Handler.
-func (g *Committer) Handle(reply peer.Sender, message peer.Message) {
+// Handle processes a message from another entry. It is a peer.Handler.
+func (c *Committer) Handle(reply peer.Sender, message peer.Message) {
 	switch m := message.(type) {
 	case peer.Accept:
-		go g.serve(reply, m)
+		go c.serve(reply, m)
 	case peer.Accepted:
-		g.mu.Lock()
-		answer, ok := g.waiting[m.Request]
-		g.mu.Unlock()
+		c.mu.Lock()
+		answer, ok := c.pending[m.Request]
+		c.mu.Unlock()
 		if ok {
 			answer <- m
 		}
 	}
 }
 
-// errEmpty says that an entry asked for nothing.
-var errEmpty = errors.New("accept: no rows")
+// errNoRows is the error for a message without rows.
+var errNoRows = errors.New("accept: no rows")
 
-func (g *Committer) serve(reply peer.Sender, m peer.Accept) {
-	ctx, cancel := context.WithTimeout(context.Background(), serveTime)
+func (c *Committer) serve(reply peer.Sender, m peer.Accept) {
+	ctx, cancel := context.WithTimeout(context.Background(), serveTimeout)
 	defer cancel()
-	rows, err := rowsOf(m)
+	rows, err := decodeWrites(m)
 	if err != nil {
 		reply(peer.Accepted{Request: m.Request, Outcome: peer.AcceptRefused})
 		return
 	}
-	g.count(func(c *Counts) { c.Served++ })
+	c.updateCounts(func(counts *Counts) { counts.Served++ })
 	answer := peer.Accepted{Request: m.Request, Outcome: peer.AcceptUnknown}
-	switch outcome := g.local.Commit(ctx, rows).(type) {
+	switch outcome := c.local.Commit(ctx, rows).(type) {
 	case table.Done:
 		answer.Outcome, answer.Version = peer.AcceptDone, outcome.Version
 	case table.Refused:
@@ -208,11 +212,12 @@
 	reply(answer)
 }
 
-// rowsOf gives the writes back their conditions: the job's row decides, the
-// owner's index entry follows it.
-func rowsOf(m peer.Accept) ([]table.Write, error) {
+// decodeWrites returns the rows of a message as writes with their conditions, which the message
+// does not contain: the first row, that of the job, must be absent; the owner's index entry has no
+// condition of its own.
+func decodeWrites(m peer.Accept) ([]table.Write, error) {
 	if len(m.Rows) == 0 {
-		return nil, errEmpty
+		return nil, errNoRows
 	}
 	rows := make([]table.Write, len(m.Rows))
 	for i, r := range m.Rows {
--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -16,51 +16,51 @@
 	"ironhollow/pkg/table"
 )
 
-// site is the entries of one data centre, with messages passed by hand.
-type site struct {
-	rows      *tables.Store
-	gatherers map[string]*accept.Committer
-	batchers  map[string]*job.Batcher
-	// lose drops messages; it is asked for each.
-	lose func(m peer.Message) bool
+// dataCenter holds the entries of one data centre and delivers their messages without a network.
+type dataCenter struct {
+	rows       *tables.Store
+	committers map[string]*accept.Committer
+	batchers   map[string]*job.Batcher
+	// drop is called for each message and reports whether the message is lost.
+	drop func(m peer.Message) bool
 }
 
-// links is one entry's view of the others.
+// links implements accept.Links for one entry.
 type links struct {
-	site *site
-	self string
+	dataCenter *dataCenter
+	self       string
 }
 
 func (l links) SendTo(node string, m peer.Message) bool {
-	if l.site.lose(m) {
+	if l.dataCenter.drop(m) {
 		return true
 	}
 	reply := func(answer peer.Message) {
-		if !l.site.lose(answer) {
-			l.site.gatherers[l.self].Handle(nil, answer)
+		if !l.dataCenter.drop(answer) {
+			l.dataCenter.committers[l.self].Handle(nil, answer)
 		}
 	}
 	go func() {
 		time.Sleep(time.Millisecond)
-		l.site.gatherers[node].Handle(reply, m)
+		l.dataCenter.committers[node].Handle(reply, m)
 	}()
 	return true
 }
 
 func (l links) Ensure(membership.Node) {}
 
-func newSite(entries int, window time.Duration) *site {
-	s := &site{rows: tables.New(), gatherers: map[string]*accept.Committer{}, batchers: map[string]*job.Batcher{}, lose: func(peer.Message) bool { return false }}
+func newDataCenter(entries int, window time.Duration) *dataCenter {
+	d := &dataCenter{rows: tables.New(), committers: map[string]*accept.Committer{}, batchers: map[string]*job.Batcher{}, drop: func(peer.Message) bool { return false }}
 	nodes := membership.NewTable()
 	for i := range entries {
 		nodes.Merge(membership.Node{ID: fmt.Sprintf("n%d", i), Incarnation: 1, Status: membership.Alive, Ready: true, DataCenter: "dc"})
 	}
 	for _, n := range nodes.Nodes() {
-		writer := table.NewWriter(s.rows, n.ID)
-		s.batchers[n.ID] = job.NewBatcher(writer, window)
-		s.gatherers[n.ID] = accept.New(n, nodes, s.batchers[n.ID], s.rows, links{s, n.ID})
+		writer := table.NewWriter(d.rows, n.ID)
+		d.batchers[n.ID] = job.NewBatcher(writer, window)
+		d.committers[n.ID] = accept.New(n, nodes, d.batchers[n.ID], d.rows, links{d, n.ID})
 	}
-	return s
+	return d
 }
 
 func rows(entry, key string) []table.Write {
@@ -70,14 +70,14 @@
 	}
 }
 
-// TestJobsOfADataCentreShareCommits accepts two jobs a second at each of 22
-// entries, as at the planned size, and compares commits and waits with each
-// entry committing alone.
-func TestJobsOfADataCentreShareCommits(t *testing.T) {
-	run := func(gather bool, window time.Duration) (commits int64, mean time.Duration) {
+// Checks that the entries of a data centre share commits. 22 entries, as at the planned size,
+// accept two jobs per second each; the commits and the mean wait are compared with those of entries
+// that commit on their own.
+func TestEntriesOfADataCentreShareCommits(t *testing.T) {
+	run := func(share bool, window time.Duration) (commits int64, mean time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
-			s := newSite(22, window)
-			s.rows.SetFaults(func(tables.Call) tables.Fault { return tables.Delay{For: 3 * time.Millisecond} })
+			d := newDataCenter(22, window)
+			d.rows.SetFaults(func(tables.Call) tables.Fault { return tables.Delay{For: 3 * time.Millisecond} })
 			var mu sync.Mutex
 			var total time.Duration
 			jobs := 0
@@ -87,18 +87,18 @@
 				wait.Go(func() {
 					time.Sleep(time.Duration(i*37%500) * time.Millisecond)
 					for n := range 20 {
-						begun := time.Now()
+						start := time.Now()
 						var outcome table.Outcome
-						if gather {
-							outcome = s.gatherers[id].Commit(context.Background(), rows(id, fmt.Sprintf("%s-%d", id, n)))
+						if share {
+							outcome = d.committers[id].Commit(context.Background(), rows(id, fmt.Sprintf("%s-%d", id, n)))
 						} else {
-							outcome = s.batchers[id].Commit(context.Background(), rows(id, fmt.Sprintf("%s-%d", id, n)))
+							outcome = d.batchers[id].Commit(context.Background(), rows(id, fmt.Sprintf("%s-%d", id, n)))
 						}
 						if _, ok := outcome.(table.Done); !ok {
 							t.Errorf("got %#v, want Done", outcome)
 						}
 						mu.Lock()
-						total += time.Since(begun)
+						total += time.Since(start)
 						jobs++
 						mu.Unlock()
 						time.Sleep(time.Duration(400+(i*53+n*97)%200) * time.Millisecond)
@@ -106,35 +106,35 @@
 				})
 			}
 			wait.Wait()
-			commits, mean = s.rows.Count(tables.OperationCommit), total/time.Duration(jobs)
+			commits, mean = d.rows.Count(tables.OperationCommit), total/time.Duration(jobs)
 		})
 		return commits, mean
 	}
 	const window = 100 * time.Millisecond
 	for _, w := range []time.Duration{10 * time.Millisecond, 50 * time.Millisecond, window} {
-		alone, aloneWait := run(false, w)
-		together, wait := run(true, w)
-		t.Logf("window %v, 440 jobs at 44 a second: %d commits and %v alone, %d commits and %v together", w, alone, aloneWait, together, wait)
-		if w == window && together*4 > alone {
-			t.Errorf("commits: got %d, want at most a quarter of the %d of each alone", together, alone)
+		separate, separateWait := run(false, w)
+		shared, sharedWait := run(true, w)
+		t.Logf("window %v, 440 jobs at 44 per second: %d commits and mean wait %v separate, %d commits and mean wait %v shared", w, separate, separateWait, shared, sharedWait)
+		if w == window && shared*4 > separate {
+			t.Errorf("shared commits: got %d, want at most a quarter of the %d separate ones", shared, separate)
 		}
-		if wait > w+20*time.Millisecond {
-			t.Errorf("wait: got %v, want little over the window of %v", wait, w)
+		if sharedWait > w+20*time.Millisecond {
+			t.Errorf("mean wait: got %v, want at most 20 ms over the window of %v", sharedWait, w)
 		}
 	}
 }
 
-// TestFailuresOnTheWay loses the question, or the answer, or has the store fail
-// at any call: the job is accepted once, and each caller is told the truth.
-func TestFailuresOnTheWay(t *testing.T) {
+// Checks that a job is accepted once, and that each entry gets a correct outcome, if the request or
+// the answer is lost or the store fails at any call.
+func TestLostMessagesAndStoreFaults(t *testing.T) {
 	isAnswer := func(m peer.Message) bool { _, ok := m.(peer.Accepted); return ok }
 	cases := []struct {
 		name string
-		lose func(peer.Message) bool
+		drop func(peer.Message) bool
 	}{
-		{"the question is lost", func(m peer.Message) bool { return !isAnswer(m) }},
-		{"the answer is lost", isAnswer},
-		{"nothing is lost", func(peer.Message) bool { return false }},
+		{"request lost", func(m peer.Message) bool { return !isAnswer(m) }},
+		{"answer lost", isAnswer},
+		{"nothing lost", func(peer.Message) bool { return false }},
 	}
 	faults := []tables.Fault{tables.None{}, tables.LoseAnswer{}, tables.Down{}, tables.Refuse{}, tables.Late{For: 700 * time.Millisecond}}
 	for _, c := range cases {
@@ -142,37 +142,37 @@
 			for n := int64(1); n <= 3; n++ {
 				t.Run(fmt.Sprintf("%s, %T at call %d", c.name, fault, n), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						s := newSite(3, 10*time.Millisecond)
-						s.lose = c.lose
-						s.rows.SetFaults(func(call tables.Call) tables.Fault {
+						d := newDataCenter(3, 10*time.Millisecond)
+						d.drop = c.drop
+						d.rows.SetFaults(func(call tables.Call) tables.Fault {
 							if call.Number == n {
 								return fault
 							}
 							return tables.None{}
 						})
-						told := map[string]string{}
-						for id, g := range s.gatherers {
-							outcome := g.Commit(context.Background(), rows(id, "k"))
-							told[id] = fmt.Sprintf("%T", outcome)
+						outcomes := map[string]string{}
+						for id, committer := range d.committers {
+							outcome := committer.Commit(context.Background(), rows(id, "k"))
+							outcomes[id] = fmt.Sprintf("%T", outcome)
 						}
 						time.Sleep(10 * time.Second)
-						s.rows.SetFaults(nil)
-						row, ok, _ := s.rows.Get(context.Background(), "job/k")
+						d.rows.SetFaults(nil)
+						row, ok, _ := d.rows.Get(context.Background(), "job/k")
 						done := 0
-						for id, kind := range told {
+						for id, outcome := range outcomes {
 							owns := ok && string(row.Value) == id+"k"
-							if kind == "table.Done" {
+							if outcome == "table.Done" {
 								done++
 								if !owns {
-									t.Errorf("%s was told Done, but the row is %q", id, row.Value)
+									t.Errorf("outcome at %s: got Done, but the row is %q", id, row.Value)
 								}
 							}
-							if kind == "table.Refused" && owns {
-								t.Errorf("%s was told Refused, but the row is its own", id)
+							if outcome == "table.Refused" && owns {
+								t.Errorf("outcome at %s: got Refused, but the row is its own", id)
 							}
 						}
 						if done > 1 {
-							t.Errorf("told Done: got %d entries, want 1 at most", done)
+							t.Errorf("entries with the outcome Done: got %d, want at most 1", done)
 						}
 					})
 				})
