--- a/pkg/entrychoice/entrychoice.go
+++ b/pkg/entrychoice/entrychoice.go
@@ -1,5 +1,5 @@
-// Package entrychoice answers callers who ask which entry hosts to use: there
-// is no balancer, so the answers themselves must spread the load.
+// Package entrychoice selects the entry hosts that a caller should use. There is no load balancer
+// in front of the entry hosts, so these answers must spread the callers over them.
 package entrychoice
 
 import (
@@ -10,21 +10,20 @@
 	"ironhollow/pkg/membership"
 )
 
-// mostEntries bounds the entries named in one answer.
-const mostEntries = 8
+// maxEntries is the maximum number of entry hosts in one answer.
+const maxEntries = 8
 
-// fullLoad is the load, in tenths, from which a node is left out while others
-// have room.
+// fullLoad is the load, in tenths of the node's capacity, from which a node counts as full. Full
+// nodes are omitted while others have spare capacity.
 const fullLoad = 10
 
-// Choose returns the entry hosts to use, in order. Every answer is a fresh
-// weighted shuffle, a host's weight being the room it has, so that callers
-// spread evenly whichever hosts they ask; hosts in the caller's data centre
-// come first where it is known and has any with room.
+// Choose returns the entry hosts to use, in order of preference. Each call shuffles the hosts anew,
+// weighted by spare capacity, so that callers spread evenly whichever hosts they ask. Hosts in the
+// caller's data centre come first if the data centre is known and any of them has spare capacity.
 func Choose(nodes []membership.Node, dataCenter string, random *rand.Rand) []membership.Node {
-	best := make([]candidate, 0, mostEntries+1)
-	for _, n := range withRoom(nodes) {
-		best = keep(best, candidate{n, priority(n, dataCenter, random)})
+	best := make([]candidate, 0, maxEntries+1)
+	for _, n := range withSpareCapacity(nodes) {
+		best = insertByPriority(best, candidate{n, priority(n, dataCenter, random)})
 	}
 	chosen := make([]membership.Node, len(best))
 	for i, c := range best {
@@ -33,16 +32,17 @@
 	return chosen
 }
 
-// keep puts a candidate in its place among the best ones, in order.
-func keep(best []candidate, c candidate) []candidate {
-	at := sort.Search(len(best), func(i int) bool { return best[i].priority < c.priority })
-	if at == mostEntries {
+// insertByPriority inserts a candidate into best, which is sorted by descending priority and
+// limited to maxEntries.
+func insertByPriority(best []candidate, c candidate) []candidate {
+	index := sort.Search(len(best), func(i int) bool { return best[i].priority < c.priority })
+	if index == maxEntries {
 		return best
 	}
 	best = append(best, candidate{})
-	copy(best[at+1:], best[at:])
-	best[at] = c
-	return best[:min(len(best), mostEntries)]
+	copy(best[index+1:], best[index:])
+	best[index] = c
+	return best[:min(len(best), maxEntries)]
 }
 
 type candidate struct {
@@ -50,27 +50,29 @@
 	priority float64
 }
 
-// withRoom leaves out full nodes, unless all are.
-func withRoom(nodes []membership.Node) []membership.Node {
-	var room []membership.Node
+// withSpareCapacity returns the nodes that are not full, or all nodes if all are full.
+func withSpareCapacity(nodes []membership.Node) []membership.Node {
+	var available []membership.Node
 	for _, n := range nodes {
 		if n.Load < fullLoad {
-			room = append(room, n)
+			available = append(available, n)
 		}
 	}
-	if len(room) == 0 {
+	if len(available) == 0 {
 		return nodes
 	}
-	return room
+	return available
 }
 
-// priority draws a node's place: an exponential race (Efraimidis and Spirakis
-// 2006) gives the first place with a probability proportional to the weight.
+// priority returns a random sort key for a node. Sorting by these exponentially distributed keys is
+// weighted sampling (Efraimidis and Spirakis 2006): a node comes first with a probability
+// proportional to its weight.
 func priority(n membership.Node, dataCenter string, random *rand.Rand) float64 {
 	weight := float64(max(1, fullLoad+2-n.Load))
 	draw := math.Log(1-random.Float64()) / weight
 	if dataCenter != "" && n.DataCenter == dataCenter {
-		// Draws are at most 0; this maps them, in order, to between 0 and 1.
+		// Draws are at most 0. Exp maps them to between 0 and 1 in the same order, so that these
+		// nodes sort before all others.
 		return math.Exp(draw)
 	}
 	return draw
--- a/pkg/routetable/holder.go
+++ b/pkg/routetable/holder.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Holder keeps the table in force. It never goes back to an older version. It
-// is safe for concurrent use.
+// Holder holds the route table in force and never replaces it with an older version. It is safe for
+// concurrent use.
 type Holder struct {
-	// staleAfter is how long after the store's last word a newer version may be
-	// in force unheard.
+	// staleAfter is the time since the store's last answer after which the store may have a newer
+	// version that has not been received.
 	staleAfter time.Duration
 	now        func() time.Time
 
@@ -17,16 +17,17 @@
 	confirmedAt atomic.Int64
 }
 
-// NewHolder returns a holder of nothing.
+// NewHolder returns a holder without a table.
 func NewHolder(staleAfter time.Duration, now func() time.Time) *Holder {
 	return &Holder{staleAfter: staleAfter, now: now}
 }
 
-// MarkConfirmed notes that the store has answered about the configuration, with or without a change.
+// MarkConfirmed records that the store has just answered about the configuration, with or without a
+// change.
 func (h *Holder) MarkConfirmed() { h.confirmedAt.Store(h.now().UnixNano()) }
 
-// Adopt puts a version in force and reports whether it is newer than the one
-// before. It is called from one goroutine.
+// Adopt puts a configuration version in force if it is newer than the current one, and reports
+// whether it did. It must be called from one goroutine only.
 func (h *Holder) Adopt(spec Spec) bool {
 	if current := h.table.Load(); current != nil && spec.Version <= current.Version() {
 		return false
@@ -35,9 +36,9 @@
 	return true
 }
 
-// Current returns the table in force, nil while none is known. fresh is false while the store
-// may have a newer one.
+// Current returns the table in force, or nil if there is none yet. fresh is false while the store
+// may have a newer version.
 func (h *Holder) Current() (table *Table, fresh bool) {
-	heard := time.Unix(0, h.confirmedAt.Load())
-	return h.table.Load(), h.now().Sub(heard) < h.staleAfter
+	confirmedAt := time.Unix(0, h.confirmedAt.Load())
+	return h.table.Load(), h.now().Sub(confirmedAt) < h.staleAfter
 }
--- a/pkg/routetable/routetable.go
+++ b/pkg/routetable/routetable.go
@@ -1,7 +1,6 @@
-// Package routetable holds the routes, services and teams of one configuration
-// version for raw HTTP forwarding: which service answers a host and path, what
-// may be repeated there, for how long and for whom. A Table is built once, is
-// never changed, and is safe for concurrent use.
+// Package routetable holds the routes, services and teams of one configuration version for raw HTTP
+// forwarding: which service handles a host and path, which requests may be repeated, the time
+// limits and who may call. A Table is immutable once built and is safe for concurrent use.
 package routetable
 
 import (
@@ -13,50 +12,51 @@
 	"ironhollow/pkg/fleet"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind determines how often the requests of a route may run and how they are answered.
 type Kind int
 
 // The kinds of route.
 const (
 	// Safe requests may run any number of times.
 	Safe Kind = iota + 1
-	// Once requests run once at most.
+	// Once requests run at most once.
 	Once
-	// Stream requests are answered by server-sent events.
+	// Stream requests are answered with server-sent events.
 	Stream
 )
 
-// Split is one service's part of a route's requests.
+// Split is the share of a route's requests that goes to one service.
 type Split struct {
 	Service string
-	// Weight is relative to the others of the route, above 0.
+	// Weight is relative to the other splits of the route and above 0.
 	Weight int
 }
 
-// Route is one entry of the table.
+// Route assigns the requests of a host and path prefix to services.
 type Route struct {
 	Name string
-	// Host is lower case and without a port.
+	// Host is in lower case, without a port.
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix starts and ends with a slash.
 	Prefix string
 	Kind   Kind
 	// Splits is never empty.
 	Splits []Split
-	// Timeout is how long a request may be held in all.
+	// Timeout is the total time for which a request may be held.
 	Timeout time.Duration
-	// LatencyObjective is the time within which an answer, or the first event of a
-	// stream, is in time.
+	// LatencyObjective is the time within which a response, or the first event of a stream, counts
+	// as on time.
 	LatencyObjective time.Duration
-	// MaxEventGap is the longest pause between events in time, 0 if not a stream.
+	// MaxEventGap is the longest gap between two events of a stream that counts as on time; 0 if
+	// the route is not a stream.
 	MaxEventGap time.Duration
-	// MaxAttempts is the most endpoints a request is sent to, at least 1.
+	// MaxAttempts is the maximum number of endpoints that a request is sent to, at least 1.
 	MaxAttempts int
-	// Priority ranks requests; 0 goes first.
+	// Priority ranks requests; 0 is the highest.
 	Priority int
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams can go on at another endpoint after their last event.
+	// Resumable streams can continue at another endpoint after their last event.
 	Resumable bool
 }
 
@@ -65,49 +65,49 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Service is a group of endpoints that routes name.
+// Service is a group of endpoints that routes refer to by name.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections an endpoint accepts from all entry
-	// hosts together, 0 for no bound.
+	// MaxConnections is the number of connections that an endpoint accepts from all entry hosts
+	// together; 0 for no limit.
 	MaxConnections int
-	// Slots is how many requests an engine runs at once, 0 for a plain service.
+	// Slots is the number of requests that an engine runs concurrently; 0 for a plain service.
 	Slots int
-	// TokensPerEvent is how many tokens an event of a stream holds, 1 if not known.
+	// TokensPerEvent is the number of tokens in one event of a stream; 1 if not known.
 	TokensPerEvent int
-	// Scaling is nil for services whose size is fixed.
+	// Scaling is nil for services of fixed size.
 	Scaling *Scaling
 }
 
-// Scaling says how many endpoints of a service may be ordered and their price.
+// Scaling bounds the number of endpoints of a service that may be ordered and gives their prices.
 type Scaling struct {
-	// MinEndpoints and MaxEndpoints bound the endpoints of one data centre, both classes together.
+	// MinEndpoints and MaxEndpoints bound the number of endpoints in one data centre, on-demand and
+	// reclaimable together.
 	MinEndpoints, MaxEndpoints int
 	// BootTime is the time from an order to the first request served.
 	BootTime time.Duration
-	// ReclaimablePrice is the price of a reclaimable endpoint as a share of the
-	// others' price.
+	// ReclaimablePrice is the price of a reclaimable endpoint as a share of the on-demand price.
 	ReclaimablePrice float64
 	// Prices holds the relative price of an endpoint by data centre.
 	Prices map[string]float64
 }
 
-// Team is one team of callers.
+// Team is a group of callers with its keys and limits.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's if HasPriority is true.
+	// Priority overrides the priority of the route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Rate and Burst are per second and at once, over all entries; 0 for no
-	// limit. They are requests or tokens as ByTokens says.
+	// Rate, per second, and Burst limit what the team sends to all entry hosts together: tokens if
+	// ByTokens is set, otherwise requests. 0 is no limit.
 	Rate, Burst float64
 	ByTokens    bool
-	// DefaultTokens is what a request without a count is taken for.
+	// DefaultTokens is the number of tokens assumed for a request that states none.
 	DefaultTokens int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes int64
 	HeaderTimeout, IdleTimeout   time.Duration
@@ -122,7 +122,7 @@
 	Limits   Limits
 }
 
-// Table is a Spec with its indexes.
+// Table is a Spec with indexes for lookups.
 type Table struct {
 	spec     Spec
 	byHost   map[string][]*Route
@@ -130,7 +130,7 @@
 	services map[string]*Service
 }
 
-// New builds a table. The spec must not be changed afterwards.
+// New builds a table. spec must not be changed afterwards.
 func New(spec Spec) *Table {
 	t := &Table{
 		spec:     spec,
@@ -159,23 +159,24 @@
 // Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.spec.Version }
 
-// Limits returns the bounds on what callers send.
+// Limits returns the bounds on what a caller may send.
 func (t *Table) Limits() Limits { return t.spec.Limits }
 
-// Services returns all services; not to be changed.
+// Services returns all services. The slice must not be changed.
 func (t *Table) Services() []Service { return t.spec.Services }
 
-// Service returns a service by name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// RequiresKeys reports whether routes that are not public ask for a key.
+// RequiresKeys reports whether routes that are not public require a key, which they do if any team
+// is configured.
 func (t *Table) RequiresKeys() bool { return len(t.spec.Teams) > 0 }
 
-// TokenRate returns the tokens a second that all teams together may ask for; ok is false
-// where there are none, or one has no limit in tokens.
+// TokenRate returns the total number of tokens per second that all teams may request. ok is false
+// if there are no teams or if one of them has no limit in tokens.
 func (t *Table) TokenRate() (rate float64, ok bool) {
 	for _, team := range t.spec.Teams {
 		if team.Rate <= 0 || !team.ByTokens {
@@ -186,17 +187,17 @@
 	return rate, len(t.spec.Teams) > 0
 }
 
-// Team returns the team a bearer key belongs to. Keys are compared by digest,
-// so that the time taken tells nothing about them.
+// Team returns the team that a bearer key belongs to. Keys are looked up by digest, so that the
+// time taken reveals nothing about them.
 func (t *Table) Team(key string) (*Team, bool) {
 	team, ok := t.byKey[fleet.HashKey(key)]
 	return team, ok
 }
 
-// Match returns the route with the longest prefix of the path on a host. The
-// host may carry a port. The path is as sent, with its escapes.
+// Match returns the route of a host with the longest prefix of the path. The host may include a
+// port. The path is matched as sent, with its escapes.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.byHost[plainHost(host)] {
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -204,30 +205,30 @@
 	return nil, false
 }
 
-func plainHost(host string) string {
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a request; draw is uniform in [0, 1).
+// Pick returns the service for a request, chosen by weight; draw is uniform in [0, 1).
 func (r *Route) Pick(draw float64) string {
 	total := 0
 	for _, s := range r.Splits {
 		total += s.Weight
 	}
-	at := int(draw * float64(total))
+	offset := int(draw * float64(total))
 	for _, s := range r.Splits {
-		if at < s.Weight {
+		if offset < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		offset -= s.Weight
 	}
 	return r.Splits[len(r.Splits)-1].Service
 }
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
