--- a/pkg/storecalls/storecalls_test.go
+++ b/pkg/storecalls/storecalls_test.go
@@ -12,7 +12,7 @@
 	"ironhollow/pkg/table"
 )
 
-// store answers nothing.
+// store is a store without rows.
 type store struct{}
 
 func (store) Commit(context.Context, table.Commit) table.Outcome { return table.Done{} }
@@ -44,10 +44,10 @@
 		t.Errorf("calls: got %q, want %q", got, want)
 	}
 	if got := c.Summary(); got != "" {
-		t.Errorf("calls since: got %q, want none", got)
+		t.Errorf("calls since the last summary: got %q, want none", got)
 	}
 	families, err := registry.Gather()
 	if err != nil || len(families) != 1 || len(families[0].GetMetric()) != 3 {
-		t.Errorf("metric: got %v, %v, want one with three kinds of call", families, err)
+		t.Errorf("metrics: got %v, %v, want one with three kinds of call", families, err)
 	}
 }
--- a/pkg/storeclock/clock.go
+++ b/pkg/storeclock/clock.go
@@ -1,6 +1,6 @@
-// Package storeclock measures the time since the process started and relates it to the steady
-// clock of the platform's store. It counts the time for which the machine was suspended, so that
-// what was received before is as old as it is when the machine wakes.
+// Package storeclock measures the time since the process started and relates it to the monotonic
+// clock of the platform's store. The time includes suspensions of the machine, so that data
+// received before a suspension has its true age when the machine resumes.
 package storeclock
 
 import (
@@ -10,58 +10,60 @@
 	"ironhollow/pkg/steady"
 )
 
-// Clock is the process's clock with what is known of the store's. It is safe for
+// Clock is the clock of the process, with an estimate of the store's clock. It is safe for
 // concurrent use.
 type Clock struct {
 	start time.Time
 
 	mu sync.Mutex
-	// storeStart is the store's clock at start, by the answer with the least delay.
-	storeStart time.Duration
-	known      bool
+	// storeTimeAtStart is the store's clock at start, estimated from the answer with the least
+	// delay.
+	storeTimeAtStart time.Duration
+	known            bool
 }
 
 // New returns a clock that starts now.
 func New() *Clock { return &Clock{start: steady.Now()} }
 
-// Uptime returns the time since the clock's start.
+// Uptime returns the time since the clock was started.
 func (c *Clock) Uptime() time.Duration { return steady.Since(c.start) }
 
-// Now returns the time of day at the start plus what has passed since: steps
-// of the time of day don't show.
+// Now returns the time of day at the start plus the time since then, so that adjustments of the
+// system clock have no effect.
 func (c *Clock) Now() time.Time { return c.start.Add(steady.Since(c.start)) }
 
-// Observe applies the store's clock of an answer that has just come.
-func (c *Clock) Observe(store time.Duration) {
+// Observe updates the estimate with the store's clock in an answer that has just arrived. The delay
+// of an answer lowers the estimate, so the highest one is kept.
+func (c *Clock) Observe(storeTime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	start := store - steady.Since(c.start)
-	if !c.known || start > c.storeStart {
-		c.storeStart = start
+	storeTimeAtStart := storeTime - steady.Since(c.start)
+	if !c.known || storeTimeAtStart > c.storeTimeAtStart {
+		c.storeTimeAtStart = storeTimeAtStart
 		c.known = true
 	}
 }
 
-// StoreTime returns the store's clock now.
+// StoreTime returns the store's clock now, or false before the first answer.
 func (c *Clock) StoreTime() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.storeStart + steady.Since(c.start), c.known
+	return c.storeTimeAtStart + steady.Since(c.start), c.known
 }
 
-// Offset returns this host's time of day less the store's clock.
+// Offset returns this host's time of day minus the store's clock, or false before the first answer.
 func (c *Clock) Offset() (time.Duration, bool) {
 	now, ok := c.StoreTime()
 	return time.Duration(time.Now().UnixNano()) - now, ok
 }
 
-// StoreStartTime returns the store's clock at the start, rounded so that it stays the
-// same while better answers come; 0 while it is not known.
+// StoreStartTime returns the store's clock at the start of the process, truncated to seconds so
+// that it stays the same while better estimates arrive; 0 before the first answer.
 func (c *Clock) StoreStartTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.known {
 		return 0
 	}
-	return c.storeStart.Truncate(time.Second)
+	return c.storeTimeAtStart.Truncate(time.Second)
 }
