--- a/pkg/plainservice/plainservice.go
+++ b/pkg/plainservice/plainservice.go
@@ -1,4 +1,5 @@
-// Package plainservice is the edge to plain services: one call, sent once.
+// Package plainservice is a client of plain services. It sends a call to one endpoint, without
+// retries.
 package plainservice
 
 import (
@@ -20,18 +21,18 @@
 
 // Headers between ironhollow and plain services.
 const (
-	// HeaderKey carries the caller's key for the call.
+	// HeaderKey is the caller's idempotency key for the call.
 	HeaderKey = "Idempotency-Key"
-	// HeaderDeadline is when the call must no longer start to run, in Unix
-	// milliseconds. Only some endpoints check it.
+	// HeaderDeadline is the time after which the call must not start to run, in Unix milliseconds.
+	// Only some endpoints check it.
 	HeaderDeadline = "X-Deadline-Ms"
-	// HeaderNotRun is set by endpoints that turned a call away unrun.
+	// HeaderNotRun is set by endpoints that rejected a call without running it.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLeaving is 1 in the answers of endpoints that leave.
+	// HeaderLeaving is 1 in responses of endpoints that are leaving.
 	HeaderLeaving = "X-Leaving"
 )
 
-// DeadlinePassed reports whether a call's deadline lies before now.
+// DeadlinePassed reports whether the deadline of a call is before now.
 func DeadlinePassed(h http.Header, now time.Time) bool {
 	ms, err := strconv.ParseInt(h.Get(HeaderDeadline), 10, 64)
 	return err == nil && now.After(time.UnixMilli(ms))
@@ -40,40 +41,40 @@
 // Call is one call to a plain service.
 type Call struct {
 	Method string
-	// Path and query as the caller gave them below the service's name.
+	// Path is the path and query of the caller's request after the name of the service.
 	Path   string
 	Header http.Header
 	Body   io.Reader
-	// Length is the body's length, -1 if not known.
+	// Length is the length of the body, or -1 if it is not known.
 	Length   int64
 	Deadline time.Time
-	// AtMostOnce says that the call may not be repeated.
+	// AtMostOnce is set if the call must not be repeated.
 	AtMostOnce bool
 }
 
-// Response is what the endpoint said. Body must be closed.
+// Response is the response of an endpoint. Body must be closed.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Notice is what the answer says of the endpoint itself.
+	// Notice is what the response says about the endpoint itself.
 	Notice endpoint.Notice
 }
 
-// ErrNotSent says that no byte of the call can have reached the endpoint, or
-// that the endpoint itself said that it did not run the call.
+// ErrNotSent is the error if no byte of the call can have reached the endpoint, or if the endpoint
+// reported that it did not run the call.
 var ErrNotSent = errors.New("plainservice: not sent")
 
-// RejectedError is an ErrNotSent of an endpoint that did not run the call by its own word.
+// RejectedError is an ErrNotSent for a call that the endpoint reported as not run.
 type RejectedError struct{ Notice endpoint.Notice }
 
-// Error says that the endpoint turned the call away.
+// Error implements the error interface.
 func (*RejectedError) Error() string { return "plainservice: endpoint turned the call away" }
 
-// Unwrap makes it an ErrNotSent.
+// Unwrap makes errors.Is match ErrNotSent.
 func (*RejectedError) Unwrap() error { return ErrNotSent }
 
-// noticeOf reads what an answer's head says of its endpoint.
+// noticeOf reads what the status and the headers of a response say about its endpoint.
 func noticeOf(response *http.Response) endpoint.Notice {
 	notice := httpx.NoticeOf(response.StatusCode, response.Header)
 	notice.Refused = response.Header.Get(HeaderNotRun) != ""
@@ -81,34 +82,34 @@
 	return notice
 }
 
-// API sends calls.
+// API sends calls to plain services.
 type API interface {
-	// Send sends a call once. An error that is not ErrNotSent leaves open
-	// whether the call ran.
+	// Send sends a call once. After an error other than ErrNotSent it is unknown whether the call
+	// ran.
 	Send(ctx context.Context, address string, call Call) (Response, error)
 }
 
 // Client is an API over HTTP.
 type Client struct {
 	repeatable *http.Client
-	once       *http.Client
+	atMostOnce *http.Client
 }
 
-// New returns a client. Calls that may be repeated share the given client's
-// connections. The others get a connection each: net/http resends a request on
-// its own when a kept connection turns out dead, if the request has no body or
-// bears an Idempotency-Key, and that would be a second run.
+// New returns a client. Calls that may be repeated share the connections of the given client. Each
+// other call gets a connection of its own: net/http resends a request by itself when a kept
+// connection turns out to be dead, if the request has no body or has an Idempotency-Key, and the
+// call would run twice.
 func New(client *http.Client) *Client {
-	once := &http.Client{
+	atMostOnce := &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true, DisableCompression: true},
 		CheckRedirect: client.CheckRedirect,
 	}
-	return &Client{repeatable: client, once: once}
+	return &Client{repeatable: client, atMostOnce: atMostOnce}
 }
 
-// Send sends a call; one marked Once leaves this process once at most.
+// Send sends a call. A call with AtMostOnce set leaves this process at most once.
 func (c *Client) Send(ctx context.Context, address string, call Call) (Response, error) {
-	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, onceReader(call))
+	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+call.Path, unseekableBody(call))
 	if err != nil {
 		return Response{}, errors.Join(ErrNotSent, err)
 	}
@@ -119,11 +120,11 @@
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(request.Header))
 	client := c.repeatable
 	if call.AtMostOnce {
-		client = c.once
+		client = c.atMostOnce
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return Response{}, classify(err)
+		return Response{}, markNotSent(err)
 	}
 	if response.Header.Get(HeaderNotRun) != "" {
 		_ = response.Body.Close()
@@ -132,16 +133,17 @@
 	return Response{response.StatusCode, EndToEndHeaders(response.Header), response.Body, noticeOf(response)}, nil
 }
 
-// onceReader hides a body's type, so that net/http can't rewind and resend it.
-func onceReader(call Call) io.Reader {
+// unseekableBody hides the type of the body, so that net/http cannot rewind and resend it.
+func unseekableBody(call Call) io.Reader {
 	if call.Body == nil || call.Length == 0 {
 		return http.NoBody
 	}
 	return struct{ io.Reader }{call.Body}
 }
 
-// classify tells a failed dial, after which nothing was sent, from the rest.
-func classify(err error) error {
+// markNotSent adds ErrNotSent to the error of a failed dial, after which nothing was sent. Other
+// errors are returned unchanged.
+func markNotSent(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return errors.Join(ErrNotSent, err)
@@ -149,14 +151,15 @@
 	return err
 }
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEndHeaders returns a copy of headers without those of one connection, and
-// without the caller's bearer key.
+// EndToEndHeaders returns a copy of h without the headers that apply to a single connection,
+// including those named in Connection, and without Authorization, which holds the caller's bearer
+// key.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	if out == nil {
@@ -167,7 +170,7 @@
 			out.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	out.Del("Authorization")
