--- a/pkg/entropy/entropy.go
+++ b/pkg/entropy/entropy.go
@@ -1,13 +1,13 @@
-// Package entropy is randomness that need not be repeatable: jitter and
-// shuffles. Decisions take their source as an argument instead.
+// Package entropy provides randomness that need not be reproducible, for jitter and shuffles. Code
+// that makes decisions takes its random source as an argument instead.
 package entropy
 
 import "math/rand/v2"
 
-// Rand draws from the runtime's own source and is safe for concurrent use.
+// Rand uses the random source of the runtime and is safe for concurrent use.
 var Rand = rand.New(source{})
 
 type source struct{}
 
-// Uint64 returns random bits.
+// Uint64 returns 64 random bits.
 func (source) Uint64() uint64 { return rand.Uint64() }
--- a/pkg/measure/process.go
+++ b/pkg/measure/process.go
@@ -1,4 +1,4 @@
-// Package measure takes figures of running processes and works out slopes.
+// Package measure reads the resource usage of running processes and computes statistics.
 package measure
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/prometheus/common/model"
 )
 
-// clockTicks is the kernel's unit of processor time a second (USER_HZ), which
-// is 100 on every Linux that Go runs on.
-const clockTicks = 100
+// clockTicksPerSecond is the kernel's unit of CPU time (USER_HZ), which is 100 on every Linux
+// platform that Go supports.
+const clockTicksPerSecond = 100
 
-// Usage is what a process has used so far.
+// Usage is the CPU time that a process has used so far and its resident memory.
 type Usage struct {
 	CPU time.Duration
-	// ResidentBytes is in bytes.
+	// ResidentBytes is the size of the resident set.
 	ResidentBytes int64
 }
 
-// ProcessUsage reads a process's usage.
+// ProcessUsage reads the usage of a process from /proc.
 func ProcessUsage(pid int) (Usage, error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, err
 	}
-	// The name stands in brackets and may hold blanks.
+	// The name of the process is in parentheses and may contain blanks.
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	const userField, systemField = 11, 12
 	user, err := strconv.ParseInt(fields[userField], 10, 64)
@@ -52,30 +52,30 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	return Usage{time.Duration(user+system) * time.Second / clockTicks, pages * int64(os.Getpagesize())}, nil
+	return Usage{time.Duration(user+system) * time.Second / clockTicksPerSecond, pages * int64(os.Getpagesize())}, nil
 }
 
-// LoopbackBytes returns the bytes sent over the loopback so far, headers of
-// all layers counted.
+// LoopbackBytes returns the number of bytes sent over the loopback interface so far, including the
+// headers of all layers.
 func LoopbackBytes() (int64, error) {
 	data, err := os.ReadFile("/proc/net/dev")
 	if err != nil {
 		return 0, err
 	}
-	lines := bufio.NewScanner(bytes.NewReader(data))
-	for lines.Scan() {
-		name, rest, ok := strings.Cut(strings.TrimSpace(lines.Text()), ":")
+	scanner := bufio.NewScanner(bytes.NewReader(data))
+	for scanner.Scan() {
+		name, rest, ok := strings.Cut(strings.TrimSpace(scanner.Text()), ":")
 		if ok && name == "lo" {
 			const sentField = 8
 			return strconv.ParseInt(strings.Fields(rest)[sentField], 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("measure: no loopback in /proc/net/dev")
+	return 0, fmt.Errorf("measure: no loopback interface in /proc/net/dev")
 }
 
-// Counters reads a process's counters, summed over their labels.
-func Counters(ctx context.Context, client *http.Client, admin string) (map[string]float64, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+"/metrics", nil)
+// Counters reads the counters of a process from its /metrics, each summed over its labels.
+func Counters(ctx context.Context, client *http.Client, adminAddress string) (map[string]float64, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+adminAddress+"/metrics", nil)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/object/object.go
+++ b/pkg/object/object.go
@@ -1,4 +1,4 @@
-// Package object is the edge to the platform's object store.
+// Package object is a client of the platform's object store.
 package object
 
 import (
@@ -11,25 +11,24 @@
 	"time"
 )
 
-// Store keeps objects by key. An object is written whole or not at all; a Put
-// may be repeated, since the same key is only ever given the same bytes or a
-// later state of the same work.
+// Store keeps objects by key. Writes are atomic: an object is written whole or not at all. A Put
+// may be repeated, since a key is only ever given the same bytes or a later state of the same work.
 type Store interface {
 	Put(ctx context.Context, key string, data []byte) error
 	Get(ctx context.Context, key string) (data []byte, ok bool, err error)
 }
 
-// maxObject bounds the bytes read of one object.
-const maxObject = 256 << 20
+// maxObjectBytes is the maximum number of bytes that are read of one object.
+const maxObjectBytes = 256 << 20
 
-// Client is a Store over HTTP: PUT and GET of /objects/{key}.
+// Client is a Store over HTTP that uses PUT and GET of /objects/{key}.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 }
 
-// New returns a client of the object store at address.
+// New returns a client of the object store at address. timeout applies to each call.
 func New(address string, timeout time.Duration, client *http.Client) *Client {
 	return &Client{base: "http://" + address + "/objects/", http: client, timeout: timeout}
 }
@@ -53,7 +52,7 @@
 	return nil
 }
 
-// Get reads an object; ok is false where there is none.
+// Get reads an object, and returns false if there is none.
 func (c *Client) Get(ctx context.Context, key string) ([]byte, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -68,7 +67,7 @@
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
-		data, err := io.ReadAll(io.LimitReader(response.Body, maxObject))
+		data, err := io.ReadAll(io.LimitReader(response.Body, maxObjectBytes))
 		return data, err == nil, err
 	case http.StatusNotFound:
 		return nil, false, nil
--- a/pkg/pause/pause.go
+++ b/pkg/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits in a way that a context can cut short.
+// Package pause implements waits that a context can interrupt.
 package pause
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// For waits and reports whether ctx is still live.
+// For waits for d or until ctx is done, and reports whether d has passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -19,14 +19,14 @@
 	}
 }
 
-// spread is how far the pauses of Every are drawn around their period, so that
-// many processes do not act together.
-const spread = 0.2
+// jitter is the range of the random variation of the period of Every, as a share of the period. It
+// keeps many processes from acting at the same time.
+const jitter = 0.2
 
-// Every calls do at a period, give or take a tenth, until ctx ends.
+// Every calls do after each period, varied by up to a tenth either way, until ctx is done.
 func Every(ctx context.Context, period time.Duration, do func(context.Context)) {
 	for {
-		factor := 1 - spread/2 + spread*rand.Float64()
+		factor := 1 - jitter/2 + jitter*rand.Float64()
 		if !For(ctx, time.Duration(factor*float64(period))) {
 			return
 		}
--- a/pkg/timeline/timeline_test.go
+++ b/pkg/timeline/timeline_test.go
@@ -8,27 +8,28 @@
 	"ironhollow/pkg/timeline"
 )
 
-// Things happen by their times, those of one time as they were planned, also where one
-// plans another; nothing happens long after the end.
-func TestOrder(t *testing.T) {
+// Checks that events run in the order of their times, and events of the same time in the order in
+// which they were scheduled, even if one event schedules another. Only the first event past the
+// limit runs.
+func TestRunOrdersEventsByTime(t *testing.T) {
 	var line timeline.Timeline
 	var got []string
-	note := func(what string) func() { return func() { got = append(got, what) } }
-	line.After(2*time.Second, note("third"))
-	line.After(time.Second, note("first"))
+	record := func(name string) func() { return func() { got = append(got, name) } }
+	line.After(2*time.Second, record("third"))
+	line.After(time.Second, record("first"))
 	line.After(time.Second, func() {
 		got = append(got, "second")
-		line.After(time.Second, note("fourth"))
+		line.After(time.Second, record("fourth"))
 	})
-	line.After(time.Minute, note("the one that reaches the end"))
-	line.After(2*time.Minute, note("after the end"))
+	line.After(time.Minute, record("the one that reaches the end"))
+	line.After(2*time.Minute, record("after the end"))
 	line.Run(30*time.Second, nil)
 	want := []string{"first", "second", "third", "fourth", "the one that reaches the end"}
 	if !slices.Equal(got, want) || line.Now() != time.Minute || line.Scheduled() != 6 {
-		t.Errorf("got %q at %v, %d planned, want %q at 1m, 6 planned", got, line.Now(), line.Scheduled(), want)
+		t.Errorf("got %q at %v, %d scheduled, want %q at 1m, 6 scheduled", got, line.Now(), line.Scheduled(), want)
 	}
 	line.Run(time.Hour, func() bool { return true })
 	if got := len(got); got != 6 {
-		t.Errorf("things done: got %d, want 6", got)
+		t.Errorf("events run: got %d, want 6", got)
 	}
 }
