--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -231,7 +231,7 @@
 func (a *App) recoverJobs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTime)
 	defer cancel()
-	if rescued, err := a.worker.RescueIfUnsure(ctx); err == nil && rescued > 0 {
+	if rescued, err := a.worker.ReconcileIfRequested(ctx); err == nil && rescued > 0 {
 		a.log.Info().Int("jobs", rescued).Msg("own jobs found in the store")
 	}
 	for _, n := range a.nodes.Nodes() {
@@ -259,7 +259,7 @@
 		if membership.IncarnationOfOwner(owner) > incarnation {
 			continue
 		}
-		taken, remaining, err := a.worker.Recover(ctx, owner, job.Part{Rank: rank, Of: of})
+		taken, remaining, err := a.worker.Recover(ctx, owner, job.Shard{Index: rank, Count: of})
 		if err != nil {
 			return
 		}
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -35,8 +35,8 @@
 ) *callerapi.API {
 	return callerapi.New(callerapi.Deps{
 		Node: self.ID, Owner: self.Owner(), Limits: settings.limits, Config: holder, Nodes: nodes, Router: router,
-		Runner: runner, Rates: rates, Gates: gates, Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claims,
-		Plain: plain, Notices: notices, Budget: budget, History: history, Tracer: tracer, Metrics: counters,
+		Runner: runner, RateLimiter: rates, ConcurrencyLimiters: gates, Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claims,
+		PlainServices: plain, Notices: notices, RetryBudget: budget, History: history, Tracer: tracer, Metrics: counters,
 	})
 }
 
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -162,7 +162,7 @@
 		if membership.IncarnationOfOwner(owner) >= a.self.Incarnation {
 			continue
 		}
-		if taken, _, err := a.worker.Recover(ctx, owner, job.Part{Of: 1}); err == nil && taken > 0 {
+		if taken, _, err := a.worker.Recover(ctx, owner, job.Shard{Count: 1}); err == nil && taken > 0 {
 			a.log.Info().Str("owner", owner).Int("jobs", taken).Msg("jobs of an earlier start taken up")
 		}
 	}
--- a/pkg/app/entry/settings.go
+++ b/pkg/app/entry/settings.go
@@ -60,7 +60,7 @@
 		objectAddress: w.Platform.Objects,
 		platformTime:  w.Platform.Timeout,
 		limits: callerapi.Limits{
-			BodyBytes: int64(w.Limits.BodyBytes), AnswerBytes: int64(w.Limits.AnswerBytes),
+			BodyBytes: int64(w.Limits.BodyBytes), ResponseBytes: int64(w.Limits.AnswerBytes),
 			Requests: int64(w.Limits.Requests), WriteTimeout: w.Limits.WriteTimeout,
 		},
 		readTimeout:  w.Limits.ReadTimeout,
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -35,8 +35,8 @@
 
 // Limits bound what one caller may take up.
 type Limits struct {
-	BodyBytes   int64
-	AnswerBytes int64
+	BodyBytes     int64
+	ResponseBytes int64
 	// Requests is how many are served at once.
 	Requests     int64
 	WriteTimeout time.Duration
@@ -44,25 +44,25 @@
 
 // Deps are what the edge needs.
 type Deps struct {
-	Node    string
-	Owner   string
-	Limits  Limits
-	Config  *config.Holder
-	Nodes   *membership.Table
-	Router  *route.Router
-	Runner  *stream.Runner
-	Rates   *limit.RateLimiter
-	Gates   *limit.ConcurrencyLimiters
-	Jobs    *job.Store
-	Worker  *job.Worker
-	JobStat *job.Counters
-	Claims  *claim.Claims
-	Plain   plainservice.API
-	Notices *notice.Tracker
-	Budget  *retry.Budget
-	History *explain.History
-	Tracer  trace.Tracer
-	Metrics *Counters
+	Node                string
+	Owner               string
+	Limits              Limits
+	Config              *config.Holder
+	Nodes               *membership.Table
+	Router              *route.Router
+	Runner              *stream.Runner
+	RateLimiter         *limit.RateLimiter
+	ConcurrencyLimiters *limit.ConcurrencyLimiters
+	Jobs                *job.Store
+	Worker              *job.Worker
+	JobCounters         *job.Counters
+	Claims              *claim.Claims
+	PlainServices       plainservice.API
+	Notices             *notice.Tracker
+	RetryBudget         *retry.Budget
+	History             *explain.History
+	Tracer              trace.Tracer
+	Metrics             *Counters
 }
 
 // API serves callers.
@@ -187,7 +187,7 @@
 // admit holds the team to its rate.
 func (a *API) admit(team fleet.Team) error {
 	entries := max(len(a.Nodes.ServingNodes()), 1)
-	ok, after := a.Rates.Allow(limit.TeamLimit{Name: team.Name(), Rate: team.Rate(), Burst: team.Burst()}, entries, time.Now())
+	ok, after := a.RateLimiter.Allow(limit.TeamLimit{Name: team.Name(), Rate: team.Rate(), Burst: team.Burst()}, entries, time.Now())
 	if ok {
 		return nil
 	}
@@ -208,7 +208,7 @@
 func (a *API) enter(ctx context.Context, s fleet.Service, team fleet.Team, deadline time.Time) (limit.Permit, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	ticket, err := a.Gates.For(targetOf(s)).Acquire(ctx, limit.PermitRequest{
+	ticket, err := a.ConcurrencyLimiters.For(targetOf(s)).Acquire(ctx, limit.PermitRequest{
 		Team: team.Name(), Weight: team.Weight(), Priority: s.Priority(), Deadline: deadline, MayWait: s.MayWait(),
 	}, time.Now())
 	var late limit.DeadlineError
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -158,10 +158,10 @@
 	worker := job.NewWorker(ctx, jobs, generator{runner, holder}, name, 4, func() time.Duration { return time.Minute }, jobCounters)
 	e := &entry{nodes: nodes, self: membership.Node{ID: name, Incarnation: 1, Status: membership.Alive, Ready: true}}
 	e.api = callerapi.New(callerapi.Deps{
-		Node: name, Owner: name, Limits: callerapi.Limits{BodyBytes: 4096, AnswerBytes: 4096, Requests: 100, WriteTimeout: 5 * time.Second},
-		Config: holder, Nodes: nodes, Router: router, Runner: runner, Rates: limit.NewRateLimiter(), Gates: limit.NewConcurrencyLimiters(),
-		Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claim.New(writer), Plain: plainservice.New(httpx.NewClient(4)), Notices: board,
-		Budget: budget, History: explain.NewHistory(), Tracer: s.tracer(name), Metrics: callerapi.NewCounters(registry),
+		Node: name, Owner: name, Limits: callerapi.Limits{BodyBytes: 4096, ResponseBytes: 4096, Requests: 100, WriteTimeout: 5 * time.Second},
+		Config: holder, Nodes: nodes, Router: router, Runner: runner, RateLimiter: limit.NewRateLimiter(), ConcurrencyLimiters: limit.NewConcurrencyLimiters(),
+		Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claim.New(writer), PlainServices: plainservice.New(httpx.NewClient(4)), Notices: board,
+		RetryBudget: budget, History: explain.NewHistory(), Tracer: s.tracer(name), Metrics: callerapi.NewCounters(registry),
 	})
 	e.server = httptest.NewServer(e.api)
 	e.self.CallerAddress = e.server.Listener.Addr().String()
--- a/pkg/callerapi/jobs.go
+++ b/pkg/callerapi/jobs.go
@@ -39,7 +39,7 @@
 func showJob(j job.Job) jobBody {
 	body := jobBody{
 		ID: j.ID, Object: "job", Service: j.Service, Status: string(j.State),
-		Created: j.Accepted.Unix(), Expires: j.Deadline.Unix(), Runs: j.Runs + 1,
+		Created: j.Accepted.Unix(), Expires: j.Deadline.Unix(), Runs: j.Takeovers + 1,
 	}
 	switch j.State {
 	case job.Done:
@@ -65,7 +65,7 @@
 	held, fresh, err := a.Jobs.Accept(r.Context(), asked)
 	if err != nil {
 		if code.Of(err) == code.AcceptUnknown {
-			a.Worker.Unsure()
+			a.Worker.RequestReconcile()
 		}
 		writeError(w, err)
 		return
@@ -73,10 +73,10 @@
 	status := http.StatusOK
 	if fresh {
 		status = http.StatusAccepted
-		a.JobStat.Accepted.Inc()
+		a.JobCounters.Accepted.Inc()
 		a.Worker.Add(held)
 	} else {
-		a.JobStat.Repeated.Inc()
+		a.JobCounters.Repeated.Inc()
 	}
 	w.Header().Set("Location", "/v1/jobs/"+held.ID)
 	httpx.WriteJSON(w, status, showJob(held))
@@ -102,7 +102,7 @@
 	sum := sha256.Sum256(data)
 	return job.Job{
 		ID:   job.NewID(team.Name(), s.Name(), r.Header.Get(plainservice.HeaderKey)),
-		Team: team.Name(), Service: s.Name(), Request: hex.EncodeToString(sum[:]), Body: data,
+		Team: team.Name(), Service: s.Name(), RequestHash: hex.EncodeToString(sum[:]), Body: data,
 		Deadline: now.Add(s.Deadline()), Accepted: now, State: job.Accepted, Owner: a.Owner,
 	}, nil
 }
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -75,11 +75,11 @@
 
 // sendRepeatable sends a call until one endpoint answers, within the budget.
 func (p plainCall) sendRepeatable(ctx context.Context, body []byte) (plainservice.Answer, error) {
-	p.api.Budget.RecordFirstSend(time.Now())
+	p.api.RetryBudget.RecordFirstSend(time.Now())
 	var avoid []endpoint.Ref
 	var last error
 	for try := 1; try <= mostSends; try++ {
-		if try > 1 && !p.api.Budget.Take(time.Now()) {
+		if try > 1 && !p.api.RetryBudget.Take(time.Now()) {
 			break
 		}
 		choice, ok := p.choose(avoid)
@@ -107,7 +107,7 @@
 // endpoint.
 func (p plainCall) send(ctx context.Context, choice route.Choice, call plainservice.Call) (plainservice.Answer, error) {
 	sent := time.Now()
-	answer, err := p.api.Plain.Send(ctx, choice.Endpoint.Address, call)
+	answer, err := p.api.PlainServices.Send(ctx, choice.Endpoint.Address, call)
 	var away *plainservice.TurnedAway
 	switch {
 	case err == nil:
@@ -221,12 +221,12 @@
 // keep reads an answer whole, so that a repeat gets the same.
 func (p plainCall) keep(answer plainservice.Answer) (claim.Response, error) {
 	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, p.api.Limits.AnswerBytes+1))
+	data, err := io.ReadAll(io.LimitReader(answer.Body, p.api.Limits.ResponseBytes+1))
 	if err != nil {
 		return claim.Response{}, err
 	}
-	if int64(len(data)) > p.api.Limits.AnswerBytes {
-		return claim.Response{}, fmt.Errorf("the answer is longer than %d bytes", p.api.Limits.AnswerBytes)
+	if int64(len(data)) > p.api.Limits.ResponseBytes {
+		return claim.Response{}, fmt.Errorf("the answer is longer than %d bytes", p.api.Limits.ResponseBytes)
 	}
 	return claim.Response{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: data}, nil
 }
--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -30,8 +30,8 @@
 	ID      string
 	Team    string
 	Service string
-	// Request is a hash of what was asked, to tell a repeat from a reused key.
-	Request string
+	// RequestHash is a hash of what was asked, to tell a repeat from a reused key.
+	RequestHash string
 	// Body is the caller's request, as accepted.
 	Body     json.RawMessage
 	Deadline time.Time
@@ -39,9 +39,9 @@
 	State    State
 	// Owner is the incarnation of the entry that runs the job.
 	Owner string
-	// Runs counts the owners the job has had.
-	Runs   int
-	Result Result
+	// Takeovers counts the owners the job has had.
+	Takeovers int
+	Result    Result
 	// version is the row's, as last read or written.
 	version int64
 }
@@ -124,8 +124,8 @@
 
 func toStored(j Job) storedJob {
 	return storedJob{
-		ID: j.ID, Team: j.Team, Service: j.Service, Request: j.Request, Body: j.Body,
-		Deadline: j.Deadline.UnixMilli(), Accepted: j.Accepted.UnixMilli(), State: j.State, Owner: j.Owner, Runs: j.Runs,
+		ID: j.ID, Team: j.Team, Service: j.Service, Request: j.RequestHash, Body: j.Body,
+		Deadline: j.Deadline.UnixMilli(), Accepted: j.Accepted.UnixMilli(), State: j.State, Owner: j.Owner, Runs: j.Takeovers,
 	}
 }
 
@@ -143,9 +143,9 @@
 		return s, Job{}, fmt.Errorf("job: %s: %w", row.Key, err)
 	}
 	j := Job{
-		ID: s.ID, Team: s.Team, Service: s.Service, Request: s.Request, Body: s.Body,
+		ID: s.ID, Team: s.Team, Service: s.Service, RequestHash: s.Request, Body: s.Body,
 		Deadline: time.UnixMilli(s.Deadline), Accepted: time.UnixMilli(s.Accepted),
-		State: s.State, Owner: s.Owner, Runs: s.Runs, version: row.Version,
+		State: s.State, Owner: s.Owner, Takeovers: s.Runs, version: row.Version,
 	}
 	if s.Result != nil {
 		j.Result = Result(*s.Result)
--- a/pkg/job/job_test.go
+++ b/pkg/job/job_test.go
@@ -107,7 +107,7 @@
 
 func (e *entry) accept(key string, body string, lasts time.Duration) (job.Job, bool, error) {
 	j := job.Job{
-		ID: job.NewID("team", "review", key), Team: "team", Service: "review", Request: body, Body: []byte(body),
+		ID: job.NewID("team", "review", key), Team: "team", Service: "review", RequestHash: body, Body: []byte(body),
 		Deadline: time.Now().Add(lasts), Accepted: time.Now(), State: job.Accepted, Owner: e.owner,
 	}
 	held, fresh, err := e.store.Accept(context.Background(), j)
@@ -172,7 +172,7 @@
 		survivors := []*entry{newEntry("n2@1", rows, bodies, g), newEntry("n3@1", rows, bodies, g)}
 		for rank, s := range survivors {
 			defer s.kill()
-			if _, _, err := s.worker.Recover(context.Background(), "n1@1", job.Part{Rank: rank, Of: 2}); err != nil {
+			if _, _, err := s.worker.Recover(context.Background(), "n1@1", job.Shard{Index: rank, Count: 2}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -207,7 +207,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if taken, _, err := other.worker.Recover(context.Background(), "n1@1", job.Part{Of: 1}); taken != 1 || err != nil {
+		if taken, _, err := other.worker.Recover(context.Background(), "n1@1", job.Shard{Count: 1}); taken != 1 || err != nil {
 			t.Fatalf("taken over: got %d (%v), want 1", taken, err)
 		}
 		time.Sleep(2 * time.Second)
@@ -273,7 +273,7 @@
 					}
 					time.Sleep(10 * time.Second)
 					for range 3 {
-						_, _ = e.worker.Rescue(context.Background())
+						_, _ = e.worker.Reconcile(context.Background())
 						time.Sleep(5 * time.Second)
 					}
 					rows.SetFaults(nil)
--- a/pkg/job/recover.go
+++ b/pkg/job/recover.go
@@ -10,22 +10,22 @@
 // recoverPage is how many jobs of a lost owner are looked at in one go.
 const recoverPage = 200
 
-// Part is one survivor's part of a lost owner's jobs: those whose id falls on
+// Shard is one survivor's part of a lost owner's jobs: those whose id falls on
 // Rank among Of. Survivors that differ on their ranks do no harm: the row
 // decides who has a job.
-type Part struct {
-	Rank, Of int
+type Shard struct {
+	Index, Count int
 }
 
 // takes reports whether a job falls on this part.
-func (p Part) takes(id string) bool {
-	return p.Of <= 1 || int(xxhash.Sum64String(id)%uint64(p.Of)) == p.Rank
+func (p Shard) takes(id string) bool {
+	return p.Count <= 1 || int(xxhash.Sum64String(id)%uint64(p.Count)) == p.Index
 }
 
 // Recover takes over a page of a lost owner's jobs, earliest deadline first,
 // and adds them to the worker. It returns how many it took and how many are
 // left for others or for another call.
-func (w *Worker) Recover(ctx context.Context, lost string, part Part) (taken, left int, err error) {
+func (w *Worker) Recover(ctx context.Context, lost string, part Shard) (taken, left int, err error) {
 	ids, err := w.store.OwnedBy(ctx, lost, recoverPage)
 	if err != nil {
 		return 0, 0, err
@@ -48,9 +48,9 @@
 	return taken, left, nil
 }
 
-// Rescue adds jobs that the store says are this entry's own but that it does
+// Reconcile adds jobs that the store says are this entry's own but that it does
 // not have: their acceptance was not known to have taken effect.
-func (w *Worker) Rescue(ctx context.Context) (int, error) {
+func (w *Worker) Reconcile(ctx context.Context) (int, error) {
 	ids, err := w.store.OwnedBy(ctx, w.owner, recoverPage)
 	if err != nil {
 		return 0, err
@@ -81,8 +81,8 @@
 	return rescued, nil
 }
 
-// Unsure notes that a job may have been accepted without this entry knowing.
-func (w *Worker) Unsure() {
+// RequestReconcile notes that a job may have been accepted without this entry knowing.
+func (w *Worker) RequestReconcile() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unsure = unsureRounds
@@ -92,16 +92,16 @@
 // some time after its answer was given up.
 const unsureRounds = 20
 
-// RescueIfUnsure rescues while there is doubt, and costs the store nothing
+// ReconcileIfRequested rescues while there is doubt, and costs the store nothing
 // otherwise.
-func (w *Worker) RescueIfUnsure(ctx context.Context) (int, error) {
+func (w *Worker) ReconcileIfRequested(ctx context.Context) (int, error) {
 	w.mu.Lock()
 	doubt := w.unsure > 0
 	w.mu.Unlock()
 	if !doubt {
 		return 0, nil
 	}
-	rescued, err := w.Rescue(ctx)
+	rescued, err := w.Reconcile(ctx)
 	if err == nil {
 		w.mu.Lock()
 		w.unsure--
--- a/pkg/job/store.go
+++ b/pkg/job/store.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return Job{}, false, err
 	}
-	if held.Request != asked.Request || held.Team != asked.Team {
+	if held.RequestHash != asked.RequestHash || held.Team != asked.Team {
 		return Job{}, false, code.New(code.KeyReused, "the key was used for another job")
 	}
 	return held, false, nil
@@ -106,7 +106,7 @@
 }
 
 func (s *Store) withResult(ctx context.Context, j Job) (Job, error) {
-	data, ok, err := s.objects.Get(ctx, resultObject(j.ID, j.Runs))
+	data, ok, err := s.objects.Get(ctx, resultObject(j.ID, j.Takeovers))
 	if err != nil {
 		return Job{}, storeDown(err)
 	}
@@ -143,7 +143,7 @@
 	}
 	stored.Owner = owner
 	stored.Runs++
-	j.Owner, j.Runs = owner, stored.Runs
+	j.Owner, j.Takeovers = owner, stored.Runs
 	return j, s.replace(
 		ctx, &j, stored,
 		table.Write{Key: ownedKey(from, j.Deadline, id), If: table.Always{}, Delete: true},
@@ -190,7 +190,7 @@
 	wire := storedResult(result)
 	stored.Result = &wire
 	if len(encoded) > inlineBytes {
-		if err := s.objects.Put(ctx, resultObject(j.ID, j.Runs), encoded); err != nil {
+		if err := s.objects.Put(ctx, resultObject(j.ID, j.Takeovers), encoded); err != nil {
 			return err
 		}
 		stored.Result, stored.ResultObject = nil, true
--- a/pkg/job/worker.go
+++ b/pkg/job/worker.go
@@ -129,7 +129,7 @@
 // run runs one job until its result is written or it belongs to another.
 func (w *Worker) run(j Job) {
 	version, received := "", []string(nil)
-	if j.Runs > 0 {
+	if j.Takeovers > 0 {
 		version, received = w.store.Checkpoint(w.ctx, j.ID)
 		w.counters.TakenOver.Inc()
 	}
