--- a/pkg/job/batch.go
+++ b/pkg/job/batch.go
@@ -8,40 +8,41 @@
 	"ironhollow/pkg/table"
 )
 
-// mostInBatch bounds the jobs of one commit.
-const mostInBatch = 100
+// maxBatchJobs is the maximum number of jobs in one commit.
+const maxBatchJobs = 100
 
-// Batcher gathers accepted jobs over a short window and commits them together:
-// the store takes several hundred commits a second, callers ask for more.
+// Batcher collects jobs over a short window and commits them together, as the store handles
+// several hundred commits per second and callers submit more jobs than that.
 type Batcher struct {
 	writer *table.Writer
 	window time.Duration
 
-	mu      sync.Mutex
-	waiting []pending
-	timer   *time.Timer
-	// commits and jobs count what was committed, for reports.
+	mu    sync.Mutex
+	queue []pendingJob
+	timer *time.Timer
+	// commits and jobs count the commits started and the jobs in them, for reports.
 	commits, jobs int
 }
 
-// pending is one job that waits for its commit.
-type pending struct {
+// pendingJob is a job that waits to be committed.
+type pendingJob struct {
 	rows []table.Write
 	done chan table.Outcome
 }
 
-// NewBatcher returns a batcher; a window of 0 commits each job on its own.
+// NewBatcher returns a batcher. With a window of 0, each job is committed separately.
 func NewBatcher(writer *table.Writer, window time.Duration) *Batcher {
 	return &Batcher{writer: writer, window: window}
 }
 
-// commitTime bounds one commit, its unknown outcomes included.
-const commitTime = 5 * time.Second
+// commitTimeout limits the time for a commit, including the time to resolve an unknown outcome.
+const commitTimeout = 5 * time.Second
 
-// Commit inserts the rows of one job, all Absent. The outcome is the job's
-// own: another job's conflict in the same batch does not touch it.
+// Commit inserts the rows of one job. The first row is the job's own, with the condition
+// Absent. The outcome is that of this job: a conflict of another job in the same batch does
+// not affect it.
 func (b *Batcher) Commit(ctx context.Context, rows []table.Write) table.Outcome {
-	p := pending{rows, make(chan table.Outcome, 1)}
+	p := pendingJob{rows, make(chan table.Outcome, 1)}
 	b.add(p)
 	select {
 	case outcome := <-p.done:
@@ -51,14 +52,14 @@
 	}
 }
 
-func (b *Batcher) add(p pending) {
+func (b *Batcher) add(p pendingJob) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = append(b.waiting, p)
+	b.queue = append(b.queue, p)
 	switch {
-	case b.window == 0 || len(b.waiting) >= mostInBatch:
-		b.send()
-	case len(b.waiting) == 1:
+	case b.window == 0 || len(b.queue) >= maxBatchJobs:
+		b.startCommit()
+	case len(b.queue) == 1:
 		b.timer = time.AfterFunc(b.window, b.flush)
 	}
 }
@@ -66,16 +67,16 @@
 func (b *Batcher) flush() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.send()
+	b.startCommit()
 }
 
-// send commits what waits, on a goroutine of its own. The lock is held.
-func (b *Batcher) send() {
+// startCommit commits the queued jobs in a new goroutine. The caller holds mu.
+func (b *Batcher) startCommit() {
 	if b.timer != nil {
 		b.timer.Stop()
 	}
-	batch := b.waiting
-	b.waiting = nil
+	batch := b.queue
+	b.queue = nil
 	if len(batch) == 0 {
 		return
 	}
@@ -84,42 +85,42 @@
 	go b.commit(batch)
 }
 
-// commit commits a batch. Jobs that conflict are told so and the rest is tried
-// again: each round settles one job at least, so it ends.
-func (b *Batcher) commit(batch []pending) {
-	ctx, cancel := context.WithTimeout(context.Background(), commitTime)
+// commit commits a batch. If rows conflict, their jobs are refused and the other jobs are
+// committed again. Each round refuses at least one job, so the loop terminates.
+func (b *Batcher) commit(batch []pendingJob) {
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	batch, repeats := splitRepeats(batch)
+	batch, duplicates := splitDuplicates(batch)
 	for len(batch) > 0 {
 		outcome := b.writer.Commit(ctx, rowsOf(batch)...)
 		refused, ok := outcome.(table.Refused)
 		if !ok || len(refused.Conflicts) == 0 {
-			tell(batch, outcome)
+			deliver(batch, outcome)
 			break
 		}
-		batch = settleConflicts(batch, refused)
+		batch = rejectConflicting(batch, refused)
 	}
-	if len(repeats) > 0 {
-		b.commit(repeats)
+	if len(duplicates) > 0 {
+		b.commit(duplicates)
 	}
 }
 
-// splitRepeats sets aside jobs whose key is in the batch already: one commit
-// must not write a row twice, and the later job has to find the earlier one's.
-func splitRepeats(batch []pending) (first, repeats []pending) {
+// splitDuplicates separates jobs whose key occurs earlier in the batch. A commit must not
+// write a row twice, and the later job has to conflict with the row of the earlier one.
+func splitDuplicates(batch []pendingJob) (unique, duplicates []pendingJob) {
 	seen := map[string]bool{}
 	for _, p := range batch {
 		if key := p.rows[0].Key; !seen[key] {
 			seen[key] = true
-			first = append(first, p)
+			unique = append(unique, p)
 			continue
 		}
-		repeats = append(repeats, p)
+		duplicates = append(duplicates, p)
 	}
-	return first, repeats
+	return unique, duplicates
 }
 
-func rowsOf(batch []pending) []table.Write {
+func rowsOf(batch []pendingJob) []table.Write {
 	var rows []table.Write
 	for _, p := range batch {
 		rows = append(rows, p.rows...)
@@ -127,37 +128,36 @@
 	return rows
 }
 
-func tell(batch []pending, outcome table.Outcome) {
+func deliver(batch []pendingJob, outcome table.Outcome) {
 	for _, p := range batch {
 		p.done <- outcome
 	}
 }
 
-// settleConflicts tells the jobs whose rows stood in conflict and returns the
-// others.
-func settleConflicts(batch []pending, refused table.Refused) []pending {
+// rejectConflicting refuses the jobs whose rows conflict and returns the other jobs.
+func rejectConflicting(batch []pendingJob, refused table.Refused) []pendingJob {
 	conflicts := map[string]table.Row{}
 	for _, row := range refused.Conflicts {
 		conflicts[row.Key] = row
 	}
-	var rest []pending
+	var remaining []pendingJob
 	for _, p := range batch {
 		row, ok := conflicts[p.rows[0].Key]
 		if !ok {
-			rest = append(rest, p)
+			remaining = append(remaining, p)
 			continue
 		}
 		p.done <- table.Refused{Conflicts: []table.Row{row}}
 	}
-	if len(rest) == len(batch) {
-		// A conflict that belongs to none of them can't be settled by trying.
-		tell(batch, refused)
+	if len(remaining) == len(batch) {
+		// The conflict is in no job's first row, so another commit would conflict again.
+		deliver(batch, refused)
 		return nil
 	}
-	return rest
+	return remaining
 }
 
-// Counts returns commits and jobs so far.
+// Counts returns the number of commits started and the number of jobs in them.
 func (b *Batcher) Counts() (commits, jobs int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/job/counters.go
+++ b/pkg/job/counters.go
@@ -6,7 +6,7 @@
 	"ironhollow/pkg/metrics"
 )
 
-// Counters count what happens to jobs.
+// Counters are the metrics of jobs.
 type Counters struct {
 	Accepted    prometheus.Counter
 	Repeated    prometheus.Counter
@@ -17,7 +17,7 @@
 	Checkpoints prometheus.Counter
 }
 
-// NewCounters registers the counters.
+// NewCounters registers the counters and returns them.
 func NewCounters(registry prometheus.Registerer) *Counters {
 	group := metrics.New(registry, "job")
 	return &Counters{
--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -1,6 +1,6 @@
-// Package job keeps work that can wait: accepted once its row is committed,
-// run by the entry that accepted it or by whoever takes it over, and finished
-// with one whole result that any entry can hand out.
+// Package job implements asynchronous model requests. A job is accepted once its row is
+// committed. It is run by the entry that accepted it or by an entry that takes it over, and
+// ends with one complete result, which every entry can return.
 package job
 
 import (
@@ -15,7 +15,7 @@
 	"ironhollow/pkg/table"
 )
 
-// State is how far a job is.
+// State is the state of a job.
 type State string
 
 // The states of a job. Done and Failed are final.
@@ -25,55 +25,56 @@
 	Failed   State = "failed"
 )
 
-// Job is one accepted piece of work.
+// Job is an accepted asynchronous request.
 type Job struct {
 	ID      string
 	Team    string
 	Service string
-	// RequestHash is a hash of what was asked, to tell a repeat from a reused key.
+	// RequestHash is a hash of the request body. It tells a repeated request from a different
+	// one with the same key.
 	RequestHash string
-	// Body is the caller's request, as accepted.
+	// Body is the body of the caller's request.
 	Body     json.RawMessage
 	Deadline time.Time
 	Accepted time.Time
 	State    State
 	// Owner is the incarnation of the entry that runs the job.
 	Owner string
-	// Takeovers counts the owners the job has had.
+	// Takeovers is how often the job was taken over, 0 while the first owner has it.
 	Takeovers int
 	Result    Result
-	// version is the row's, as last read or written.
+	// version is the version of the row when it was last read or written.
 	version int64
 }
 
-// Result is a finished job's answer, whole or a numbered failure.
+// Result is the result of a finished job: a complete response, or an error.
 type Result struct {
 	Text             string
 	Finish           string
 	Model            string
 	PromptTokens     int
 	CompletionTokens int
-	// Code is the number of the result code of a failure, 0 for none.
+	// Code is the number of the error's code, 0 if there was no error.
 	Code    int
 	Message string
 }
 
-// Parts of the table's keys.
+// Prefixes of the keys of rows.
 const (
 	jobPrefix   = "job/"
 	ownedPrefix = "owned/"
 )
 
-// idBytes is the length of a job's id before encoding: enough that nobody
-// guesses the id of another team's job.
+// idBytes is the length of a job's ID before encoding. It is long enough that a team can't
+// guess the ID of another team's job.
 const idBytes = 16
 
-// NewID returns the id of a job: made from the caller's key where it gave one,
-// so that a repeated request finds its own job; else random.
+// NewID returns an ID for a job. It is derived from the caller's idempotency key if there is
+// one, so that a repeated request finds its job, and random otherwise.
 func NewID(team, service, key string) string {
 	if key == "" {
 		raw := make([]byte, idBytes)
-		_, _ = rand.Read(raw) // It never fails.
+		_, _ = rand.Read(raw) // Read never returns an error.
 		return hex.EncodeToString(raw)
 	}
 	sum := sha256.Sum256([]byte(team + "\x00" + service + "\x00" + key))
@@ -82,29 +83,30 @@
 
 func rowKey(id string) string { return jobPrefix + id }
 
-// ownedKey sorts an owner's jobs by deadline.
+// ownedKey returns the key of the row that lists a job under its owner. The keys of an owner
+// sort by deadline.
 func ownedKey(owner string, deadline time.Time, id string) string {
 	return fmt.Sprintf("%s%s/%013d/%s", ownedPrefix, owner, deadline.UnixMilli(), id)
 }
 
-// idOfOwned returns the job of a key made by ownedKey.
-func idOfOwned(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+// idFromOwnedKey returns the job ID in a key made by ownedKey.
+func idFromOwnedKey(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// storedJob is a row's JSON.
+// storedJob is the JSON form of a job's row.
 type storedJob struct {
-	ID       string          `json:"id"`
-	Team     string          `json:"team"`
-	Service  string          `json:"service"`
-	Request  string          `json:"request"`
-	Body     json.RawMessage `json:"body,omitempty"`
-	Deadline int64           `json:"deadline_ms"`
-	Accepted int64           `json:"accepted_ms"`
-	State    State           `json:"state"`
-	Owner    string          `json:"owner"`
-	Runs     int             `json:"runs"`
-	Result   *storedResult   `json:"result,omitempty"`
-	// BodyObject and ResultObject say that a long body or result is in the
-	// object store under the job's id.
+	ID          string          `json:"id"`
+	Team        string          `json:"team"`
+	Service     string          `json:"service"`
+	RequestHash string          `json:"request"`
+	Body        json.RawMessage `json:"body,omitempty"`
+	Deadline    int64           `json:"deadline_ms"`
+	Accepted    int64           `json:"accepted_ms"`
+	State       State           `json:"state"`
+	Owner       string          `json:"owner"`
+	Takeovers   int             `json:"runs"`
+	Result      *storedResult   `json:"result,omitempty"`
+	// BodyObject and ResultObject are set if the body or the result exceeds maxInlineBytes
+	// and is in the object store instead, under a key with the job's ID.
 	BodyObject   bool `json:"body_object,omitempty"`
 	ResultObject bool `json:"result_object,omitempty"`
 }
@@ -119,20 +121,20 @@
 	Message          string `json:"message,omitempty"`
 }
 
-// inlineBytes is the longest body or result kept in the row itself.
-const inlineBytes = 16 << 10
+// maxInlineBytes is the maximum size of a body or result that is stored in the row itself.
+const maxInlineBytes = 16 << 10
 
 func toStored(j Job) storedJob {
 	return storedJob{
-		ID: j.ID, Team: j.Team, Service: j.Service, Request: j.RequestHash, Body: j.Body,
-		Deadline: j.Deadline.UnixMilli(), Accepted: j.Accepted.UnixMilli(), State: j.State, Owner: j.Owner, Runs: j.Takeovers,
+		ID: j.ID, Team: j.Team, Service: j.Service, RequestHash: j.RequestHash, Body: j.Body,
+		Deadline: j.Deadline.UnixMilli(), Accepted: j.Accepted.UnixMilli(), State: j.State, Owner: j.Owner, Takeovers: j.Takeovers,
 	}
 }
 
 func encodeRow(s storedJob) []byte {
 	encoded, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // The body was checked to be JSON when it was taken in.
+		panic(err) // The body was checked to be JSON when the job was accepted.
 	}
 	return encoded
 }
@@ -143,9 +145,9 @@
 		return s, Job{}, fmt.Errorf("job: %s: %w", row.Key, err)
 	}
 	j := Job{
-		ID: s.ID, Team: s.Team, Service: s.Service, RequestHash: s.Request, Body: s.Body,
+		ID: s.ID, Team: s.Team, Service: s.Service, RequestHash: s.RequestHash, Body: s.Body,
 		Deadline: time.UnixMilli(s.Deadline), Accepted: time.UnixMilli(s.Accepted),
-		State: s.State, Owner: s.Owner, Takeovers: s.Runs, version: row.Version,
+		State: s.State, Owner: s.Owner, Takeovers: s.Takeovers, version: row.Version,
 	}
 	if s.Result != nil {
 		j.Result = Result(*s.Result)
--- a/pkg/job/job_test.go
+++ b/pkg/job/job_test.go
@@ -22,32 +22,32 @@
 	"ironhollow/pkg/table"
 )
 
-// TestMain fixes the seed of property tests: the same verdict on each run.
+// TestMain fixes the seed of the property tests, so that each run has the same result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
 }
 
-// generator gives an answer after some time, with tokens on the way.
+// generator generates an answer token by token over the given duration.
 type generator struct {
-	mu   sync.Mutex
-	took time.Duration
-	runs map[string]int
-	// received is what the last run of a job started from.
+	mu       sync.Mutex
+	duration time.Duration
+	runs     map[string]int
+	// received is the number of tokens from which the last run of a job started.
 	received map[string]int
-	fail     error
+	err      error
 }
 
-func newGenerator(took time.Duration) *generator {
-	return &generator{took: took, runs: map[string]int{}, received: map[string]int{}}
+func newGenerator(duration time.Duration) *generator {
+	return &generator{duration: duration, runs: map[string]int{}, received: map[string]int{}}
 }
 
-type tokens struct {
+type progress struct {
 	mu   sync.Mutex
 	list []string
 }
 
-func (t *tokens) Tokens() (string, []string) {
+func (t *progress) Tokens() (string, []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return "1", append([]string(nil), t.list...)
@@ -55,19 +55,19 @@
 
 const answerTokens = 100
 
-func (g *generator) Generate(ctx context.Context, j job.Job, _ string, received []string, started func(job.Progress)) (job.Result, error) {
+func (g *generator) Generate(ctx context.Context, j job.Job, _ string, received []string, onStart func(job.Progress)) (job.Result, error) {
 	g.mu.Lock()
 	g.runs[j.ID]++
 	g.received[j.ID] = len(received)
-	fail := g.fail
+	err := g.err
 	g.mu.Unlock()
-	if fail != nil {
-		return job.Result{}, fail
+	if err != nil {
+		return job.Result{}, err
 	}
-	p := &tokens{list: append([]string(nil), received...)}
-	started(p)
+	p := &progress{list: append([]string(nil), received...)}
+	onStart(p)
 	for len(p.list) < answerTokens {
-		timer := time.NewTimer(g.took / answerTokens)
+		timer := time.NewTimer(g.duration / answerTokens)
 		select {
 		case <-ctx.Done():
 			return job.Result{}, ctx.Err()
@@ -80,7 +80,7 @@
 	return job.Result{Text: strings.Join(p.list, ""), Finish: "stop"}, nil
 }
 
-func whole(id string) string {
+func fullAnswer(id string) string {
 	var b strings.Builder
 	for i := range answerTokens {
 		fmt.Fprintf(&b, "%s-%d ", id, i)
@@ -88,7 +88,7 @@
 	return b.String()
 }
 
-// entry is one entry's part of the work on jobs.
+// entry holds the job store and the worker of one entry.
 type entry struct {
 	owner  string
 	store  *job.Store
@@ -105,19 +105,19 @@
 	return &entry{owner, store, worker, kill}
 }
 
-func (e *entry) accept(key string, body string, lasts time.Duration) (job.Job, bool, error) {
+func (e *entry) accept(key string, body string, ttl time.Duration) (job.Job, bool, error) {
 	j := job.Job{
 		ID: job.NewID("team", "review", key), Team: "team", Service: "review", RequestHash: body, Body: []byte(body),
-		Deadline: time.Now().Add(lasts), Accepted: time.Now(), State: job.Accepted, Owner: e.owner,
+		Deadline: time.Now().Add(ttl), Accepted: time.Now(), State: job.Accepted, Owner: e.owner,
 	}
-	held, fresh, err := e.store.Accept(context.Background(), j)
-	if err == nil && fresh {
-		e.worker.Add(held)
+	accepted, created, err := e.store.Accept(context.Background(), j)
+	if err == nil && created {
+		e.worker.Add(accepted)
 	}
-	return held, fresh, err
+	return accepted, created, err
 }
 
-func (e *entry) result(t *testing.T, id string) job.Job {
+func (e *entry) getJob(t *testing.T, id string) job.Job {
 	t.Helper()
 	j, err := e.store.Get(context.Background(), "team", id)
 	if err != nil {
@@ -126,26 +126,26 @@
 	return j
 }
 
-func TestAcceptedJobIsFinishedAndShownByAnyEntry(t *testing.T) {
+func TestAnyEntryReturnsFinishedJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows, bodies, g := tables.New(), objects.New(), newGenerator(5*time.Second)
 		first, second := newEntry("n1@1", rows, bodies, g), newEntry("n2@1", rows, bodies, g)
 		defer first.kill()
-		j, fresh, err := first.accept("k", `"b"`, time.Hour)
-		if err != nil || !fresh {
-			t.Fatalf("got fresh %v, error %v", fresh, err)
+		j, created, err := first.accept("k", `"b"`, time.Hour)
+		if err != nil || !created {
+			t.Fatalf("got created %v, error %v; want a new job", created, err)
 		}
-		again, fresh, err := second.accept("k", `"b"`, time.Hour)
-		if err != nil || fresh || again.ID != j.ID {
-			t.Errorf("the same key again: got job %s fresh %v error %v, want job %s", again.ID, fresh, err, j.ID)
+		again, created, err := second.accept("k", `"b"`, time.Hour)
+		if err != nil || created || again.ID != j.ID {
+			t.Errorf("repeated key: got job %s created %v error %v, want job %s", again.ID, created, err, j.ID)
 		}
 		if _, _, err := second.accept("k", `"other"`, time.Hour); code.Of(err).Number() != code.KeyReused.Number() {
-			t.Errorf("the key for another job: got %v, want KeyReused", err)
+			t.Errorf("key with another request: got %v, want KeyReused", err)
 		}
 		time.Sleep(6 * time.Second)
-		got := second.result(t, j.ID)
-		if got.State != job.Done || got.Result.Text != whole(j.ID) {
-			t.Errorf("got %s with %d characters, want done with %d", got.State, len(got.Result.Text), len(whole(j.ID)))
+		got := second.getJob(t, j.ID)
+		if got.State != job.Done || got.Result.Text != fullAnswer(j.ID) {
+			t.Errorf("got %s with %d characters, want done with %d", got.State, len(got.Result.Text), len(fullAnswer(j.ID)))
 		}
 		if _, err := second.store.Get(context.Background(), "others", j.ID); code.Of(err).Number() != code.UnknownJob.Number() {
 			t.Errorf("another team's job: got %v, want UnknownJob", err)
@@ -153,8 +153,8 @@
 	})
 }
 
-// TestKilledOwnersJobsAreTakenOver kills an entry and lets two survivors share
-// its jobs; the survivors go on from checkpoints.
+// TestKilledOwnersJobsAreTakenOver guards against losing the jobs of a killed entry, or their
+// progress: two survivors take over its jobs and resume them from checkpoints.
 func TestKilledOwnersJobsAreTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows, bodies, g := tables.New(), objects.New(), newGenerator(10*time.Second)
@@ -178,23 +178,23 @@
 		}
 		time.Sleep(12 * time.Second)
 		for _, id := range ids {
-			got := survivors[0].result(t, id)
-			if got.State != job.Done || got.Result.Text != whole(id) {
-				t.Errorf("job %s: got %s with %d characters, want done and whole", id, got.State, len(got.Result.Text))
+			got := survivors[0].getJob(t, id)
+			if got.State != job.Done || got.Result.Text != fullAnswer(id) {
+				t.Errorf("job %s: got %s with %d characters, want done and complete", id, got.State, len(got.Result.Text))
 			}
 			if g.received[id] < 30 {
-				t.Errorf("job %s: taken over with %d tokens, want at least 30 from its checkpoint", id, g.received[id])
+				t.Errorf("job %s: resumed from %d tokens, want at least 30 from its checkpoint", id, g.received[id])
 			}
 		}
 		left, err := survivors[0].store.OwnedBy(context.Background(), "n1@1", 10)
 		if err != nil || len(left) != 0 {
-			t.Errorf("rows of the dead owner: got %d (%v), want 0", len(left), err)
+			t.Errorf("jobs of the killed owner: got %d (%v), want 0", len(left), err)
 		}
 	})
 }
 
-// TestOwnerThatCameBackDoesNotAnswerTwice freezes an owner, lets another take
-// its job and finish it, and then lets the first one finish too.
+// TestOwnerThatCameBackDoesNotAnswerTwice guards against a second result for a job: an owner
+// is so slow that another entry takes its job over and finishes it first.
 func TestOwnerThatCameBackDoesNotAnswerTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows, bodies := tables.New(), objects.New()
@@ -208,20 +208,20 @@
 			t.Fatal(err)
 		}
 		if taken, _, err := other.worker.Recover(context.Background(), "n1@1", job.Shard{Count: 1}); taken != 1 || err != nil {
-			t.Fatalf("taken over: got %d (%v), want 1", taken, err)
+			t.Fatalf("got %d jobs taken over (%v), want 1", taken, err)
 		}
 		time.Sleep(2 * time.Second)
-		before := other.result(t, j.ID)
+		before := other.getJob(t, j.ID)
 		time.Sleep(2 * time.Minute)
-		after := other.result(t, j.ID)
+		after := other.getJob(t, j.ID)
 		if before.State != job.Done || before.Owner != "n2@1" || after.Owner != before.Owner || after.Result.Text != before.Result.Text {
 			t.Errorf("got owner %s then %s, want n2@1 both times", before.Owner, after.Owner)
 		}
 	})
 }
 
-// TestStoreOutageLosesNothing has the store go down while jobs run and at the
-// moment they finish.
+// TestStoreOutageLosesNothing guards against losing a result when the store is down while a
+// job runs and when it finishes.
 func TestStoreOutageLosesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows, bodies, g := tables.New(), objects.New(), newGenerator(5*time.Second)
@@ -234,20 +234,20 @@
 		rows.SetFaults(func(tables.Call) tables.Fault { return tables.Down{} })
 		bodies.SetDown(true)
 		if _, _, err := e.accept("k2", `"b"`, time.Hour); err == nil {
-			t.Error("a job accepted while the store is down: want an error")
+			t.Error("got a job accepted while the store is down, want an error")
 		}
 		time.Sleep(30 * time.Minute)
 		rows.SetFaults(nil)
 		bodies.SetDown(false)
 		time.Sleep(10 * time.Second)
-		if got := e.result(t, j.ID); got.State != job.Done || got.Result.Text != whole(j.ID) || g.runs[j.ID] != 1 {
+		if got := e.getJob(t, j.ID); got.State != job.Done || got.Result.Text != fullAnswer(j.ID) || g.runs[j.ID] != 1 {
 			t.Errorf("got %s after %d runs, want done after 1", got.State, g.runs[j.ID])
 		}
 	})
 }
 
-// TestFailureAtEveryCall lets each call of the store in turn fail in each way,
-// and asks that the job is finished whole whenever its caller was told so.
+// TestFailureAtEveryCall injects each kind of fault at each call of the store in turn, and
+// checks that every job reported as accepted finishes with a complete result.
 func TestFailureAtEveryCall(t *testing.T) {
 	faults := []tables.Fault{tables.LoseAnswer{}, tables.Down{}, tables.Refuse{}, tables.Late{For: 2 * time.Second}, tables.Delay{For: 3 * time.Second}}
 	for _, fault := range faults {
@@ -265,11 +265,11 @@
 					defer e.kill()
 					j, _, err := e.accept("k", `"b"`, time.Hour)
 					if err != nil {
-						// The caller asks again with its key, as it is told to.
+						// The caller retries with the same key, as the documentation of errors asks.
 						j, _, err = e.accept("k", `"b"`, time.Hour)
 					}
 					if err != nil {
-						t.Fatalf("accepted neither at first nor when asked again: %v", err)
+						t.Fatalf("accepted neither at first nor when retried: %v", err)
 					}
 					time.Sleep(10 * time.Second)
 					for range 3 {
@@ -277,8 +277,8 @@
 						time.Sleep(5 * time.Second)
 					}
 					rows.SetFaults(nil)
-					if got := e.result(t, j.ID); got.State != job.Done || got.Result.Text != whole(j.ID) {
-						t.Errorf("got %s, want done and whole", got.State)
+					if got := e.getJob(t, j.ID); got.State != job.Done || got.Result.Text != fullAnswer(j.ID) {
+						t.Errorf("got %s, want done with a complete result", got.State)
 					}
 				})
 			})
@@ -286,34 +286,34 @@
 	}
 }
 
-// TestHopelessJobFailsWithACode checks that a rerun is tried only where it
-// could help.
-func TestHopelessJobFailsWithACode(t *testing.T) {
+// TestPermanentErrorOrDeadlineFailsJob checks that a job fails at once with a permanent error, and
+// with any other error only after reruns until its deadline.
+func TestPermanentErrorOrDeadlineFailsJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rows, bodies, g := tables.New(), objects.New(), newGenerator(time.Second)
 		e := newEntry("n1@1", rows, bodies, g)
 		defer e.kill()
-		g.fail = code.New(code.BadBody, "no")
+		g.err = code.New(code.BadBody, "no")
 		bad, _, _ := e.accept("k1", `"b"`, time.Hour)
 		time.Sleep(time.Second)
-		if got := e.result(t, bad.ID); got.State != job.Failed || got.Result.Code != code.BadBody.Number() {
+		if got := e.getJob(t, bad.ID); got.State != job.Failed || got.Result.Code != code.BadBody.Number() {
 			t.Errorf("got %s with code %d, want failed with %d", got.State, got.Result.Code, code.BadBody.Number())
 		}
-		g.fail = errors.New("no endpoint")
+		g.err = errors.New("no endpoint")
 		late, _, _ := e.accept("k2", `"b"`, 10*time.Second)
 		time.Sleep(20 * time.Second)
-		if got := e.result(t, late.ID); got.State != job.Failed || g.runs[late.ID] < 3 {
+		if got := e.getJob(t, late.ID); got.State != job.Failed || g.runs[late.ID] < 3 {
 			t.Errorf("got %s after %d runs, want failed after its deadline and several runs", got.State, g.runs[late.ID])
 		}
 	})
 }
 
-// TestBatchesKeepJobsApart accepts many jobs at once, some with the same key:
-// each key has one job, and few commits carry them all.
-func TestBatchesKeepJobsApart(t *testing.T) {
+// TestBatchedJobsHaveSeparateOutcomes accepts many jobs at once, some with the same key, and
+// checks that all are accepted and each key gets exactly one job.
+func TestBatchedJobsHaveSeparateOutcomes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		keys := rapid.SliceOfN(rapid.IntRange(0, 20), 1, 60).Draw(rt, "keys")
-		fresh := map[int]int{}
+		created := map[int]int{}
 		var errs []error
 		synctest.Test(t, func(*testing.T) {
 			rows, bodies, g := tables.New(), objects.New(), newGenerator(time.Second)
@@ -322,12 +322,12 @@
 			var wait sync.WaitGroup
 			for _, k := range keys {
 				wait.Go(func() {
-					_, isFresh, err := e.accept(fmt.Sprint(k), `"b"`, time.Hour)
+					_, isNew, err := e.accept(fmt.Sprint(k), `"b"`, time.Hour)
 					mu.Lock()
 					defer mu.Unlock()
 					errs = append(errs, err)
-					if isFresh {
-						fresh[k]++
+					if isNew {
+						created[k]++
 					}
 				})
 			}
@@ -336,11 +336,11 @@
 			time.Sleep(time.Minute)
 		})
 		if err := errors.Join(errs...); err != nil {
-			rt.Fatalf("got %v, want every job accepted", err)
+			rt.Fatalf("got error %v, want every job accepted", err)
 		}
 		for _, k := range keys {
-			if fresh[k] != 1 {
-				rt.Fatalf("key %d: got %d fresh jobs, want 1", k, fresh[k])
+			if created[k] != 1 {
+				rt.Fatalf("key %d: got %d jobs created, want 1", k, created[k])
 			}
 		}
 	})
--- a/pkg/job/recover.go
+++ b/pkg/job/recover.go
@@ -7,32 +7,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// recoverPage is how many jobs of a lost owner are looked at in one go.
-const recoverPage = 200
+// recoverPageSize is the maximum number of an owner's jobs that one call examines.
+const recoverPageSize = 200
 
-// Shard is one survivor's part of a lost owner's jobs: those whose id falls on
-// Rank among Of. Survivors that differ on their ranks do no harm: the row
-// decides who has a job.
+// Shard is the part of a lost owner's jobs that one surviving entry takes over: those whose
+// hash of the ID modulo Count is Index. Survivors need not agree on their indexes, as the
+// job's row decides which of them owns the job.
 type Shard struct {
 	Index, Count int
 }
 
-// takes reports whether a job falls on this part.
-func (p Shard) takes(id string) bool {
-	return p.Count <= 1 || int(xxhash.Sum64String(id)%uint64(p.Count)) == p.Index
+// contains reports whether a job is in the shard.
+func (s Shard) contains(id string) bool {
+	return s.Count <= 1 || int(xxhash.Sum64String(id)%uint64(s.Count)) == s.Index
 }
 
-// Recover takes over a page of a lost owner's jobs, earliest deadline first,
-// and adds them to the worker. It returns how many it took and how many are
-// left for others or for another call.
-func (w *Worker) Recover(ctx context.Context, lost string, part Shard) (taken, left int, err error) {
-	ids, err := w.store.OwnedBy(ctx, lost, recoverPage)
+// Recover examines up to recoverPageSize jobs of a lost owner, earliest deadline first, takes
+// over those in the shard and adds them to the worker. It returns how many it took over and
+// how many of the examined ones remain for other entries or another call.
+func (w *Worker) Recover(ctx context.Context, lost string, shard Shard) (taken, remaining int, err error) {
+	ids, err := w.store.OwnedBy(ctx, lost, recoverPageSize)
 	if err != nil {
 		return 0, 0, err
 	}
 	for _, id := range ids {
-		if !part.takes(id) {
-			left++
+		if !shard.contains(id) {
+			remaining++
 			continue
 		}
 		j, err := w.store.TakeOver(ctx, id, lost, w.owner)
@@ -42,29 +42,29 @@
 			taken++
 		case errors.Is(err, ErrTakenOver):
 		default:
-			return taken, left + len(ids) - taken, err
+			return taken, remaining + len(ids) - taken, err
 		}
 	}
-	return taken, left, nil
+	return taken, remaining, nil
 }
 
-// Reconcile adds jobs that the store says are this entry's own but that it does
-// not have: their acceptance was not known to have taken effect.
+// Reconcile adds jobs that this entry owns in the store but that the worker does not have,
+// as the commit that accepted them had an unknown outcome.
 func (w *Worker) Reconcile(ctx context.Context) (int, error) {
-	ids, err := w.store.OwnedBy(ctx, w.owner, recoverPage)
+	ids, err := w.store.OwnedBy(ctx, w.owner, recoverPageSize)
 	if err != nil {
 		return 0, err
 	}
-	rescued := 0
-	missed := map[string]bool{}
+	added := 0
+	missing := map[string]bool{}
 	for _, id := range ids {
 		if w.Has(id) {
 			continue
 		}
-		missed[id] = true
-		// A job seen for the first time may be on its way from the store's
-		// answer to the worker: it is taken up if it is missing again.
-		if !w.wasMissed(id) {
+		missing[id] = true
+		// A job that has just been committed may not have been added to the worker yet. It
+		// is added here only if the last call found it missing too.
+		if !w.wasMissing(id) {
 			continue
 		}
 		j, err := w.store.TakeOver(ctx, id, w.owner, w.owner)
@@ -72,52 +72,53 @@
 			continue
 		}
 		if err != nil {
-			return rescued, err
+			return added, err
 		}
 		w.Add(j)
-		rescued++
+		added++
 	}
-	w.setMissed(missed)
-	return rescued, nil
+	w.setMissing(missing)
+	return added, nil
 }
 
-// RequestReconcile notes that a job may have been accepted without this entry knowing.
+// RequestReconcile makes ReconcileIfRequested call Reconcile for the next rounds. It is called
+// when a commit with an unknown outcome may have accepted a job.
 func (w *Worker) RequestReconcile() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unsure = unsureRounds
+	w.reconcileRounds = reconcileRoundsPerRequest
 }
 
-// unsureRounds is how many clean looks end the doubt: an accept may take effect
-// some time after its answer was given up.
-const unsureRounds = 20
+// reconcileRoundsPerRequest is the number of successful calls of Reconcile after which no
+// further job is expected: a commit may take effect some time after its caller gave up waiting.
+const reconcileRoundsPerRequest = 20
 
-// ReconcileIfRequested rescues while there is doubt, and costs the store nothing
-// otherwise.
+// ReconcileIfRequested calls Reconcile if rounds are left from a call of RequestReconcile, and
+// does not access the store otherwise.
 func (w *Worker) ReconcileIfRequested(ctx context.Context) (int, error) {
 	w.mu.Lock()
-	doubt := w.unsure > 0
+	requested := w.reconcileRounds > 0
 	w.mu.Unlock()
-	if !doubt {
+	if !requested {
 		return 0, nil
 	}
-	rescued, err := w.Reconcile(ctx)
+	added, err := w.Reconcile(ctx)
 	if err == nil {
 		w.mu.Lock()
-		w.unsure--
+		w.reconcileRounds--
 		w.mu.Unlock()
 	}
-	return rescued, err
+	return added, err
 }
 
-func (w *Worker) wasMissed(id string) bool {
+func (w *Worker) wasMissing(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.missed[id]
+	return w.missing[id]
 }
 
-func (w *Worker) setMissed(missed map[string]bool) {
+func (w *Worker) setMissing(missing map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.missed = missed
+	w.missing = missing
 }
--- a/pkg/job/store.go
+++ b/pkg/job/store.go
@@ -11,44 +11,55 @@
 	"ironhollow/pkg/table"
 )
 
-// Store keeps jobs in the platform's services.
+// Store stores jobs in the platform's table service and object store.
 type Store struct {
 	writer  *table.Writer
 	objects object.Store
 	batcher Committer
 }
 
-// Committer inserts the rows of one job, all Absent.
+// Committer inserts the rows of one job. The first row is the job's own, with the condition
+// Absent.
 type Committer interface {
 	Commit(ctx context.Context, rows []table.Write) table.Outcome
 }
 
-// NewStore returns a store of jobs.
+// NewStore returns a store that commits new jobs through batcher and other changes through
+// writer.
 func NewStore(writer *table.Writer, objects object.Store, batcher Committer) *Store {
 	return &Store{writer: writer, objects: objects, batcher: batcher}
 }
 
-func bodyObject(id string) string             { return "job-body-" + id }
-func resultObject(id string, runs int) string { return fmt.Sprintf("job-result-%s-%d", id, runs) }
-func checkpointObject(id string) string       { return "job-checkpoint-" + id }
-func (s *Store) reader() table.Store          { return s.writer.Store() }
-func storeDown(err error) error               { return code.New(code.StoreDown, err.Error()) }
-func unknownJob(id string) error              { return code.New(code.UnknownJob, "no job "+id) }
-func errConflict(id string) error             { return fmt.Errorf("job %s: %w", id, ErrTakenOver) }
+func bodyObjectKey(id string) string { return "job-body-" + id }
+
+func resultObjectKey(id string, takeovers int) string {
+	return fmt.Sprintf("job-result-%s-%d", id, takeovers)
+}
+
+func checkpointObjectKey(id string) string { return "job-checkpoint-" + id }
+
+func (s *Store) reader() table.Store { return s.writer.Store() }
+
+func storeDownError(err error) error { return code.New(code.StoreDown, err.Error()) }
+
+func unknownJobError(id string) error { return code.New(code.UnknownJob, "no job "+id) }
+
+func takenOverError(id string) error { return fmt.Errorf("job %s: %w", id, ErrTakenOver) }
+
 func (s *Store) get(ctx context.Context, id string) (table.Row, bool, error) {
 	return s.reader().Get(ctx, rowKey(id))
 }
 
-// ErrTakenOver says that a job has another owner by now.
+// ErrTakenOver means that the job has another owner, or has finished.
 var ErrTakenOver = errors.New("taken over by another owner")
 
-// Accept commits a job. The job returned is the one in the store, which for a
-// repeated key is an earlier one; fresh tells whether this call made it.
-func (s *Store) Accept(ctx context.Context, j Job) (held Job, fresh bool, err error) {
+// Accept commits a job and returns the job in the store, which is an earlier one if the
+// request's key was used before. created reports whether this call created it.
+func (s *Store) Accept(ctx context.Context, j Job) (accepted Job, created bool, err error) {
 	stored := toStored(j)
-	if len(j.Body) > inlineBytes {
-		if err := s.objects.Put(ctx, bodyObject(j.ID), j.Body); err != nil {
-			return Job{}, false, storeDown(err)
+	if len(j.Body) > maxInlineBytes {
+		if err := s.objects.Put(ctx, bodyObjectKey(j.ID), j.Body); err != nil {
+			return Job{}, false, storeDownError(err)
 		}
 		stored.Body, stored.BodyObject = nil, true
 	}
@@ -64,40 +75,41 @@
 		return Job{}, false, code.New(code.AcceptUnknown, outcome.Err.Error())
 	case table.Refused:
 		if len(outcome.Conflicts) == 0 {
-			return Job{}, false, storeDown(outcome.Err)
+			return Job{}, false, storeDownError(outcome.Err)
 		}
-		return s.repeated(j, outcome.Conflicts[0])
+		return s.existing(j, outcome.Conflicts[0])
 	}
 	panic("table: unknown outcome type")
 }
 
-// repeated answers a request whose key has a job already.
-func (s *Store) repeated(asked Job, row table.Row) (Job, bool, error) {
-	_, held, err := decodeRow(row)
+// existing returns the job that was stored before with the key of the requested one. It
+// returns KeyReused if that job was for a different request.
+func (s *Store) existing(requested Job, row table.Row) (Job, bool, error) {
+	_, stored, err := decodeRow(row)
 	if err != nil {
 		return Job{}, false, err
 	}
-	if held.RequestHash != asked.RequestHash || held.Team != asked.Team {
+	if stored.RequestHash != requested.RequestHash || stored.Team != requested.Team {
 		return Job{}, false, code.New(code.KeyReused, "the key was used for another job")
 	}
-	return held, false, nil
+	return stored, false, nil
 }
 
-// Get reads a team's job with its whole result.
+// Get returns a team's job, with the complete result if the job has finished.
 func (s *Store) Get(ctx context.Context, team, id string) (Job, error) {
 	row, ok, err := s.get(ctx, id)
 	if err != nil {
-		return Job{}, storeDown(err)
+		return Job{}, storeDownError(err)
 	}
 	if !ok {
-		return Job{}, unknownJob(id)
+		return Job{}, unknownJobError(id)
 	}
 	stored, j, err := decodeRow(row)
 	if err != nil {
 		return Job{}, err
 	}
 	if j.Team != team {
-		return Job{}, unknownJob(id)
+		return Job{}, unknownJobError(id)
 	}
 	if stored.ResultObject {
 		return s.withResult(ctx, j)
@@ -106,34 +118,34 @@
 }
 
 func (s *Store) withResult(ctx context.Context, j Job) (Job, error) {
-	data, ok, err := s.objects.Get(ctx, resultObject(j.ID, j.Takeovers))
+	data, ok, err := s.objects.Get(ctx, resultObjectKey(j.ID, j.Takeovers))
 	if err != nil {
-		return Job{}, storeDown(err)
+		return Job{}, storeDownError(err)
 	}
 	var result storedResult
 	if !ok || json.Unmarshal(data, &result) != nil {
-		return Job{}, storeDown(fmt.Errorf("result of job %s can't be read", j.ID))
+		return Job{}, storeDownError(fmt.Errorf("result of job %s can't be read", j.ID))
 	}
 	j.Result = Result(result)
 	return j, nil
 }
 
-// TakeOver makes owner the owner of a job that another had. It returns
-// ErrTakenOver where the job is finished or has moved on already.
+// TakeOver changes the owner of a job. It returns ErrTakenOver if the job has finished or is
+// no longer owned by from.
 func (s *Store) TakeOver(ctx context.Context, id, from, owner string) (Job, error) {
 	row, ok, err := s.get(ctx, id)
 	if err != nil {
 		return Job{}, err
 	}
 	if !ok {
-		return Job{}, unknownJob(id)
+		return Job{}, unknownJobError(id)
 	}
 	stored, j, err := decodeRow(row)
 	if err != nil {
 		return Job{}, err
 	}
 	if j.State != Accepted || j.Owner != from {
-		return Job{}, errConflict(id)
+		return Job{}, takenOverError(id)
 	}
 	if stored.BodyObject {
 		j.Body, err = s.body(ctx, id)
@@ -142,8 +154,8 @@
 		}
 	}
 	stored.Owner = owner
-	stored.Runs++
-	j.Owner, j.Takeovers = owner, stored.Runs
+	stored.Takeovers++
+	j.Owner, j.Takeovers = owner, stored.Takeovers
 	return j, s.replace(
 		ctx, &j, stored,
 		table.Write{Key: ownedKey(from, j.Deadline, id), If: table.Always{}, Delete: true},
@@ -152,23 +164,23 @@
 }
 
 func (s *Store) body(ctx context.Context, id string) ([]byte, error) {
-	data, ok, err := s.objects.Get(ctx, bodyObject(id))
+	data, ok, err := s.objects.Get(ctx, bodyObjectKey(id))
 	if err == nil && !ok {
 		err = fmt.Errorf("body of job %s is missing", id)
 	}
 	return data, err
 }
 
-// replace writes a job's row over the version held, together with other rows.
-func (s *Store) replace(ctx context.Context, j *Job, stored storedJob, others ...table.Write) error {
-	writes := append([]table.Write{{Key: rowKey(j.ID), Value: encodeRow(stored), If: table.AtVersion{Version: j.version}}}, others...)
+// replace writes a job's row together with extra rows, if the row still has the version in j.
+func (s *Store) replace(ctx context.Context, j *Job, stored storedJob, extra ...table.Write) error {
+	writes := append([]table.Write{{Key: rowKey(j.ID), Value: encodeRow(stored), If: table.AtVersion{Version: j.version}}}, extra...)
 	switch outcome := s.writer.Commit(ctx, writes...).(type) {
 	case table.Done:
 		j.version = outcome.Version
 		return nil
 	case table.Refused:
 		if len(outcome.Conflicts) > 0 {
-			return errConflict(j.ID)
+			return takenOverError(j.ID)
 		}
 		return outcome.Err
 	case table.Unknown:
@@ -177,8 +189,8 @@
 	panic("table: unknown outcome type")
 }
 
-// Finish writes a job's result. A long one goes to the object store first, so
-// that the row never points at half a result.
+// Finish writes a job's result. A long result is put into the object store first, so that the
+// row never refers to an incomplete result.
 func (s *Store) Finish(ctx context.Context, j *Job, state State, result Result) error {
 	encoded, err := json.Marshal(storedResult(result))
 	if err != nil {
@@ -187,10 +199,10 @@
 	j.State, j.Result = state, result
 	stored := toStored(*j)
 	stored.Body = nil
-	wire := storedResult(result)
-	stored.Result = &wire
-	if len(encoded) > inlineBytes {
-		if err := s.objects.Put(ctx, resultObject(j.ID, j.Takeovers), encoded); err != nil {
+	inline := storedResult(result)
+	stored.Result = &inline
+	if len(encoded) > maxInlineBytes {
+		if err := s.objects.Put(ctx, resultObjectKey(j.ID, j.Takeovers), encoded); err != nil {
 			return err
 		}
 		stored.Result, stored.ResultObject = nil, true
@@ -198,8 +210,7 @@
 	return s.replace(ctx, j, stored, table.Write{Key: ownedKey(j.Owner, j.Deadline, j.ID), If: table.Always{}, Delete: true})
 }
 
-// OwnedBy lists the ids of the unfinished jobs of an owner, earliest deadline
-// first, a page at most.
+// OwnedBy returns the IDs of up to limit unfinished jobs of an owner, earliest deadline first.
 func (s *Store) OwnedBy(ctx context.Context, owner string, limit int) ([]string, error) {
 	rows, err := s.reader().List(ctx, ownedPrefix+owner+"/", "", limit)
 	if err != nil {
@@ -207,12 +218,12 @@
 	}
 	ids := make([]string, len(rows))
 	for i, row := range rows {
-		ids[i] = idOfOwned(row.Key)
+		ids[i] = idFromOwnedKey(row.Key)
 	}
 	return ids, nil
 }
 
-// Owners lists the incarnations of a node that still own jobs.
+// Owners returns the incarnations of a node that own unfinished jobs.
 func (s *Store) Owners(ctx context.Context, node string) ([]string, error) {
 	prefix := ownedPrefix + node + "@"
 	var owners []string
@@ -222,14 +233,14 @@
 		if err != nil || len(rows) == 0 {
 			return owners, err
 		}
-		owner, _, _ := cutOwner(rows[0].Key)
+		owner, _, _ := splitOwnedKey(rows[0].Key)
 		owners = append(owners, owner)
-		// Skip past this owner's rows: '0' is the character after '/'.
+		// Skip this owner's other rows: '0' is the character after '/'.
 		after = ownedPrefix + owner + "0"
 	}
 }
 
-func cutOwner(key string) (owner, rest string, ok bool) {
+func splitOwnedKey(key string) (owner, rest string, ok bool) {
 	for i := len(ownedPrefix); i < len(key); i++ {
 		if key[i] == '/' {
 			return key[len(ownedPrefix):i], key[i+1:], true
@@ -238,25 +249,27 @@
 	return "", "", false
 }
 
-// SaveCheckpoint keeps the tokens a job has so far.
+// SaveCheckpoint stores the tokens that a job has so far and the model version that
+// generated them.
 func (s *Store) SaveCheckpoint(ctx context.Context, id, version string, tokens []string) error {
 	data, err := json.Marshal(storedCheckpoint{version, tokens})
 	if err != nil {
 		return err
 	}
-	return s.objects.Put(ctx, checkpointObject(id), data)
+	return s.objects.Put(ctx, checkpointObjectKey(id), data)
 }
 
-// storedCheckpoint is a checkpoint's JSON. The tokens are of one version of
-// the model, and are of no use to another.
+// storedCheckpoint is the JSON form of a checkpoint. Its tokens are usable only with the
+// model version that generated them.
 type storedCheckpoint struct {
 	Version string   `json:"version"`
 	Tokens  []string `json:"tokens"`
 }
 
-// Checkpoint returns the tokens kept of a job, none if there are none.
+// Checkpoint returns the model version and the tokens of a job's checkpoint, or none if there
+// is no readable checkpoint.
 func (s *Store) Checkpoint(ctx context.Context, id string) (version string, tokens []string) {
-	data, ok, err := s.objects.Get(ctx, checkpointObject(id))
+	data, ok, err := s.objects.Get(ctx, checkpointObjectKey(id))
 	var c storedCheckpoint
 	if err != nil || !ok || json.Unmarshal(data, &c) != nil {
 		return "", nil
