--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -1,5 +1,5 @@
-// Package callerapi is the HTTP edge towards callers: model calls in the usual
-// form, jobs, plain services, and the question which entry hosts to use.
+// Package callerapi implements the HTTP API for callers: model calls in the OpenAI format,
+// jobs, calls to plain services, and the list of entry hosts to use.
 package callerapi
 
 import (
@@ -33,16 +33,16 @@
 	"ironhollow/pkg/stream"
 )
 
-// Limits bound what one caller may take up.
+// Limits are the limits on requests.
 type Limits struct {
 	BodyBytes     int64
 	ResponseBytes int64
-	// Requests is how many are served at once.
+	// Requests is the maximum number of requests served at once.
 	Requests     int64
 	WriteTimeout time.Duration
 }
 
-// Deps are what the edge needs.
+// Deps are the dependencies of an API.
 type Deps struct {
 	Node                string
 	Owner               string
@@ -70,11 +70,11 @@
 	Deps
 	handler  http.Handler
 	inFlight atomic.Int64
-	// begun counts requests ever begun; a drain waits for inFlight to be 0.
-	begun atomic.Int64
+	// started counts all requests so far. A drain waits until inFlight is 0.
+	started atomic.Int64
 }
 
-// New returns the edge.
+// New returns an API.
 func New(deps Deps) *API {
 	a := &API{Deps: deps}
 	mux := http.NewServeMux()
@@ -87,7 +87,7 @@
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, code.New(code.UnknownEndpoint, r.Method+" "+r.URL.Path))
 	})
-	chain := negroni.New(negroni.HandlerFunc(a.recover), negroni.HandlerFunc(a.count))
+	chain := negroni.New(negroni.HandlerFunc(a.recoverPanic), negroni.HandlerFunc(a.limitInFlight))
 	chain.UseHandler(mux)
 	a.handler = chain
 	return a
@@ -99,15 +99,15 @@
 // InFlight returns how many requests are being served.
 func (a *API) InFlight() int64 { return a.inFlight.Load() }
 
-// recover turns a panic into a numbered error, if no answer has begun.
-func (a *API) recover(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
+// recoverPanic responds to a panic with an error, if no response has been started.
+func (a *API) recoverPanic(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
 	defer func() {
-		caught := recover()
-		if caught == nil {
+		recovered := recover()
+		if recovered == nil {
 			return
 		}
-		if caught == http.ErrAbortHandler {
-			panic(caught)
+		if recovered == http.ErrAbortHandler {
+			panic(recovered)
 		}
 		a.Metrics.Panics.Inc()
 		writeError(w, code.New(code.Internal, "fault in ironhollow"))
@@ -115,27 +115,27 @@
 	next(w, r)
 }
 
-// count keeps the number of requests in flight, bounds it, and tells callers
-// of a host that is leaving which others to use.
-func (a *API) count(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
-	held := a.inFlight.Add(1)
+// limitInFlight counts the requests in flight and refuses those over the limit. If this host
+// is leaving or refuses the request, the response names other entry hosts to use.
+func (a *API) limitInFlight(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
+	inFlight := a.inFlight.Add(1)
 	defer a.inFlight.Add(-1)
-	a.begun.Add(1)
+	a.started.Add(1)
 	if self, ok := a.Nodes.Get(a.Node); ok && self.Leaving {
-		a.setEntries(w)
+		a.setEntriesHeader(w)
 	}
-	if held > a.Limits.Requests {
-		a.setEntries(w)
-		writeRetry(w, code.New(code.Overloaded, "this entry host serves as many requests as it may"), time.Second)
+	if inFlight > a.Limits.Requests {
+		a.setEntriesHeader(w)
+		writeErrorRetryAfter(w, code.New(code.Overloaded, "this entry host serves as many requests as it may"), time.Second)
 		return
 	}
 	next(w, r)
 }
 
-// headerEntries names the entry hosts a moved caller is to use.
+// headerEntries lists the entry hosts to use instead of this one.
 const headerEntries = "Ironhollow-Entries"
 
-func (a *API) setEntries(w http.ResponseWriter) {
+func (a *API) setEntriesHeader(w http.ResponseWriter) {
 	var addresses []string
 	for _, n := range a.chooseEntries("") {
 		addresses = append(addresses, n.CallerAddress)
@@ -143,21 +143,21 @@
 	w.Header().Set(headerEntries, strings.Join(addresses, ", "))
 }
 
-// startSpan begins the span of a request, below the caller's own if it sent one.
+// startSpan starts the span of a request, as a child of the caller's span if it sent one.
 func (a *API) startSpan(r *http.Request, name string) (context.Context, trace.Span) {
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	return a.Tracer.Start(ctx, name, trace.WithSpanKind(trace.SpanKindServer))
 }
 
-// handlerFunc serves a team's request under the configuration in force when it
-// began.
-type handlerFunc func(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team)
+// teamHandler serves a team's request with the configuration that was current when the
+// request started.
+type teamHandler func(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team)
 
-func (a *API) authenticated(next handlerFunc) http.HandlerFunc {
+func (a *API) authenticated(next teamHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		c := a.Config.Current()
 		if c.Revision() == 0 {
-			writeRetry(w, code.New(code.NotReady, "no configuration yet"), time.Second)
+			writeErrorRetryAfter(w, code.New(code.NotReady, "no configuration yet"), time.Second)
 			return
 		}
 		bearer, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -171,9 +171,9 @@
 	}
 }
 
-// service finds a service of a kind that the team may call. Services a team may
-// not call are unknown to it.
-func service(c *fleet.Config, team fleet.Team, name string, kind fleet.Kind) (fleet.Service, error) {
+// findService returns the service with the given name and kind. A service that the team may
+// not call is reported as unknown.
+func findService(c *fleet.Config, team fleet.Team, name string, kind fleet.Kind) (fleet.Service, error) {
 	s, ok := c.Service(name)
 	if !ok || !team.MayCall(name) {
 		return fleet.Service{}, code.New(code.UnknownService, "no service "+strconv.Quote(name))
@@ -184,42 +184,42 @@
 	return s, nil
 }
 
-// admit holds the team to its rate.
-func (a *API) admit(team fleet.Team) error {
+// checkRate returns an error if the team is over its rate.
+func (a *API) checkRate(team fleet.Team) error {
 	entries := max(len(a.Nodes.ServingNodes()), 1)
 	ok, after := a.RateLimiter.Allow(limit.TeamLimit{Name: team.Name(), Rate: team.Rate(), Burst: team.Burst()}, entries, time.Now())
 	if ok {
 		return nil
 	}
 	a.Metrics.OverRate.WithLabelValues(team.Name()).Inc()
-	return retryError{code.New(code.OverRate, "team "+team.Name()+" is over its rate"), after}
+	return retryAfterError{code.New(code.OverRate, "team "+team.Name()+" is over its rate"), after}
 }
 
-// retryError is an error with the time to come back after.
-type retryError struct {
+// retryAfterError is an error with the time after which to retry.
+type retryAfterError struct {
 	error
 	after time.Duration
 }
 
-// Unwrap returns the error itself.
-func (e retryError) Unwrap() error { return e.error }
+// Unwrap returns the underlying error.
+func (e retryAfterError) Unwrap() error { return e.error }
 
-// enter waits for a place at the target's gate.
-func (a *API) enter(ctx context.Context, s fleet.Service, team fleet.Team, deadline time.Time) (limit.Permit, error) {
+// acquirePermit waits for a permit of the target's concurrency limiter.
+func (a *API) acquirePermit(ctx context.Context, s fleet.Service, team fleet.Team, deadline time.Time) (limit.Permit, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	ticket, err := a.ConcurrencyLimiters.For(targetOf(s)).Acquire(ctx, limit.PermitRequest{
+	permit, err := a.ConcurrencyLimiters.For(targetOf(s)).Acquire(ctx, limit.PermitRequest{
 		Team: team.Name(), Weight: team.Weight(), Priority: s.Priority(), Deadline: deadline, MayWait: s.MayWait(),
 	}, time.Now())
-	var late limit.DeadlineError
+	var deadlineErr limit.DeadlineError
 	switch {
-	case errors.As(err, &late):
+	case errors.As(err, &deadlineErr):
 		a.Metrics.Overloaded.WithLabelValues(s.Name()).Inc()
-		return ticket, retryError{code.New(code.Overloaded, "the deadline can't be met at present"), late.RetryAfter}
+		return permit, retryAfterError{code.New(code.Overloaded, "the deadline can't be met at present"), deadlineErr.RetryAfter}
 	case errors.Is(err, context.DeadlineExceeded):
-		return ticket, code.New(code.Overloaded, "the deadline passed while waiting for a place")
+		return permit, code.New(code.Overloaded, "the deadline passed while waiting for a place")
 	}
-	return ticket, err
+	return permit, err
 }
 
 func targetOf(s fleet.Service) route.Target {
@@ -229,7 +229,7 @@
 	return route.Target{Model: s.Model(), Version: s.Version(), Adapter: s.Adapter()}
 }
 
-// strategyOf maps the policy in force.
+// strategyOf returns the routing strategy of the configured policy.
 func strategyOf(c *fleet.Config) route.Strategy {
 	if c.Policy().NaiveRoute() {
 		return route.RoundRobin
@@ -237,14 +237,14 @@
 	return route.Expected
 }
 
-// newID returns a request's id.
+// newID returns a random request ID.
 func newID() string {
 	raw := make([]byte, 16)
-	_, _ = rand.Read(raw) // It never fails.
+	_, _ = rand.Read(raw) // Read never returns an error.
 	return hex.EncodeToString(raw)
 }
 
-// errorBody is an error in the usual form, with ironhollow's number and outcome.
+// errorBody is an error in the OpenAI format, with the number and outcome of its code added.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -257,12 +257,12 @@
 	Outcome string `json:"outcome"`
 }
 
-func bodyOf(err error) errorBody {
+func errorBodyOf(err error) errorBody {
 	c := code.Of(err)
 	return errorBody{errorDetail{err.Error(), "ironhollow_error", c.Name(), c.Number(), string(c.Outcome())}}
 }
 
-// Headers that say how a request ended.
+// Headers with the outcome of a request, its code and its ID.
 const (
 	headerOutcome = "Ironhollow-Outcome"
 	headerCode    = "Ironhollow-Code"
@@ -270,36 +270,36 @@
 )
 
 func writeError(w http.ResponseWriter, err error) {
-	var again retryError
-	if errors.As(err, &again) {
-		writeRetry(w, again.error, again.after)
+	var retryErr retryAfterError
+	if errors.As(err, &retryErr) {
+		writeErrorRetryAfter(w, retryErr.error, retryErr.after)
 		return
 	}
 	c := code.Of(err)
 	w.Header().Set(headerOutcome, string(c.Outcome()))
 	w.Header().Set(headerCode, strconv.Itoa(c.Number()))
-	if retryable(c) && w.Header().Get("Retry-After") == "" {
+	if needsRetryAfter(c) && w.Header().Get("Retry-After") == "" {
 		w.Header().Set("Retry-After", "1")
 	}
-	httpx.WriteJSON(w, c.Status(), bodyOf(err))
+	httpx.WriteJSON(w, c.Status(), errorBodyOf(err))
 }
 
-// retryable reports whether the caller is told when to come back.
-func retryable(c code.Code) bool {
+// needsRetryAfter reports whether a response with this code has a Retry-After header.
+func needsRetryAfter(c code.Code) bool {
 	return c.Status() == http.StatusServiceUnavailable || c.Status() == http.StatusTooManyRequests || c == code.CallInProgress
 }
 
-// writeRetry answers with the time to come back after, rounded up to seconds.
-func writeRetry(w http.ResponseWriter, err error, after time.Duration) {
+// writeErrorRetryAfter writes an error with a Retry-After header, rounded up to seconds.
+func writeErrorRetryAfter(w http.ResponseWriter, err error, after time.Duration) {
 	seconds := int((after + time.Second - 1) / time.Second)
 	w.Header().Set("Retry-After", strconv.Itoa(max(seconds, 1)))
 	writeError(w, err)
 }
 
-// entriesBody answers which entry hosts to use.
+// entriesBody lists the entry hosts to use.
 type entriesBody struct {
 	Entries []entryBody `json:"entries"`
-	// KeepSeconds is how long to keep the answer.
+	// KeepSeconds is how long the caller may cache the list.
 	KeepSeconds int `json:"keep_seconds"`
 }
 
@@ -316,7 +316,7 @@
 	httpx.WriteJSON(w, http.StatusOK, body)
 }
 
-// modelsBody lists services in the usual form.
+// modelsBody lists the model services in the OpenAI format.
 type modelsBody struct {
 	Object string      `json:"object"`
 	Data   []modelBody `json:"data"`
--- a/pkg/callerapi/callerapi_test.go
+++ b/pkg/callerapi/callerapi_test.go
@@ -23,11 +23,11 @@
 	"ironhollow/pkg/standin/tables"
 )
 
-func want(p load.Prompt, request string) string {
+func expectedText(p load.Prompt, request string) string {
 	return strings.Join(engines.Answer(engines.Loaded{Model: "m", Version: "1"}, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
 }
 
-// TestOfficialClientLibrary drives the edge by the library that callers use.
+// TestOfficialClientLibrary calls the API with the official OpenAI client library.
 func TestOfficialClientLibrary(t *testing.T) {
 	e := newSite(t).newEntry(t, "n1")
 	client := openai.NewClient(option.WithBaseURL(e.server.URL+"/v1/"), option.WithAPIKey("secret"), option.WithMaxRetries(0))
@@ -40,7 +40,7 @@
 		Model: "talk", MaxTokens: openai.Int(40), Seed: openai.Int(7),
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("hello")},
 	}
-	whole, err := client.Chat.Completions.New(ctx, params)
+	completion, err := client.Chat.Completions.New(ctx, params)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,37 +55,37 @@
 	if err := stream.Err(); err != nil {
 		t.Fatal(err)
 	}
-	if text != whole.Choices[0].Message.Content || text == "" || finish != "length" {
-		t.Errorf("streamed %q (%s), whole %q; want the same", text, finish, whole.Choices[0].Message.Content)
+	if text != completion.Choices[0].Message.Content || text == "" || finish != "length" {
+		t.Errorf("got %q (%s) streamed and %q not streamed, want the same", text, finish, completion.Choices[0].Message.Content)
 	}
-	if whole.Usage.CompletionTokens != 40 {
-		t.Errorf("usage: got %d tokens, want 40", whole.Usage.CompletionTokens)
+	if completion.Usage.CompletionTokens != 40 {
+		t.Errorf("usage: got %d tokens, want 40", completion.Usage.CompletionTokens)
 	}
 	params.Model = "nothing"
 	_, err = client.Chat.Completions.New(ctx, params)
-	var refused *openai.Error
-	if !errors.As(err, &refused) || refused.StatusCode != http.StatusNotFound || refused.Code != "unknown-service" {
+	var apiErr *openai.Error
+	if !errors.As(err, &apiErr) || apiErr.StatusCode != http.StatusNotFound || apiErr.Code != "unknown-service" {
 		t.Errorf("unknown service: got %v, want 404 unknown-service", err)
 	}
 }
 
-// TestRefusalsAreNumbered sends what can't be served.
-func TestRefusalsAreNumbered(t *testing.T) {
+// TestRefusalsHaveCodes checks the code and the status for each kind of invalid request.
+func TestRefusalsHaveCodes(t *testing.T) {
 	e := newSite(t, services.Options{}).newEntry(t, "n1")
 	chat := `{"model":"talk","messages":[{"role":"user"}]}`
 	cases := []struct {
 		name, method, path, key, body string
 		want                          code.Code
 	}{
-		{"no key", "POST", "/v1/chat/completions", "wrong", chat, code.UnknownKey},
-		{"a path that is not", "GET", "/v2", "secret", "", code.UnknownEndpoint},
-		{"a body too long", "POST", "/v1/chat/completions", "secret", `{"model":"` + strings.Repeat("x", 5000) + `"}`, code.BodyTooLong},
-		{"a body that is no JSON", "POST", "/v1/chat/completions", "secret", "{", code.BadBody},
-		{"a plain service as a model", "POST", "/v1/chat/completions", "secret", strings.Replace(chat, "talk", "ledger", 1), code.WrongKind},
-		{"a model as a plain service", "GET", "/v1/services/talk/x", "secret", "", code.WrongKind},
-		{"a service the team may not call", "GET", "/v1/services/ledger/x", "slow", "", code.UnknownService},
-		{"a job that is not", "GET", "/v1/jobs/abc", "secret", "", code.UnknownJob},
-		{"a wait that is none", "GET", "/v1/jobs/abc?wait=long", "secret", "", code.BadHeader},
+		{"unknown key", "POST", "/v1/chat/completions", "wrong", chat, code.UnknownKey},
+		{"unknown path", "GET", "/v2", "secret", "", code.UnknownEndpoint},
+		{"body too long", "POST", "/v1/chat/completions", "secret", `{"model":"` + strings.Repeat("x", 5000) + `"}`, code.BodyTooLong},
+		{"body that is not JSON", "POST", "/v1/chat/completions", "secret", "{", code.BadBody},
+		{"plain service called as a model", "POST", "/v1/chat/completions", "secret", strings.Replace(chat, "talk", "ledger", 1), code.WrongKind},
+		{"model called as a plain service", "GET", "/v1/services/talk/x", "secret", "", code.WrongKind},
+		{"service that the team may not call", "GET", "/v1/services/ledger/x", "slow", "", code.UnknownService},
+		{"unknown job", "GET", "/v1/jobs/abc", "secret", "", code.UnknownJob},
+		{"invalid wait", "GET", "/v1/jobs/abc?wait=long", "secret", "", code.BadHeader},
 	}
 	for _, c := range cases {
 		request, _ := http.NewRequest(c.method, e.server.URL+c.path, strings.NewReader(c.body))
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestTeamOverItsRateIsToldWhenToComeBack(t *testing.T) {
+func TestTeamOverRateGetsRetryAfter(t *testing.T) {
 	e := newSite(t).newEntry(t, "n1")
 	var last *http.Response
 	for range 2 {
@@ -110,9 +110,9 @@
 	}
 }
 
-// TestBrokenStreamGoesOnAtAnotherEntry reads a part of an answer, loses its
-// entry, and takes the answer up at another one by the last event's id: while
-// the engine still runs the stream, and after that engine has died too.
+// TestBrokenStreamGoesOnAtAnotherEntry guards against gaps and repeats in a stream that a
+// caller resumes at another entry by the last event's ID, after its entry was lost: while the
+// engine still runs the stream, and after that engine was lost too.
 func TestBrokenStreamGoesOnAtAnotherEntry(t *testing.T) {
 	for _, engineDies := range []bool{false, true} {
 		site := newSite(t)
@@ -129,10 +129,10 @@
 		text, mark := readEvents(string(events))
 		first.server.CloseClientConnections()
 		if engineDies {
-			site.direct.Kill("e0")
-			site.direct.Kill("e1")
-			again := newSite(t)
-			second = again.newEntry(t, "n2")
+			site.memoryEngines.Kill("e0")
+			site.memoryEngines.Kill("e1")
+			replacement := newSite(t)
+			second = replacement.newEntry(t, "n2")
 		}
 		request, _ = http.NewRequest("POST", second.server.URL+"/v1/chat/completions", bytes.NewReader(body))
 		request.Header.Set("Last-Event-ID", mark)
@@ -141,16 +141,16 @@
 			t.Fatal(err)
 		}
 		more, _ := readEvents(string(rest))
-		if text == "" || more == "" || text+more != want(prompt, id) {
-			t.Errorf("engine dies %v: got %d + %d characters, want the %d of the whole", engineDies, len(text), len(more), len(want(prompt, id)))
+		if text == "" || more == "" || text+more != expectedText(prompt, id) {
+			t.Errorf("engine dies %v: got %d + %d characters, want all %d in total", engineDies, len(text), len(more), len(expectedText(prompt, id)))
 		}
 		if !strings.HasSuffix(string(rest), "data: [DONE]\n\n") {
-			t.Error("the answer has no mark of its end")
+			t.Error("the resumed stream does not end with [DONE]")
 		}
 	}
 }
 
-// readEvents returns the text of whole events and the id of the last.
+// readEvents returns the text of the complete events and the ID of the last one.
 func readEvents(events string) (text, mark string) {
 	parts := strings.Split(events, "\n\n")
 	for _, event := range parts[:len(parts)-1] {
@@ -173,8 +173,8 @@
 	return text, mark
 }
 
-// TestPlainCallEndsAreToldApart brings about each end of a call that may not be
-// repeated, with a key and without, and counts the runs.
+// TestPlainCallEndsAreToldApart checks the reported outcome and the number of runs of a call
+// that must not be repeated, with and without a key, for each way in which it can end.
 func TestPlainCallEndsAreToldApart(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -186,10 +186,10 @@
 	}{
 		{"done", []services.Options{{}}, false, "k", "done", 1},
 		{"done without a key", []services.Options{{}}, false, "", "done", 1},
-		{"the answer is cut off after the run", []services.Options{{CutAfterRun: true}}, false, "k", "unknown", 1},
-		{"the same without a key", []services.Options{{CutAfterRun: true}}, false, "", "unknown", 1},
+		{"response cut off after the run", []services.Options{{CutAfterRun: true}}, false, "k", "unknown", 1},
+		{"response cut off after the run, without a key", []services.Options{{CutAfterRun: true}}, false, "", "unknown", 1},
 		{"no endpoint", nil, false, "k", "not-run", 0},
-		{"the store is down", []services.Options{{}}, true, "k", "not-run", 0},
+		{"store down", []services.Options{{}}, true, "k", "not-run", 0},
 	}
 	for _, c := range cases {
 		site := newSite(t, c.options...)
@@ -216,8 +216,9 @@
 	}
 }
 
-// TestRepeatableCallIsTriedElsewhere has the first endpoint cut its answer.
-func TestRepeatableCallIsTriedElsewhere(t *testing.T) {
+// TestRepeatableCallIsRetriedAtAnotherEndpoint checks that a repeatable call succeeds, with its
+// path and body unchanged, although one of two endpoints cuts off its responses.
+func TestRepeatableCallIsRetriedAtAnotherEndpoint(t *testing.T) {
 	site := newSite(t, services.Options{CutAfterRun: true}, services.Options{})
 	e := site.newEntry(t, "n1")
 	for range 4 {
@@ -232,53 +233,56 @@
 	}
 }
 
-// An endpoint that asks for rest when it turns a call away, or says in an answer that it
-// leaves, gets no other, whatever kind of call; the other endpoint serves.
+// TestNoticesOfPlainEndpointsAreApplied checks that an endpoint gets no further call of any
+// kind after it refused one with a backoff or announced in a response that it leaves, and
+// that the other endpoint serves the calls.
 func TestNoticesOfPlainEndpointsAreApplied(t *testing.T) {
 	const calls = 40
-	for name, says := range map[string]services.Options{
-		"rest":                {TurnsAway: true, Backoff: time.Minute},
-		"leaves":              {Leaves: true},
-		"leaves, turned away": {Leaves: true, TurnsAway: true},
+	for name, options := range map[string]services.Options{
+		"backoff":         {TurnsAway: true, Backoff: time.Minute},
+		"leaves":          {Leaves: true},
+		"leaves, refuses": {Leaves: true, TurnsAway: true},
 	} {
 		for _, path := range []string{"notes", "confirmations"} {
-			var came atomic.Int64
-			says.Came = &came
-			e := newSite(t, says, services.Options{}).newEntry(t, "n1")
+			var received atomic.Int64
+			options.Came = &received
+			e := newSite(t, options, services.Options{}).newEntry(t, "n1")
 			for range calls {
 				request, _ := http.NewRequest("POST", e.server.URL+"/v1/services/ledger/"+path, strings.NewReader("body"))
 				if got := e.do(t, request); got.StatusCode != http.StatusOK {
 					t.Errorf("%s, %s: got status %d, want 200", name, path, got.StatusCode)
 				}
 			}
-			if got, want := came.Load(), int64(1); got > want {
-				t.Errorf("%s, %s: got %d of %d calls at the endpoint, want %d at most", name, path, got, calls, want)
+			if got, want := received.Load(), int64(1); got > want {
+				t.Errorf("%s, %s: endpoint got %d of %d calls, want at most %d", name, path, got, calls, want)
 			}
 		}
 	}
 }
 
-// Guards against sending a plain endpoint more than it takes by the limit in its answers.
+// TestPlainEndpointsLimitIsKept guards against exceeding the limit of calls per second that a
+// plain endpoint sets in its responses.
 func TestPlainEndpointsLimitIsKept(t *testing.T) {
 	const calls = 60
 	for _, path := range []string{"notes", "confirmations"} {
-		var came atomic.Int64
-		e := newSite(t, services.Options{Limit: 1, Came: &came}, services.Options{}).newEntry(t, "n1")
-		began := time.Now()
+		var received atomic.Int64
+		e := newSite(t, services.Options{Limit: 1, Came: &received}, services.Options{}).newEntry(t, "n1")
+		start := time.Now()
 		for range calls {
 			request, _ := http.NewRequest("POST", e.server.URL+"/v1/services/ledger/"+path, strings.NewReader("body"))
 			if got := e.do(t, request); got.StatusCode != http.StatusOK {
 				t.Errorf("%s: got status %d, want 200 from the other endpoint", path, got.StatusCode)
 			}
 		}
-		if got, most := came.Load(), int64(1.5*time.Since(began).Seconds())+5; got > most {
-			t.Errorf("%s: got %d of %d calls at the endpoint that takes 1 a second, want %d at most", path, got, calls, most)
+		if got, limit := received.Load(), int64(1.5*time.Since(start).Seconds())+5; got > limit {
+			t.Errorf("%s: endpoint with a limit of 1 call per second got %d of %d calls, want at most %d", path, got, calls, limit)
 		}
 	}
 }
 
-// TestLeavingHostTellsItsCallersWhereToGo marks an entry as leaving.
-func TestLeavingHostTellsItsCallersWhereToGo(t *testing.T) {
+// TestLeavingHostNamesOtherEntries checks that a leaving host still serves a call and names
+// the other host in the response, and that the list of entries names only the other host.
+func TestLeavingHostNamesOtherEntries(t *testing.T) {
 	site := newSite(t)
 	e, other := site.newEntry(t, "n1"), site.newEntry(t, "n2")
 	e.nodes.Merge(other.self)
@@ -289,17 +293,18 @@
 	request, _ := http.NewRequest("POST", e.server.URL+"/v1/chat/completions", strings.NewReader(`{"model":"talk","max_tokens":2,"messages":[{"role":"user"}]}`))
 	response := e.do(t, request)
 	if response.StatusCode != http.StatusOK || response.Header.Get("Ironhollow-Entries") != other.address() {
-		t.Errorf("got status %d, entries %q; want it served and %q named", response.StatusCode, response.Header.Get("Ironhollow-Entries"), other.address())
+		t.Errorf("got status %d, entries %q; want status 200 and entries %q", response.StatusCode, response.Header.Get("Ironhollow-Entries"), other.address())
 	}
 	request, _ = http.NewRequest("GET", e.server.URL+"/v1/entries", nil)
 	data, _ := io.ReadAll(e.do(t, request).Body)
 	if strings.Contains(string(data), e.address()) || !strings.Contains(string(data), other.address()) {
-		t.Errorf("entries: got %s, want %s alone", data, other.address())
+		t.Errorf("entries: got %s, want only %s", data, other.address())
 	}
 }
 
-// TestJobIsAcceptedOnceAndShownByAnyEntry is the way of a job over HTTP.
-func TestJobIsAcceptedOnceAndShownByAnyEntry(t *testing.T) {
+// TestJobIsAcceptedOnceAndReturnedByAnyEntry posts the same job to two entries over HTTP and
+// reads its result.
+func TestJobIsAcceptedOnceAndReturnedByAnyEntry(t *testing.T) {
 	site := newSite(t)
 	first, second := site.newEntry(t, "n1"), site.newEntry(t, "n2")
 	c := load.NewClient("secret", []string{first.address()}, http.DefaultClient)
@@ -311,16 +316,16 @@
 	}
 	again, err := c.PostJob(ctx, second.address(), "k", prompt)
 	if err != nil || again.ID != j.ID {
-		t.Errorf("the same key: got %s, %v; want %s", again.ID, err, j.ID)
+		t.Errorf("repeated key: got job %s, error %v; want job %s", again.ID, err, j.ID)
 	}
-	done, err := c.GetJob(ctx, second.address(), j.ID, 30*time.Second)
-	if err != nil || done.Result == nil || done.Result.Text != want(prompt, j.ID) {
-		t.Errorf("got %+v, %v; want the whole answer", done, err)
+	finished, err := c.GetJob(ctx, second.address(), j.ID, 30*time.Second)
+	if err != nil || finished.Result == nil || finished.Result.Text != expectedText(prompt, j.ID) {
+		t.Errorf("got %+v, %v; want the complete result", finished, err)
 	}
 }
 
-// TestChunkedBodyIsBounded has a caller send a body without end or length;
-// the bound on bodies holds what is kept of it.
+// TestChunkedBodyIsBounded guards against reading a body of unlimited size: the caller sends
+// an endless body without a length.
 func TestChunkedBodyIsBounded(t *testing.T) {
 	e := newSite(t).newEntry(t, "n1")
 	reader, writer := io.Pipe()
--- a/pkg/callerapi/chat.go
+++ b/pkg/callerapi/chat.go
@@ -21,7 +21,7 @@
 	"ironhollow/pkg/stream"
 )
 
-// readBody reads a body within the limit.
+// readBody reads a request body up to the limit.
 func (a *API) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, a.Limits.BodyBytes))
 	var tooLong *http.MaxBytesError
@@ -34,8 +34,8 @@
 	return data, nil
 }
 
-// headerResume is the usual header of a client that takes up an event stream.
-const headerResume = "Last-Event-ID"
+// headerLastEventID is the standard header with which a client resumes an event stream.
+const headerLastEventID = "Last-Event-ID"
 
 func (a *API) serveChat(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team) {
 	call, err := a.prepareChat(w, r, c, team)
@@ -46,29 +46,29 @@
 	ctx, span := a.startSpan(r, "entry.chat")
 	defer span.End()
 	span.SetAttributes(attribute.String("service", call.service.Name()), attribute.String("team", team.Name()))
-	ticket, err := a.enter(ctx, call.service, team, call.firstTokenBy)
+	permit, err := a.acquirePermit(ctx, call.service, team, call.firstTokenDeadline)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	defer func() { ticket.Release(time.Now()) }()
+	defer func() { permit.Release(time.Now()) }()
 	w.Header().Set(headerRequest, call.request.Prompt.Request)
 	if call.body.Stream() {
 		a.streamChat(ctx, w, call)
 		return
 	}
-	a.wholeChat(ctx, w, call)
+	a.completeChat(ctx, w, call)
 }
 
-// chatCall is one model call, checked and admitted.
+// chatCall is a valid model call whose team is within its rate.
 type chatCall struct {
-	service      fleet.Service
-	team         fleet.Team
-	body         chat.Body
-	request      stream.Request
-	mark         chat.Mark
-	firstTokenBy time.Time
-	begun        time.Time
+	service            fleet.Service
+	team               fleet.Team
+	body               chat.Body
+	request            stream.Request
+	mark               chat.Mark
+	firstTokenDeadline time.Time
+	started            time.Time
 }
 
 func (a *API) prepareChat(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team) (chatCall, error) {
@@ -80,59 +80,59 @@
 	if err != nil {
 		return chatCall{}, err
 	}
-	s, err := service(c, team, body.Service(), fleet.Model)
+	s, err := findService(c, team, body.Service(), fleet.Model)
 	if err != nil {
 		return chatCall{}, err
 	}
-	if err := a.admit(team); err != nil {
+	if err := a.checkRate(team); err != nil {
 		return chatCall{}, err
 	}
 	now := time.Now()
-	call := chatCall{service: s, team: team, body: body, begun: now, mark: chat.Mark{Request: newID()}}
-	if text := r.Header.Get(headerResume); text != "" {
-		call.mark, err = chat.ParseMark(text)
+	call := chatCall{service: s, team: team, body: body, started: now, mark: chat.Mark{Request: newID()}}
+	if lastEventID := r.Header.Get(headerLastEventID); lastEventID != "" {
+		call.mark, err = chat.ParseMark(lastEventID)
 		if err != nil {
-			return chatCall{}, code.New(code.BadHeader, headerResume+" "+err.Error())
+			return chatCall{}, code.New(code.BadHeader, headerLastEventID+" "+err.Error())
 		}
 	}
 	call.request = body.Request(call.mark.Request, s)
 	call.request.At = call.mark.Endpoint
 	call.request.Prompt.Deadline = now.Add(s.Deadline())
-	call.request.Patience = patience(s)
+	call.request.Patience = queueTimeout(s)
 	call.request.Strategy = strategyOf(c)
-	call.firstTokenBy = now.Add(patience(s))
+	call.firstTokenDeadline = now.Add(queueTimeout(s))
 	return call, nil
 }
 
-// patienceFactor is how many latency targets a caller waits for an endpoint:
-// after that an answer would be late past mending, and an early refusal with
-// the time to come back serves it better.
-const patienceFactor = 3
+// queueTimeoutFactor is the number of latency targets that a call may wait for an endpoint.
+// After that the response would be far too late, and it is better to refuse the call early
+// with a Retry-After header.
+const queueTimeoutFactor = 3
 
-// patience is how long a request waits for a place and an endpoint.
-func patience(s fleet.Service) time.Duration {
+// queueTimeout returns how long a request may wait for a permit and an endpoint.
+func queueTimeout(s fleet.Service) time.Duration {
 	if s.MayWait() {
 		return s.Deadline()
 	}
-	return min(patienceFactor*s.LatencyTarget(), s.Deadline())
+	return min(queueTimeoutFactor*s.LatencyTarget(), s.Deadline())
 }
 
-// remember keeps how the request was served, for explain.
-func (a *API) remember(call chatCall, result stream.Result, err error) {
-	took := time.Since(call.begun)
+// recordResult adds the call to the history for explain and to the metrics.
+func (a *API) recordResult(call chatCall, result stream.Result, err error) {
+	duration := time.Since(call.started)
 	record := explain.Record{
 		Request: call.request.Prompt.Request, Team: call.team.Name(), Service: call.service.Name(),
-		Begun: call.begun, Took: took, Tokens: result.Usage.CompletionTokens, Hops: result.Hops,
+		Begun: call.started, Took: duration, Tokens: result.Usage.CompletionTokens, Hops: result.Hops,
 	}
 	if err != nil {
 		record.Failure = err.Error()
 		record.Code = code.Of(err).Number()
 	}
 	a.History.Add(record)
-	a.Metrics.Duration.WithLabelValues(call.service.Name()).Observe(took.Seconds())
+	a.Metrics.Duration.WithLabelValues(call.service.Name()).Observe(duration.Seconds())
 }
 
-// completion is a whole answer in the usual form.
+// completion is a complete response in the OpenAI format.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -160,55 +160,57 @@
 	}
 }
 
-func (a *API) wholeChat(ctx context.Context, w http.ResponseWriter, call chatCall) {
+// completeChat serves a call with one complete response.
+func (a *API) completeChat(ctx context.Context, w http.ResponseWriter, call chatCall) {
 	collector := chat.NewCollector("", nil)
 	result, err := a.Runner.Run(ctx, call.request, collector)
-	a.remember(call, result, err)
+	a.recordResult(call, result, err)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	w.Header().Set(headerOutcome, string(code.Done))
 	httpx.WriteJSON(w, http.StatusOK, completion{
-		ID: call.request.Prompt.Request, Object: "chat.completion", Created: call.begun.Unix(), Model: call.service.Name(),
+		ID: call.request.Prompt.Request, Object: "chat.completion", Created: call.started.Unix(), Model: call.service.Name(),
 		Choices: []completionChoice{{Message: completionMessage{"assistant", collector.Text()}, FinishReason: result.Finish}},
 		Usage:   usageOf(result.Usage),
 	})
 }
 
+// streamChat serves a call with a stream of events.
 func (a *API) streamChat(ctx context.Context, w http.ResponseWriter, call chatCall) {
 	sink := newEventSink(w, a.Limits.WriteTimeout, call)
-	sink.firstToken = func() {
-		a.Metrics.FirstToken.WithLabelValues(call.service.Name()).Observe(time.Since(call.begun).Seconds())
+	sink.onFirstToken = func() {
+		a.Metrics.FirstToken.WithLabelValues(call.service.Name()).Observe(time.Since(call.started).Seconds())
 	}
 	result, err := a.Runner.Run(ctx, call.request, sink)
-	a.remember(call, result, err)
+	a.recordResult(call, result, err)
 	switch {
 	case errors.Is(err, chat.ErrJoin):
-		sink.fail(w, code.New(code.CannotResume, err.Error()))
+		sink.sendError(w, code.New(code.CannotResume, err.Error()))
 	case err != nil:
-		sink.fail(w, err)
+		sink.sendError(w, err)
 	default:
 		sink.finish(result, call.body.IncludeUsage())
 	}
 }
 
-// eventSink writes an answer as server-sent events.
+// eventSink writes a response as server-sent events.
 type eventSink struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	timeout    time.Duration
-	// deadline is the write deadline in force.
-	deadline time.Time
-	joiner   *chat.Joiner
-	chunk    engine.Chunk
-	begun    bool
-	// counted says that the first token was noted.
-	counted    bool
-	firstToken func()
-	// head is the part of a token's event before its text, the same for all.
-	head []byte
-	// buffer holds events that are not written yet.
+	// deadline is the current write deadline of the connection.
+	deadline   time.Time
+	joiner     *chat.Joiner
+	chunk      engine.Chunk
+	headerSent bool
+	// firstTokenSeen is set once onFirstToken was called.
+	firstTokenSeen bool
+	onFirstToken   func()
+	// tokenPrefix is the part of a token's data line before its text, the same for all tokens.
+	tokenPrefix []byte
+	// buffer holds events that are not yet written.
 	buffer []byte
 }
 
@@ -216,51 +218,52 @@
 	s := &eventSink{
 		w: w, controller: http.NewResponseController(w), timeout: timeout, joiner: chat.NewJoiner(call.mark),
 		chunk: engine.Chunk{
-			ID: call.mark.Request, Object: "chat.completion.chunk", Created: call.begun.Unix(), Model: call.service.Name(),
+			ID: call.mark.Request, Object: "chat.completion.chunk", Created: call.started.Unix(), Model: call.service.Name(),
 			Choices: []engine.ChunkChoice{{}},
 		},
-		firstToken: func() {},
+		onFirstToken: func() {},
 	}
-	// Ids, names of services and numbers need no escapes in JSON.
-	s.head = fmt.Appendf(nil, `data: {"id":"%s","object":"%s","created":%d,"model":"%s","choices":[{"index":0,"delta":{"content":`,
+	// IDs, service names and numbers need no escaping in JSON.
+	s.tokenPrefix = fmt.Appendf(nil, `data: {"id":"%s","object":"%s","created":%d,"model":"%s","choices":[{"index":0,"delta":{"content":`,
 		s.chunk.ID, s.chunk.Object, s.chunk.Created, s.chunk.Model)
 	return s
 }
 
-// tokenTail is the part of a token's event after its text.
-const tokenTail = "},\"finish_reason\":null}]}\n\n"
+// tokenSuffix is the part of a token's event after its text.
+const tokenSuffix = "},\"finish_reason\":null}]}\n\n"
 
-// mostBuffered is how many bytes of events wait for a flush at most.
-const mostBuffered = 8 << 10
+// maxBufferedBytes is the size of the buffer above which events are written at once.
+const maxBufferedBytes = 8 << 10
 
-// Token takes one token; ErrJoin where the pieces would not join.
+// Token adds an event for a token that the caller does not have yet. It returns
+// chat.ErrJoin if a regenerated token differs from the one that the caller has.
 func (s *eventSink) Token(t stream.Token) error {
 	isNew, mark, err := s.joiner.Next(t)
 	if err != nil || !isNew {
 		return err
 	}
-	if !s.counted {
-		s.counted = true
-		s.firstToken()
+	if !s.firstTokenSeen {
+		s.firstTokenSeen = true
+		s.onFirstToken()
 	}
 	if mark.Offset == 1 {
 		s.chunk.Choices[0] = engine.ChunkChoice{Delta: engine.ChunkDelta{Role: "assistant", Content: t.Text}}
-		return s.write(mark.String())
+		return s.appendChunk(mark.String())
 	}
 	s.buffer = append(s.buffer, "id: "...)
 	s.buffer = mark.Append(s.buffer)
 	s.buffer = append(s.buffer, '\n')
-	s.buffer = append(s.buffer, s.head...)
+	s.buffer = append(s.buffer, s.tokenPrefix...)
 	s.buffer = gjson.AppendJSONString(s.buffer, t.Text)
-	s.buffer = append(s.buffer, tokenTail...)
-	if len(s.buffer) > mostBuffered {
+	s.buffer = append(s.buffer, tokenSuffix...)
+	if len(s.buffer) > maxBufferedBytes {
 		return s.Flush()
 	}
 	return nil
 }
 
-// write adds the chunk as one event.
-func (s *eventSink) write(id string) error {
+// appendChunk appends the chunk to the buffer as one event.
+func (s *eventSink) appendChunk(id string) error {
 	data, err := json.Marshal(s.chunk)
 	if err != nil {
 		return err
@@ -276,25 +279,26 @@
 	return nil
 }
 
-func (s *eventSink) begin() {
-	if s.begun {
+func (s *eventSink) sendHeader() {
+	if s.headerSent {
 		return
 	}
-	s.begun = true
+	s.headerSent = true
 	header := s.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// Flush sends the events gathered. A caller that does not read is cut off after
-// the timeout, so that it holds nothing up.
+// Flush sends the buffered events. A caller that does not read is disconnected after the
+// timeout, so that it does not block the stream.
 func (s *eventSink) Flush() error {
 	if len(s.buffer) == 0 {
 		return nil
 	}
-	s.begin()
-	// The deadline is moved seldom: it costs as much as a small write.
+	s.sendHeader()
+	// The deadline is moved only if less than half of it is left: moving it costs as much as
+	// a small write.
 	if now := time.Now(); s.deadline.Sub(now) < s.timeout/2 {
 		s.deadline = now.Add(s.timeout)
 		_ = s.controller.SetWriteDeadline(s.deadline)
@@ -307,18 +311,18 @@
 	return s.controller.Flush()
 }
 
-// finish writes the last chunk and the mark that says the answer is whole.
+// finish writes the last chunk and the marker that the response is complete.
 func (s *eventSink) finish(result stream.Result, withUsage bool) {
-	finish := result.Finish
-	s.chunk.Choices[0] = engine.ChunkChoice{FinishReason: &finish}
-	if s.write("") != nil {
+	reason := result.Finish
+	s.chunk.Choices[0] = engine.ChunkChoice{FinishReason: &reason}
+	if s.appendChunk("") != nil {
 		return
 	}
 	if withUsage {
 		usage := usageOf(result.Usage)
 		s.chunk.Choices = []engine.ChunkChoice{}
 		s.chunk.Usage = &usage
-		if s.write("") != nil {
+		if s.appendChunk("") != nil {
 			return
 		}
 	}
@@ -326,14 +330,14 @@
 	_ = s.Flush()
 }
 
-// fail tells the error: as the answer itself if none has begun, else as a last
-// event without the mark of a whole answer.
-func (s *eventSink) fail(w http.ResponseWriter, err error) {
-	if !s.begun && len(s.buffer) == 0 {
+// sendError sends an error: as the response if nothing was sent or buffered, and otherwise as
+// the last event, without the marker that the response is complete.
+func (s *eventSink) sendError(w http.ResponseWriter, err error) {
+	if !s.headerSent && len(s.buffer) == 0 {
 		writeError(w, err)
 		return
 	}
-	data, _ := json.Marshal(bodyOf(err))
+	data, _ := json.Marshal(errorBodyOf(err))
 	s.buffer = append(s.buffer, "data: "...)
 	s.buffer = append(s.buffer, data...)
 	s.buffer = append(s.buffer, "\n\n"...)
--- a/pkg/callerapi/counters.go
+++ b/pkg/callerapi/counters.go
@@ -9,7 +9,7 @@
 	"ironhollow/pkg/metrics"
 )
 
-// Counters count callers' requests.
+// Counters are the metrics of callers' requests.
 type Counters struct {
 	Requests   *prometheus.CounterVec
 	OverRate   *prometheus.CounterVec
@@ -19,7 +19,7 @@
 	Duration   *prometheus.HistogramVec
 }
 
-// NewCounters registers the counters.
+// NewCounters registers the counters and returns them.
 func NewCounters(registry prometheus.Registerer) *Counters {
 	group := metrics.New(registry, "caller")
 	return &Counters{
@@ -32,7 +32,7 @@
 	}
 }
 
-// chooseEntries returns the entry hosts to use now.
+// chooseEntries returns entry hosts for a caller, those in dataCenter first if it is set.
 func (a *API) chooseEntries(dataCenter string) []membership.Node {
 	return entrychoice.Choose(a.Nodes.ServingNodes(), dataCenter, entropy.Rand)
 }
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -63,31 +63,31 @@
 services = talk
 `
 
-// site is what entries share: engines, a plain service, the platform.
+// site holds what the entries of a test share: engines, a plain service and the platform.
 type site struct {
-	rows   *tables.Store
-	bodies *objects.Store
-	direct *engines.Direct
-	ledger *services.Ledger
-	plain  []*httptest.Server
-	// overHTTP reaches the engines by their protocol; nil for in memory.
-	overHTTP engine.API
-	// spans records traces; nil for none.
+	rows          *tables.Store
+	bodies        *objects.Store
+	memoryEngines *engines.Direct
+	ledger        *services.Ledger
+	plain         []*httptest.Server
+	// httpEngines calls the engines over HTTP. If it is nil, they are called in memory.
+	httpEngines engine.API
+	// spans records the spans. If it is nil, there is no tracing.
 	spans *tracetest.InMemoryExporter
 	infos []endpoint.Info
 }
 
 func newSite(t *testing.T, plain ...services.Options) *site {
 	t.Helper()
-	s := &site{rows: tables.New(), bodies: objects.New(), direct: engines.NewDirect(), ledger: services.NewLedger()}
+	s := &site{rows: tables.New(), bodies: objects.New(), memoryEngines: engines.NewDirect(), ledger: services.NewLedger()}
 	options := engines.DefaultOptions()
 	options.TokenGap = time.Millisecond
 	options.LoadTime = 0
 	for i := range 2 {
 		e := engines.New(1, options)
 		address := fmt.Sprintf("e%d", i)
-		s.direct.Add(address, e)
-		if err := s.direct.Order(context.Background(), address, engine.Order{Epoch: 1, Model: "m", Version: "1"}); err != nil {
+		s.memoryEngines.Add(address, e)
+		if err := s.memoryEngines.Order(context.Background(), address, engine.Order{Epoch: 1, Model: "m", Version: "1"}); err != nil {
 			t.Fatal(err)
 		}
 		s.infos = append(s.infos, endpoint.Info{
@@ -106,15 +106,15 @@
 	return s
 }
 
-// engines are reached in memory, or over HTTP where the site says so.
-func (s *site) engines() engine.API {
-	if s.overHTTP != nil {
-		return s.overHTTP
+// engineAPI returns httpEngines if it is set, and memoryEngines otherwise.
+func (s *site) engineAPI() engine.API {
+	if s.httpEngines != nil {
+		return s.httpEngines
 	}
-	return s.direct
+	return s.memoryEngines
 }
 
-// tracer records the spans of one process of the site.
+// tracer returns a tracer for one process of the site.
 func (s *site) tracer(process string) trace.Tracer {
 	if s.spans == nil {
 		return noop.NewTracerProvider().Tracer("")
@@ -123,7 +123,7 @@
 	return provider.Tracer("")
 }
 
-// entry is one entry's edge over a site.
+// entry is an entry of a site, with its API served over HTTP.
 type entry struct {
 	server *httptest.Server
 	nodes  *membership.Table
@@ -149,8 +149,8 @@
 	router := route.New(directory, estimator, route.Location{Node: name}, 1)
 	budget := retry.New(0.1, time.Now())
 	watch := quarantine.NewWatch(registry, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
-	board := notice.New(directory, router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
-	runner := stream.New(router, s.engines(), budget, estimator, stream.NewCounters(registry), watch, board, s.tracer(name))
+	notices := notice.New(directory, router, &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}})
+	runner := stream.New(router, s.engineAPI(), budget, estimator, stream.NewCounters(registry), watch, notices, s.tracer(name))
 	writer := table.NewWriter(s.rows, name)
 	jobs := job.NewStore(writer, s.bodies, job.NewBatcher(writer, time.Millisecond))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -160,7 +160,7 @@
 	e.api = callerapi.New(callerapi.Deps{
 		Node: name, Owner: name, Limits: callerapi.Limits{BodyBytes: 4096, ResponseBytes: 4096, Requests: 100, WriteTimeout: 5 * time.Second},
 		Config: holder, Nodes: nodes, Router: router, Runner: runner, RateLimiter: limit.NewRateLimiter(), ConcurrencyLimiters: limit.NewConcurrencyLimiters(),
-		Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claim.New(writer), PlainServices: plainservice.New(httpx.NewClient(4)), Notices: board,
+		Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claim.New(writer), PlainServices: plainservice.New(httpx.NewClient(4)), Notices: notices,
 		RetryBudget: budget, History: explain.NewHistory(), Tracer: s.tracer(name), Metrics: callerapi.NewCounters(registry),
 	})
 	e.server = httptest.NewServer(e.api)
@@ -175,13 +175,14 @@
 
 func (e *entry) address() string { return e.server.Listener.Addr().String() }
 
-// generator gives jobs their answers as the entry process does, without gates.
+// generator generates the results of jobs as the entry process does, but without concurrency
+// limits.
 type generator struct {
 	runner *stream.Runner
 	config *config.Holder
 }
 
-func (g generator) Generate(ctx context.Context, j job.Job, _ string, received []string, started func(job.Progress)) (job.Result, error) {
+func (g generator) Generate(ctx context.Context, j job.Job, _ string, received []string, onStart func(job.Progress)) (job.Result, error) {
 	body, err := chat.Parse(j.Body)
 	if err != nil {
 		return job.Result{}, err
@@ -190,12 +191,12 @@
 	request := body.Request(j.ID, s)
 	request.Prompt.Deadline = j.Deadline
 	collector := chat.NewCollector("1", received)
-	started(collector)
+	onStart(collector)
 	result, err := g.runner.Run(ctx, request, collector)
 	return job.Result{Text: collector.Text(), Finish: result.Finish}, err
 }
 
-// do sends a request with the good key and returns the answer.
+// do sends a request, with a valid key if it has none, and returns the response.
 func (e *entry) do(t *testing.T, request *http.Request) *http.Response {
 	t.Helper()
 	if request.Header.Get("Authorization") == "" {
--- a/pkg/callerapi/jobs.go
+++ b/pkg/callerapi/jobs.go
@@ -17,7 +17,7 @@
 	"ironhollow/pkg/plainservice"
 )
 
-// jobBody is a job as shown to its caller. Result is there only when whole.
+// jobBody is a job as returned to its caller. Result is set only if it is complete.
 type jobBody struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
@@ -36,7 +36,7 @@
 	Usage        engine.ChunkUsage `json:"usage"`
 }
 
-func showJob(j job.Job) jobBody {
+func jobBodyOf(j job.Job) jobBody {
 	body := jobBody{
 		ID: j.ID, Object: "job", Service: j.Service, Status: string(j.State),
 		Created: j.Accepted.Unix(), Expires: j.Deadline.Unix(), Runs: j.Takeovers + 1,
@@ -53,16 +53,15 @@
 	return body
 }
 
-// serveJobPost accepts a job. The answer is sent only after the commit. A host
-// that is leaving accepts jobs as long as callers come: those it does not get to
-// are taken over from its rows.
+// serveJobPost accepts a job. The response is sent only after the commit. A host that is
+// leaving still accepts jobs: other hosts take over those that it does not run.
 func (a *API) serveJobPost(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team) {
-	asked, err := a.prepareJob(w, r, c, team)
+	requested, err := a.prepareJob(w, r, c, team)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	held, fresh, err := a.Jobs.Accept(r.Context(), asked)
+	accepted, created, err := a.Jobs.Accept(r.Context(), requested)
 	if err != nil {
 		if code.Of(err) == code.AcceptUnknown {
 			a.Worker.RequestReconcile()
@@ -71,15 +70,15 @@
 		return
 	}
 	status := http.StatusOK
-	if fresh {
+	if created {
 		status = http.StatusAccepted
 		a.JobCounters.Accepted.Inc()
-		a.Worker.Add(held)
+		a.Worker.Add(accepted)
 	} else {
 		a.JobCounters.Repeated.Inc()
 	}
-	w.Header().Set("Location", "/v1/jobs/"+held.ID)
-	httpx.WriteJSON(w, status, showJob(held))
+	w.Header().Set("Location", "/v1/jobs/"+accepted.ID)
+	httpx.WriteJSON(w, status, jobBodyOf(accepted))
 }
 
 func (a *API) prepareJob(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team) (job.Job, error) {
@@ -91,11 +90,11 @@
 	if err != nil {
 		return job.Job{}, err
 	}
-	s, err := service(c, team, body.Service(), fleet.Model)
+	s, err := findService(c, team, body.Service(), fleet.Model)
 	if err != nil {
 		return job.Job{}, err
 	}
-	if err := a.admit(team); err != nil {
+	if err := a.checkRate(team); err != nil {
 		return job.Job{}, err
 	}
 	now := time.Now()
@@ -107,20 +106,21 @@
 	}, nil
 }
 
-// Bounds of a wait for a job's result.
+// Limits of a wait for a job's result, and of the intervals between reads of the job.
 const (
-	mostWait  = time.Minute
-	firstPoll = 100 * time.Millisecond
-	mostPoll  = time.Second
+	maxWait             = time.Minute
+	initialPollInterval = 100 * time.Millisecond
+	maxPollInterval     = time.Second
 )
 
-// serveJobGet shows a job; with wait=DURATION it waits for the end of it.
+// serveJobGet returns a job. With wait=DURATION it first waits until the job has finished, for
+// that long at most.
 func (a *API) serveJobGet(w http.ResponseWriter, r *http.Request, _ *fleet.Config, team fleet.Team) {
 	wait := time.Duration(0)
 	if text := r.URL.Query().Get("wait"); text != "" {
 		parsed, err := time.ParseDuration(text)
-		if err != nil || parsed < 0 || parsed > mostWait {
-			writeError(w, code.New(code.BadHeader, "wait: got "+text+", valid: a duration up to "+mostWait.String()))
+		if err != nil || parsed < 0 || parsed > maxWait {
+			writeError(w, code.New(code.BadHeader, "wait: got "+text+", valid: a duration up to "+maxWait.String()))
 			return
 		}
 		wait = parsed
@@ -133,20 +133,20 @@
 	if j.State == job.Accepted {
 		w.Header().Set("Retry-After", "1")
 	}
-	httpx.WriteJSON(w, http.StatusOK, showJob(j))
+	httpx.WriteJSON(w, http.StatusOK, jobBodyOf(j))
 }
 
 func (a *API) awaitJob(ctx context.Context, team, id string, wait time.Duration) (job.Job, error) {
-	until := time.Now().Add(wait)
-	poll := firstPoll
+	deadline := time.Now().Add(wait)
+	interval := initialPollInterval
 	for {
 		j, err := a.Jobs.Get(ctx, team, id)
-		if err != nil || j.State != job.Accepted || time.Now().After(until) {
+		if err != nil || j.State != job.Accepted || time.Now().After(deadline) {
 			return j, err
 		}
-		if !pause.For(ctx, min(poll, time.Until(until)+time.Millisecond)) {
+		if !pause.For(ctx, min(interval, time.Until(deadline)+time.Millisecond)) {
 			return j, ctx.Err()
 		}
-		poll = min(poll*3/2, mostPoll)
+		interval = min(interval*3/2, maxPollInterval)
 	}
 }
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -19,27 +19,27 @@
 	"ironhollow/pkg/route"
 )
 
-// servePlain passes a call on to a plain service.
+// servePlain forwards a call to a plain service.
 func (a *API) servePlain(w http.ResponseWriter, r *http.Request, c *fleet.Config, team fleet.Team) {
-	s, err := service(c, team, r.PathValue("service"), fleet.Plain)
+	s, err := findService(c, team, r.PathValue("service"), fleet.Plain)
 	if err == nil {
-		err = a.admit(team)
+		err = a.checkRate(team)
 	}
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	deadline := time.Now().Add(s.Deadline())
-	spanned, span := a.startSpan(r, "entry.call")
+	spanCtx, span := a.startSpan(r, "entry.call")
 	defer span.End()
-	ctx, cancel := context.WithDeadline(spanned, deadline)
+	ctx, cancel := context.WithDeadline(spanCtx, deadline)
 	defer cancel()
-	ticket, err := a.enter(ctx, s, team, deadline)
+	permit, err := a.acquirePermit(ctx, s, team, deadline)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	defer func() { ticket.Release(time.Now()) }()
+	defer func() { permit.Release(time.Now()) }()
 	call := plainCall{api: a, service: s, team: team, config: c, request: r, path: "/" + r.PathValue("path"), deadline: deadline}
 	if s.MayRepeat(r.Method, call.path) {
 		call.serveRepeatable(ctx, w)
@@ -48,7 +48,7 @@
 	call.serveOnce(ctx, w)
 }
 
-// plainCall is one call to a plain service.
+// plainCall is a call to a plain service.
 type plainCall struct {
 	api      *API
 	service  fleet.Service
@@ -59,7 +59,7 @@
 	deadline time.Time
 }
 
-func (p plainCall) call(body io.Reader, length int64, once bool) plainservice.Call {
+func (p plainCall) newCall(body io.Reader, length int64, once bool) plainservice.Call {
 	path := p.path
 	if query := p.request.URL.RawQuery; query != "" {
 		path += "?" + query
@@ -70,52 +70,52 @@
 	}
 }
 
-// mostSends bounds the endpoints one call is sent to.
-const mostSends = 3
+// maxSends is the maximum number of endpoints to which a call is sent.
+const maxSends = 3
 
-// sendRepeatable sends a call until one endpoint answers, within the budget.
-func (p plainCall) sendRepeatable(ctx context.Context, body []byte) (plainservice.Answer, error) {
+// sendWithRetries sends a call to one endpoint after another until one responds, within the
+// retry budget.
+func (p plainCall) sendWithRetries(ctx context.Context, body []byte) (plainservice.Answer, error) {
 	p.api.RetryBudget.RecordFirstSend(time.Now())
 	var avoid []endpoint.Ref
-	var last error
-	for try := 1; try <= mostSends; try++ {
-		if try > 1 && !p.api.RetryBudget.Take(time.Now()) {
+	var lastErr error
+	for attempt := 1; attempt <= maxSends; attempt++ {
+		if attempt > 1 && !p.api.RetryBudget.Take(time.Now()) {
 			break
 		}
 		choice, ok := p.choose(avoid)
 		if !ok {
 			break
 		}
-		answer, err := p.send(ctx, choice, p.call(bytes.NewReader(body), int64(len(body)), false))
+		response, err := p.send(ctx, choice, p.newCall(bytes.NewReader(body), int64(len(body)), false))
 		p.api.Router.Done(choice, route.Result{Failed: err != nil && ctx.Err() == nil}, time.Now())
 		if err == nil {
-			return answer, nil
+			return response, nil
 		}
 		if ctx.Err() != nil {
-			return answer, err
+			return response, err
 		}
-		last = err
+		lastErr = err
 		avoid = append(avoid, choice.Endpoint.Ref())
 	}
-	if last == nil {
-		last = fmt.Errorf("%w: no endpoint of %s takes calls", plainservice.ErrNotSent, p.service.Name())
+	if lastErr == nil {
+		lastErr = fmt.Errorf("%w: no endpoint of %s takes calls", plainservice.ErrNotSent, p.service.Name())
 	}
-	return plainservice.Answer{}, last
+	return plainservice.Answer{}, lastErr
 }
 
-// send sends a call once and takes in what the answer, or a refusal, says of its
-// endpoint.
+// send sends a call once and applies the notice about the endpoint in its response or refusal.
 func (p plainCall) send(ctx context.Context, choice route.Choice, call plainservice.Call) (plainservice.Answer, error) {
 	sent := time.Now()
-	answer, err := p.api.PlainServices.Send(ctx, choice.Endpoint.Address, call)
-	var away *plainservice.TurnedAway
+	response, err := p.api.PlainServices.Send(ctx, choice.Endpoint.Address, call)
+	var refused *plainservice.TurnedAway
 	switch {
 	case err == nil:
-		p.api.Notices.ApplyResponse(choice.Endpoint, answer.Notice, sent, time.Now())
-	case errors.As(err, &away):
-		p.api.Notices.ApplyResponse(choice.Endpoint, away.Notice, sent, time.Now())
+		p.api.Notices.ApplyResponse(choice.Endpoint, response.Notice, sent, time.Now())
+	case errors.As(err, &refused):
+		p.api.Notices.ApplyResponse(choice.Endpoint, refused.Notice, sent, time.Now())
 	}
-	return answer, err
+	return response, err
 }
 
 func (p plainCall) choose(avoid []endpoint.Ref) (route.Choice, bool) {
@@ -129,37 +129,39 @@
 		writeError(w, err)
 		return
 	}
-	answer, err := p.sendRepeatable(ctx, body)
+	response, err := p.sendWithRetries(ctx, body)
 	if err != nil {
-		writeError(w, endOfCall(err))
+		writeError(w, callError(err))
 		return
 	}
-	defer func() { _ = answer.Body.Close() }()
-	copyHeader(w.Header(), answer.Header)
+	defer func() { _ = response.Body.Close() }()
+	copyHeader(w.Header(), response.Header)
 	w.Header().Set(headerOutcome, string(code.Done))
-	w.WriteHeader(answer.Status)
-	// Once the status is out, only a cut connection tells of a broken answer.
-	if _, err := io.Copy(w, answer.Body); err != nil {
+	w.WriteHeader(response.Status)
+	// After the status is sent, only closing the connection shows that the response is
+	// incomplete.
+	if _, err := io.Copy(w, response.Body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// endOfCall gives the numbered end of a call without an answer.
-func endOfCall(err error) error {
+// callError returns the error for a call that got no response: CallNotRun if it certainly did
+// not run, otherwise CallUnknown.
+func callError(err error) error {
 	if errors.Is(err, plainservice.ErrNotSent) || errors.Is(err, claim.ErrNotSent) {
 		return code.New(code.CallNotRun, err.Error())
 	}
 	return code.New(code.CallUnknown, err.Error())
 }
 
-func copyHeader(to, from http.Header) {
-	for name, values := range from {
-		to[name] = values
+func copyHeader(dst, src http.Header) {
+	for name, values := range src {
+		dst[name] = values
 	}
 }
 
-// serveOnce serves a call that may not be repeated: under a claim where the
-// caller gave a key, else with one attempt.
+// serveOnce serves a call that must not be repeated: under a claim if the caller sent an
+// idempotency key, otherwise with a single attempt.
 func (p plainCall) serveOnce(ctx context.Context, w http.ResponseWriter) {
 	body, err := p.api.readBody(w, p.request)
 	if err != nil {
@@ -169,22 +171,23 @@
 	send := func(ctx context.Context) (claim.Response, error) { return p.sendOnce(ctx, body) }
 	key := p.request.Header.Get(plainservice.HeaderKey)
 	if key == "" {
-		answer, err := send(ctx)
+		response, err := send(ctx)
 		if err != nil {
-			writeError(w, endOfCall(err))
+			writeError(w, callError(err))
 			return
 		}
-		writeAnswer(w, answer, false)
+		writeResponse(w, response, false)
 		return
 	}
-	// The call goes on when its caller has gone: its end is to be recorded.
+	// The call continues if the caller disconnects, so that its outcome is recorded.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), p.deadline)
 	defer cancel()
 	id := claim.Key{Team: p.team.Name(), Service: p.service.Name(), Key: key}
-	p.writeEnd(w, p.api.Claims.Run(ctx, id, p.fingerprint(body), p.deadline, send))
+	p.writeOutcome(w, p.api.Claims.Run(ctx, id, p.fingerprint(body), p.deadline, send))
 }
 
-// fingerprint tells a repeat of a call from a key that is used again.
+// fingerprint returns a hash of the call. It distinguishes a repeated call from a
+// different one with the same key.
 func (p plainCall) fingerprint(body []byte) string {
 	digest := sha256.New()
 	_, _ = fmt.Fprintf(digest, "%s %s?%s\n", p.request.Method, p.path, p.request.URL.RawQuery)
@@ -192,53 +195,53 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// sendOnce sends the call to one endpoint. Only where nothing was sent is
-// another one tried.
+// sendOnce sends the call to one endpoint. It tries another one only if the call certainly did
+// not run.
 func (p plainCall) sendOnce(ctx context.Context, body []byte) (claim.Response, error) {
 	var avoid []endpoint.Ref
-	last := errors.New("no endpoint takes calls")
-	for range mostSends {
+	lastErr := errors.New("no endpoint takes calls")
+	for range maxSends {
 		choice, ok := p.choose(avoid)
 		if !ok {
 			break
 		}
-		answer, err := p.send(ctx, choice, p.call(bytes.NewReader(body), int64(len(body)), true))
+		response, err := p.send(ctx, choice, p.newCall(bytes.NewReader(body), int64(len(body)), true))
 		if err == nil {
-			kept, err := p.keep(answer)
+			buffered, err := p.bufferResponse(response)
 			p.api.Router.Done(choice, route.Result{Failed: err != nil}, time.Now())
-			return kept, err
+			return buffered, err
 		}
 		p.api.Router.Done(choice, route.Result{Failed: true}, time.Now())
 		if !errors.Is(err, plainservice.ErrNotSent) {
 			return claim.Response{}, err
 		}
-		last = err
+		lastErr = err
 		avoid = append(avoid, choice.Endpoint.Ref())
 	}
-	return claim.Response{}, errors.Join(claim.ErrNotSent, last)
+	return claim.Response{}, errors.Join(claim.ErrNotSent, lastErr)
 }
 
-// keep reads an answer whole, so that a repeat gets the same.
-func (p plainCall) keep(answer plainservice.Answer) (claim.Response, error) {
-	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, p.api.Limits.ResponseBytes+1))
+// bufferResponse reads the complete response, so that a repeated call gets the same one.
+func (p plainCall) bufferResponse(response plainservice.Answer) (claim.Response, error) {
+	defer func() { _ = response.Body.Close() }()
+	data, err := io.ReadAll(io.LimitReader(response.Body, p.api.Limits.ResponseBytes+1))
 	if err != nil {
 		return claim.Response{}, err
 	}
 	if int64(len(data)) > p.api.Limits.ResponseBytes {
 		return claim.Response{}, fmt.Errorf("the answer is longer than %d bytes", p.api.Limits.ResponseBytes)
 	}
-	return claim.Response{Status: answer.Status, ContentType: answer.Header.Get("Content-Type"), Body: data}, nil
+	return claim.Response{Status: response.Status, ContentType: response.Header.Get("Content-Type"), Body: data}, nil
 }
 
-func (p plainCall) writeEnd(w http.ResponseWriter, end claim.Outcome) {
-	switch end := end.(type) {
+func (p plainCall) writeOutcome(w http.ResponseWriter, outcome claim.Outcome) {
+	switch outcome := outcome.(type) {
 	case claim.Ran:
-		writeAnswer(w, end.Response, end.Replayed)
+		writeResponse(w, outcome.Response, outcome.Replayed)
 	case claim.NotRun:
-		writeError(w, code.New(code.CallNotRun, end.Err.Error()))
+		writeError(w, code.New(code.CallNotRun, outcome.Err.Error()))
 	case claim.Unknown:
-		writeError(w, code.New(code.CallUnknown, end.Err.Error()))
+		writeError(w, code.New(code.CallUnknown, outcome.Err.Error()))
 	case claim.InProgress:
 		writeError(w, code.New(code.CallInProgress, "a call with this key is under way"))
 	case claim.KeyReused:
@@ -246,17 +249,17 @@
 	}
 }
 
-// headerReplayed says that the answer is that of an earlier run.
+// headerReplayed is set if the response is from an earlier request with the same key.
 const headerReplayed = "Idempotent-Replayed"
 
-func writeAnswer(w http.ResponseWriter, answer claim.Response, replayed bool) {
-	if answer.ContentType != "" {
-		w.Header().Set("Content-Type", answer.ContentType)
+func writeResponse(w http.ResponseWriter, response claim.Response, replayed bool) {
+	if response.ContentType != "" {
+		w.Header().Set("Content-Type", response.ContentType)
 	}
 	if replayed {
 		w.Header().Set(headerReplayed, "true")
 	}
 	w.Header().Set(headerOutcome, string(code.Done))
-	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body)
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body)
 }
--- a/pkg/callerapi/trace_test.go
+++ b/pkg/callerapi/trace_test.go
@@ -17,21 +17,21 @@
 	"ironhollow/pkg/standin/engines"
 )
 
-// TestSpansOfOneRequestAcrossThreeProcesses reads the tree of a caller, an entry
-// and an engine, each with a provider of its own and joined by HTTP alone.
+// TestSpansOfOneRequestAcrossThreeProcesses checks the parents of the spans of a caller, an
+// entry and an engine that have a trace provider each and are connected only by HTTP.
 func TestSpansOfOneRequestAcrossThreeProcesses(t *testing.T) {
 	site := newSite(t)
 	site.spans = tracetest.NewInMemoryExporter()
 	client := httpx.NewClient(4)
-	site.overHTTP = engine.New(client, time.Second)
+	site.httpEngines = engine.New(client, time.Second)
 	options := engines.DefaultOptions()
 	options.LoadTime = 0
-	side := engines.NewServer(engines.New(1, options), client)
-	side.SetTracer(site.tracer("engine"))
-	server := httptest.NewServer(side.Handler())
+	engineServer := engines.NewServer(engines.New(1, options), client)
+	engineServer.SetTracer(site.tracer("engine"))
+	server := httptest.NewServer(engineServer.Handler())
 	defer server.Close()
 	address := server.Listener.Addr().String()
-	if err := site.overHTTP.Order(context.Background(), address, engine.Order{Epoch: 1, Model: "m", Version: "1"}); err != nil {
+	if err := site.httpEngines.Order(context.Background(), address, engine.Order{Epoch: 1, Model: "m", Version: "1"}); err != nil {
 		t.Fatal(err)
 	}
 	site.infos = site.infos[:1]
--- a/pkg/job/job.go
+++ b/pkg/job/job.go
@@ -30,8 +30,8 @@
 	ID      string
 	Team    string
 	Service string
-	// RequestHash is a hash of the request body. It tells a repeated request from a different
-	// one with the same key.
+	// RequestHash is a hash of the request body. It distinguishes a repeated request from a
+	// different one with the same key.
 	RequestHash string
 	// Body is the body of the caller's request.
 	Body     json.RawMessage
