--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -24,8 +24,8 @@
 type Links interface {
 	// SendTo sends on the link to a node; false if there is none.
 	SendTo(node string, message peer.Message) bool
-	// Ensure begins to link to a node.
-	Ensure(node membership.Node)
+	// EnsureLink begins to link to a node.
+	EnsureLink(node membership.Node)
 }
 
 // Parameters of asking another entry.
@@ -102,7 +102,7 @@
 	}
 	if answer, ok := g.ask(ctx, node, rows); ok {
 		switch answer.Outcome {
-		case peer.AcceptDone:
+		case peer.AcceptCommitted:
 			g.count(func(c *Counts) { c.Sent++ })
 			return table.Done{Version: answer.Version}
 		case peer.AcceptConflict:
@@ -151,7 +151,7 @@
 		message.Rows = append(message.Rows, peer.AcceptRow{Key: row.Key, Value: row.Value})
 	}
 	if !g.links.SendTo(node.ID, message) {
-		g.links.Ensure(node)
+		g.links.EnsureLink(node)
 		return peer.Accepted{}, false
 	}
 	timer := time.NewTimer(answerTime)
@@ -198,7 +198,7 @@
 	answer := peer.Accepted{Request: m.Request, Outcome: peer.AcceptUnknown}
 	switch outcome := g.local.Commit(ctx, rows).(type) {
 	case table.Done:
-		answer.Outcome, answer.Version = peer.AcceptDone, outcome.Version
+		answer.Outcome, answer.Version = peer.AcceptCommitted, outcome.Version
 	case table.Refused:
 		answer.Outcome = peer.AcceptRefused
 		if len(outcome.Conflicts) > 0 {
--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -47,7 +47,7 @@
 	return true
 }
 
-func (l links) Ensure(membership.Node) {}
+func (l links) EnsureLink(membership.Node) {}
 
 func newSite(entries int, window time.Duration) *site {
 	s := &site{rows: tables.New(), gatherers: map[string]*accept.Gatherer{}, batchers: map[string]*job.Batcher{}, lose: func(peer.Message) bool { return false }}
--- a/pkg/app/cli/status.go
+++ b/pkg/app/cli/status.go
@@ -214,7 +214,7 @@
 				}
 				ips = append(ips, ip)
 			}
-			if err := secure.MakeSet(args[0], ips, time.Now()); err != nil {
+			if err := secure.GenerateCertificates(args[0], ips, time.Now()); err != nil {
 				return err
 			}
 			return t.print(struct {
--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -93,7 +93,7 @@
 
 func newMesh(s Settings, incarnation Incarnation, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *peer.Mesh {
 	self := membership.Node{ID: s.id, Incarnation: int64(incarnation), Status: membership.Alive, DataCenter: s.dataCenter, Region: s.region}
-	return peer.NewFollower(self, nodes, endpoints, holder)
+	return peer.NewAttached(self, nodes, endpoints, holder)
 }
 
 func newTLS(s Settings) (process.TLS, error) { return process.LoadTLS(s.peerFiles, s.operatorFile) }
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -104,7 +104,7 @@
 var errNotReady = errors.New("not attached to an entry, and no configuration yet")
 
 func (a *App) ready() error {
-	if a.config.Current().Revision() == 0 && a.peers.Linked() == 0 {
+	if a.config.Current().Revision() == 0 && a.peers.LinkCount() == 0 {
 		return errNotReady
 	}
 	return nil
@@ -178,10 +178,10 @@
 	if before == 0 {
 		fresh := config.New()
 		if a.store.Load(ctx, fresh) == nil {
-			a.tell(peer.News{Changes: fresh.After(0)})
+			a.tell(peer.Update{Changes: fresh.After(0)})
 		}
 	} else if changes, err := a.store.Changes(ctx, before); err == nil {
-		a.tell(peer.News{Changes: changes})
+		a.tell(peer.Update{Changes: changes})
 	}
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
--- a/pkg/app/control/work.go
+++ b/pkg/app/control/work.go
@@ -15,8 +15,8 @@
 const callTime = 3 * time.Second
 
 // tell floods news through the entry this process is attached to.
-func (a *App) tell(news peer.News) {
-	a.peers.Send(a.mesh.Tell(news, time.Now()))
+func (a *App) tell(news peer.Update) {
+	a.peers.Send(a.mesh.Publish(news, time.Now()))
 }
 
 // readNotices passes reclaim notices on.
@@ -33,7 +33,7 @@
 	if err != nil || len(notices) == 0 {
 		return
 	}
-	var news peer.News
+	var news peer.Update
 	for _, n := range notices {
 		after = max(after, n.Sequence)
 		info, known := a.endpoints.Get(n.Endpoint.ID)
@@ -87,7 +87,7 @@
 	if err != nil {
 		return
 	}
-	var news peer.News
+	var news peer.Update
 	for _, heard := range hosts {
 		held, known := a.endpoints.Get(heard.ID)
 		if known {
@@ -149,7 +149,7 @@
 		heard.State = endpoint.Leaving
 	}
 	if heard != info {
-		a.tell(peer.News{Endpoints: []endpoint.Info{heard}})
+		a.tell(peer.Update{Endpoints: []endpoint.Info{heard}})
 	}
 }
 
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -48,13 +48,13 @@
 		if a.store.Load(ctx, a.config) != nil {
 			return
 		}
-		a.peers.Send(a.mesh.Tell(peer.News{Changes: a.config.After(0)}, now()))
+		a.peers.Send(a.mesh.Publish(peer.Update{Changes: a.config.After(0)}, now()))
 	} else {
 		changes, err := a.store.Changes(ctx, before)
 		if err != nil {
 			return
 		}
-		a.peers.Send(a.mesh.Tell(peer.News{Changes: changes}, now()))
+		a.peers.Send(a.mesh.Publish(peer.Update{Changes: changes}, now()))
 	}
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
@@ -112,7 +112,7 @@
 
 // spread makes news of an endpoint known here and at the other entries.
 func (a *App) spread(heard endpoint.Info) {
-	a.peers.Send(a.mesh.Tell(peer.News{Endpoints: []endpoint.Info{heard}}, now()))
+	a.peers.Send(a.mesh.Publish(peer.Update{Endpoints: []endpoint.Info{heard}}, now()))
 }
 
 // fromReport is what an engine's own word makes of what is known of it.
@@ -292,6 +292,6 @@
 		}
 	}
 	if len(unknown) > 0 {
-		a.peers.Send(a.mesh.Tell(peer.News{Nodes: unknown}, now()))
+		a.peers.Send(a.mesh.Publish(peer.Update{Nodes: unknown}, now()))
 	}
 }
--- a/pkg/app/entry/register.go
+++ b/pkg/app/entry/register.go
@@ -81,6 +81,6 @@
 	if err != nil {
 		return err
 	}
-	a.peers.Send(a.mesh.Tell(peer.News{Nodes: nodes}, now()))
+	a.peers.Send(a.mesh.Publish(peer.Update{Nodes: nodes}, now()))
 	return nil
 }
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -140,7 +140,7 @@
 }
 
 func (a *App) dialSeeds(ctx context.Context) {
-	if a.peers.Linked() > 0 {
+	if a.peers.LinkCount() > 0 {
 		return
 	}
 	for _, seed := range a.settings.seeds {
--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -48,7 +48,7 @@
 	if t.Peer == nil {
 		return nil
 	}
-	return t.Peer.PeerClient()
+	return t.Peer.PeerClientConfig()
 }
 
 // PeerServer returns the settings for links from own processes, nil for no TLS.
@@ -56,7 +56,7 @@
 	if t.Peer == nil {
 		return nil
 	}
-	return t.Peer.PeerServer()
+	return t.Peer.PeerServerConfig()
 }
 
 // OuterServer returns the settings towards callers or operators, nil for no TLS.
@@ -64,7 +64,7 @@
 	if t.Outer == nil {
 		return nil
 	}
-	config := t.Outer.Server()
+	config := t.Outer.ServerConfig()
 	// The servers speak HTTP/1.1 alone on listeners of their own.
 	config.NextProtos = []string{"http/1.1"}
 	return config
--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	if response.StatusCode == http.StatusOK {
-		return newEventReader(response.Body, response.Header.Get(HeaderLoad), httpx.NoticeOf(response.StatusCode, response.Header)), nil
+		return newEventReader(response.Body, response.Header.Get(HeaderLoad), httpx.ParseNotice(response.StatusCode, response.Header)), nil
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
 	_ = response.Body.Close()
@@ -113,7 +113,7 @@
 
 // noticeOf reads what an answer's head says of its engine.
 func noticeOf(response *http.Response) endpoint.Notice {
-	notice := httpx.NoticeOf(response.StatusCode, response.Header)
+	notice := httpx.ParseNotice(response.StatusCode, response.Header)
 	notice.Refused = true
 	if report, ok := parseReport(response.Header.Get(HeaderLoad)); ok {
 		notice.Leaving = report.Leaving
--- a/pkg/httpx/httpx.go
+++ b/pkg/httpx/httpx.go
@@ -35,11 +35,11 @@
 // StatusError is an answer with an unexpected status.
 type StatusError struct {
 	Status int
-	Text   string
+	Body   string
 }
 
 // Error gives the status and the beginning of the body.
-func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Text) }
+func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
 // CallJSON sends in as JSON (nil for no body) and decodes the answer into out
 // (nil to ignore it). Statuses other than 2xx are a *StatusError.
--- a/pkg/httpx/notice.go
+++ b/pkg/httpx/notice.go
@@ -11,19 +11,19 @@
 // understood.
 const HeaderRetryAfter = "Retry-After"
 
-// HeaderLimit is how many requests a second a back end takes from all entries together, a
+// HeaderRequestLimit is how many requests a second a back end takes from all entries together, a
 // decimal number, in each answer while it limits them.
-const HeaderLimit = "X-Request-Limit"
+const HeaderRequestLimit = "X-Request-Limit"
 
-// NoticeOf reads from an answer what a back end says of itself: the backoff that it asks
+// ParseNotice reads from an answer what a back end says of itself: the backoff that it asks
 // for and the limit that it names.
-func NoticeOf(status int, h http.Header) endpoint.Notice {
-	return RequestedBackoff(status, h).WithLimit(h.Get(HeaderLimit))
+func ParseNotice(status int, h http.Header) endpoint.Notice {
+	return ParseBackoff(status, h).WithLimit(h.Get(HeaderRequestLimit))
 }
 
-// RequestedBackoff reads how long the sender of an answer asks for no other request. Only
+// ParseBackoff reads how long the sender of an answer asks for no other request. Only
 // refusals ask for that; what can't be read asks for nothing.
-func RequestedBackoff(status int, h http.Header) endpoint.Notice {
+func ParseBackoff(status int, h http.Header) endpoint.Notice {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return endpoint.Notice{}
 	}
--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -15,7 +15,7 @@
 func planned() (*peer.Mesh, *endpoint.Directory, []endpoint.Info) {
 	nodes, directory := membership.NewTable(), endpoint.NewDirectory()
 	m := peer.NewMesh(membership.Node{ID: "n0", Incarnation: 1, DataCenter: "dc0"}, nodes, directory, config.New())
-	var news peer.News
+	var news peer.Update
 	for i := 1; i < 420; i++ {
 		news.Nodes = append(news.Nodes, membership.Node{
 			ID: fmt.Sprintf("n%d", i), Incarnation: 1, Status: membership.Alive, DataCenter: fmt.Sprintf("dc%d", i%19),
@@ -28,9 +28,9 @@
 			Class: "standard", Kind: endpoint.Model, Model: "narrative-70b", Version: "1", Address: "10.0.0.1:8000",
 		})
 	}
-	m.Tell(news, time.UnixMilli(1))
+	m.Publish(news, time.UnixMilli(1))
 	for i := range 6 {
-		m.Up(peer.Link(i+1), peer.Hello{Node: news.Nodes[i], Role: peer.RoleEntry}, time.UnixMilli(1))
+		m.LinkUp(peer.LinkID(i+1), peer.Hello{Node: news.Nodes[i], Role: peer.RoleEntry}, time.UnixMilli(1))
 	}
 	return m, directory, news.Endpoints
 }
@@ -57,7 +57,7 @@
 func BenchmarkDial420(b *testing.B) {
 	m, _, _ := planned()
 	for b.Loop() {
-		m.Dial(1)
+		m.NodesToDial(1)
 	}
 }
 
@@ -68,14 +68,14 @@
 	for b.Loop() {
 		info := infos[i%len(infos)]
 		info.Counter = int64(i + 2)
-		m.Receive(1, peer.News{Endpoints: []endpoint.Info{info}}, time.UnixMilli(3))
+		m.Receive(1, peer.Update{Endpoints: []endpoint.Info{info}}, time.UnixMilli(3))
 		i++
 	}
 }
 
 func BenchmarkWholeState(b *testing.B) {
 	_, _, infos := planned()
-	data, err := peer.Encode(peer.News{Endpoints: infos})
+	data, err := peer.Encode(peer.Update{Endpoints: infos})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/pkg/peer/codec.go
+++ b/pkg/peer/codec.go
@@ -16,10 +16,10 @@
 
 // Limits on what is decoded.
 const (
-	// MaxMessage is the longest message, in bytes.
-	MaxMessage  = 8 << 20
-	maxElements = 1 << 16
-	maxNesting  = 8
+	// MaxMessageBytes is the longest message, in bytes.
+	MaxMessageBytes = 8 << 20
+	maxElements     = 1 << 16
+	maxNesting      = 8
 )
 
 var decoding = func() cbor.DecMode {
@@ -38,8 +38,8 @@
 	return mode
 }()
 
-// ErrMessage says that a message can't be understood.
-var ErrMessage = errors.New("peer: bad message")
+// ErrInvalidMessage says that a message can't be understood.
+var ErrInvalidMessage = errors.New("peer: bad message")
 
 // Encode gives a message as CBOR.
 func Encode(m Message) ([]byte, error) {
@@ -48,12 +48,12 @@
 
 // Decode reads a message. Errors are ErrMessage.
 func Decode(data []byte) (Message, error) {
-	if len(data) > MaxMessage {
-		return nil, fmt.Errorf("%w: %d bytes", ErrMessage, len(data))
+	if len(data) > MaxMessageBytes {
+		return nil, fmt.Errorf("%w: %d bytes", ErrInvalidMessage, len(data))
 	}
 	var w peerschema.Message
 	if err := decoding.Unmarshal(data, &w); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrMessage, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	return fromWire(w)
 }
@@ -69,7 +69,7 @@
 		return peerschema.Message{Digest: digestToWire(m)}
 	case Pull:
 		return peerschema.Message{Pull: &peerschema.Pull{After: int(m.After), Nodes: ints(m.Nodes), Endpoints: ints(m.Endpoints)}}
-	case News:
+	case Update:
 		return peerschema.Message{News: newsToWire(m)}
 	case Accept:
 		rows := make([]peerschema.AcceptRow, len(m.Rows))
@@ -92,7 +92,7 @@
 	return d
 }
 
-func newsToWire(m News) *peerschema.News {
+func newsToWire(m Update) *peerschema.News {
 	w := &peerschema.News{}
 	for _, n := range m.Nodes {
 		w.Nodes = append(w.Nodes, peerschema.Node{
@@ -154,7 +154,7 @@
 		found = append(found, Accepted{int64(w.Accepted.Request), AcceptOutcome(w.Accepted.Outcome), int64(w.Accepted.Version)})
 	}
 	if len(found) != 1 {
-		return nil, fmt.Errorf("%w: %d kinds in one", ErrMessage, len(found))
+		return nil, fmt.Errorf("%w: %d kinds in one", ErrInvalidMessage, len(found))
 	}
 	return found[0], nil
 }
@@ -167,8 +167,8 @@
 	return d
 }
 
-func newsFromWire(w *peerschema.News) News {
-	var news News
+func newsFromWire(w *peerschema.News) Update {
+	var news Update
 	for _, n := range w.Nodes {
 		news.Nodes = append(news.Nodes, membership.Node{
 			ID: n.Node, Incarnation: int64(n.Incarnation), Status: membership.Status(n.Status), Leaving: n.Leaving,
--- a/pkg/peer/codec_test.go
+++ b/pkg/peer/codec_test.go
@@ -18,7 +18,7 @@
 	peer.Hello{Node: membership.Node{ID: "n", Incarnation: 5, Status: membership.Alive, DataCenter: "d", Region: "r", PeerAddress: "p", CallerAddress: "c"}, Role: peer.RoleEntry},
 	peer.Digest{Revision: 7, Nodes: 1<<63 - 1, Endpoints: 3, Demands: []peer.Demand{{Team: 1 << 31, Value: 2.5}}},
 	peer.Pull{After: 3, Nodes: []uint64{1, 1<<64 - 1}, Endpoints: []uint64{}},
-	peer.News{
+	peer.Update{
 		Nodes:     []membership.Node{{ID: "n", Incarnation: 1, Status: membership.Suspect, Leaving: true, Counter: 4, HasControl: true, Load: 7}},
 		Endpoints: []endpoint.Info{{ID: "e", Incarnation: 2, State: endpoint.Leaving, Counter: 1, Kind: endpoint.Model, LeaveBy: time.UnixMilli(99), Adapter: "a"}},
 		Changes:   []config.Change{{Revision: 2, Whole: true, Sections: []fleet.Section{fleet.NewSection("team", "t", `{}`)}}},
@@ -50,11 +50,11 @@
 		"no kind":               {0xa0},
 		"nested deeply":         deep,
 		"an unknown member":     {0xa1, 0x61, 'z', 0x01},
-		"longer than the limit": make([]byte, peer.MaxMessage+1),
+		"longer than the limit": make([]byte, peer.MaxMessageBytes+1),
 		"an endless list":       {0xa1, 0x64, 'n', 'e', 'w', 's', 0x9f, 0x01},
 	}
 	for name, data := range cases {
-		if _, err := peer.Decode(data); !errors.Is(err, peer.ErrMessage) {
+		if _, err := peer.Decode(data); !errors.Is(err, peer.ErrInvalidMessage) {
 			t.Errorf("%s: got %v, want ErrMessage", name, err)
 		}
 	}
--- a/pkg/peer/demand.go
+++ b/pkg/peer/demand.go
@@ -29,17 +29,17 @@
 type diffusion struct {
 	own      map[uint32]float64
 	estimate map[uint32]float64
-	links    map[Link]map[uint32]float64
+	links    map[LinkID]map[uint32]float64
 }
 
 func newDiffusion() *diffusion {
-	return &diffusion{own: map[uint32]float64{}, estimate: map[uint32]float64{}, links: map[Link]map[uint32]float64{}}
+	return &diffusion{own: map[uint32]float64{}, estimate: map[uint32]float64{}, links: map[LinkID]map[uint32]float64{}}
 }
 
 // TeamHash names a team in digests.
 func TeamHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-func (d *diffusion) heard(link Link, demands []Demand) {
+func (d *diffusion) heard(link LinkID, demands []Demand) {
 	values := make(map[uint32]float64, len(demands))
 	for _, demand := range demands {
 		values[demand.Team] = demand.Value
--- a/pkg/peer/mesh.go
+++ b/pkg/peer/mesh.go
@@ -12,10 +12,10 @@
 
 // Timing of the mesh.
 const (
-	// Heartbeat is the time between digests on a link.
-	Heartbeat = time.Second
+	// HeartbeatInterval is the time between digests on a link.
+	HeartbeatInterval = time.Second
 	// silence is how long a link may be silent before its peer is suspected.
-	silence = 3 * Heartbeat
+	silence = 3 * HeartbeatInterval
 	// refutation is how long a suspect has to speak up before it counts as dead.
 	refutation = 3 * time.Second
 	// pauseSign is a gap between ticks after which this process takes it that
@@ -26,12 +26,12 @@
 	pullAfter = 2
 )
 
-// Link names one connection of this process.
-type Link int64
+// LinkID names one connection of this process.
+type LinkID int64
 
-// Out is a message to be sent on a link.
-type Out struct {
-	Link    Link
+// Outgoing is a message to be sent on a link.
+type Outgoing struct {
+	Link    LinkID
 	Message Message
 }
 
@@ -49,7 +49,7 @@
 	mu   sync.Mutex
 	self membership.Node
 	// links are the live connections that have said hello.
-	links    map[Link]*linkState
+	links    map[LinkID]*linkState
 	lastTick time.Time
 	ticks    int64
 	// suspects holds since when each suspected incarnation has been one.
@@ -82,10 +82,10 @@
 type Counts struct {
 	Sent, Received int64
 	// Suspected counts suspicions raised here, Refuted those against this node,
-	// Declared nodes declared dead here.
-	Suspected, Refuted, Declared int64
-	Pulls                        int64
-	Pauses                       int64
+	// DeclaredDead nodes declared dead here.
+	Suspected, Refuted, DeclaredDead int64
+	Pulls                            int64
+	Pauses                           int64
 }
 
 // NewMesh returns the mesh of one entry. The incarnation of self must be
@@ -95,16 +95,16 @@
 	nodes.Merge(self)
 	return &Mesh{
 		nodes: nodes, endpoints: endpoints, config: holder, self: self,
-		links: map[Link]*linkState{}, suspects: map[suspect]time.Time{}, demand: newDiffusion(),
+		links: map[LinkID]*linkState{}, suspects: map[suspect]time.Time{}, demand: newDiffusion(),
 	}
 }
 
-// NewFollower returns the mesh's side of a process that is attached to an
+// NewAttached returns the mesh's side of a process that is attached to an
 // entry: it hears all news and tells its own, but is no member itself.
-func NewFollower(self membership.Node, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *Mesh {
+func NewAttached(self membership.Node, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *Mesh {
 	return &Mesh{
 		nodes: nodes, endpoints: endpoints, config: holder, self: self, follower: true,
-		links: map[Link]*linkState{}, suspects: map[suspect]time.Time{}, demand: newDiffusion(),
+		links: map[LinkID]*linkState{}, suspects: map[suspect]time.Time{}, demand: newDiffusion(),
 	}
 }
 
@@ -123,10 +123,10 @@
 }
 
 // Links returns the nodes linked to, by link.
-func (m *Mesh) Links() map[Link]membership.Node {
+func (m *Mesh) Links() map[LinkID]membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	list := make(map[Link]membership.Node, len(m.links))
+	list := make(map[LinkID]membership.Node, len(m.links))
 	for link, state := range m.links {
 		if state.role == RoleEntry {
 			list[link] = state.node
@@ -135,28 +135,28 @@
 	return list
 }
 
-// Up notes a link whose other side has said hello, and tells it what it lacks
+// LinkUp notes a link whose other side has said hello, and tells it what it lacks
 // by a digest at once. A control process that comes shows on this node.
-func (m *Mesh) Up(link Link, hello Hello, now time.Time) []Out {
+func (m *Mesh) LinkUp(link LinkID, hello Hello, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.links[link] = &linkState{node: hello.Node, role: hello.Role, heard: now}
-	out := []Out{{link, m.digest(hello.Role)}}
+	out := []Outgoing{{link, m.digest(hello.Role)}}
 	if hello.Role == RoleControl {
 		return append(out, m.showControl()...)
 	}
-	var news News
+	var news Update
 	m.mergeNode(hello.Node, now, &news)
 	if !m.follower {
-		out = m.send(out, link, News{Nodes: []membership.Node{m.self}})
+		out = m.send(out, link, Update{Nodes: []membership.Node{m.self}})
 	}
 	return append(out, m.flood(news, link)...)
 }
 
-// Down notes that a link is closed. A node to which no link is left is
+// LinkDown notes that a link is closed. A node to which no link is left is
 // suspected at the next tick by its silence, not at once: it may be restarting
 // its connection.
-func (m *Mesh) Down(link Link) []Out {
+func (m *Mesh) LinkDown(link LinkID) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	state, ok := m.links[link]
@@ -168,7 +168,7 @@
 }
 
 // showControl tells whether a control process is attached.
-func (m *Mesh) showControl() []Out {
+func (m *Mesh) showControl() []Outgoing {
 	attached := false
 	for _, state := range m.links {
 		attached = attached || state.role == RoleControl
@@ -181,21 +181,21 @@
 }
 
 // changeSelf changes this node and floods it. The lock is held.
-func (m *Mesh) changeSelf(change func(*membership.Node) bool) []Out {
+func (m *Mesh) changeSelf(change func(*membership.Node) bool) []Outgoing {
 	if !change(&m.self) {
 		return nil
 	}
 	m.self.Counter++
 	m.nodes.Merge(m.self)
-	return m.flood(News{Nodes: []membership.Node{m.self}}, 0)
+	return m.flood(Update{Nodes: []membership.Node{m.self}}, 0)
 }
 
 // usedFor is how long a link that the mesh does not ask for is kept after it
 // was last used.
 const usedFor = 5 * time.Minute
 
-// Used notes that a link carried something beside the mesh's own messages.
-func (m *Mesh) Used(link Link, now time.Time) {
+// MarkUsed notes that a link carried something beside the mesh's own messages.
+func (m *Mesh) MarkUsed(link LinkID, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state, ok := m.links[link]; ok {
@@ -204,7 +204,7 @@
 }
 
 // Leave shows this node as leaving.
-func (m *Mesh) Leave() []Out {
+func (m *Mesh) Leave() []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changeSelf(func(n *membership.Node) bool {
@@ -215,7 +215,7 @@
 }
 
 // SetReady shows this node as ready to serve.
-func (m *Mesh) SetReady() []Out {
+func (m *Mesh) SetReady() []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changeSelf(func(n *membership.Node) bool {
@@ -226,7 +226,7 @@
 }
 
 // SetLoad shows this node's load in tenths of its capacity.
-func (m *Mesh) SetLoad(tenths int) []Out {
+func (m *Mesh) SetLoad(tenths int) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changeSelf(func(n *membership.Node) bool {
@@ -236,15 +236,15 @@
 	})
 }
 
-// Tell takes in news that this process learned by itself, and floods it.
-func (m *Mesh) Tell(news News, now time.Time) []Out {
+// Publish takes in news that this process learned by itself, and floods it.
+func (m *Mesh) Publish(news Update, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.take(news, 0, now)
 }
 
 // Receive takes in a message.
-func (m *Mesh) Receive(link Link, message Message, now time.Time) []Out {
+func (m *Mesh) Receive(link LinkID, message Message, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	state, ok := m.links[link]
@@ -258,20 +258,20 @@
 		return m.compare(link, state, message)
 	case Pull:
 		return m.answer(link, message)
-	case News:
+	case Update:
 		return m.take(message, link, now)
 	}
 	return nil
 }
 
-func (m *Mesh) send(out []Out, link Link, message Message) []Out {
+func (m *Mesh) send(out []Outgoing, link LinkID, message Message) []Outgoing {
 	m.counts.Sent++
-	return append(out, Out{link, message})
+	return append(out, Outgoing{link, message})
 }
 
 // sortedLinks makes the order of messages repeatable.
-func (m *Mesh) sortedLinks() []Link {
-	links := make([]Link, 0, len(m.links))
+func (m *Mesh) sortedLinks() []LinkID {
+	links := make([]LinkID, 0, len(m.links))
 	for link := range m.links {
 		links = append(links, link)
 	}
--- a/pkg/peer/mesh_test.go
+++ b/pkg/peer/mesh_test.go
@@ -30,7 +30,7 @@
 			n.loss = 0.05
 			n.run(5 * time.Second)
 			first := n.nodes["n000"]
-			n.send("n000", first.mesh.Tell(peer.News{Endpoints: []endpoint.Info{leaving("e1")}, Changes: []config.Change{change(1)}}, n.now))
+			n.send("n000", first.mesh.Publish(peer.Update{Endpoints: []endpoint.Info{leaving("e1")}, Changes: []config.Change{change(1)}}, n.now))
 			took := n.runUntil(20*time.Second, func() bool {
 				return n.knownTo(func(m *member) bool {
 					info, _ := m.endpoints.Get("e1")
@@ -52,7 +52,7 @@
 		n := newNetwork(t, size, min(size/3, 19))
 		n.run(8 * time.Second)
 		n.sent = map[string]int{}
-		n.run(rounds * peer.Heartbeat)
+		n.run(rounds * peer.HeartbeatInterval)
 		quiet := 0
 		for _, count := range n.sent {
 			quiet += count
@@ -62,7 +62,7 @@
 			t.Errorf("%d nodes: %.1f messages for a node and round, want 7 at most", size, perRound)
 		}
 		n.sent = map[string]int{}
-		n.send("n000", n.nodes["n000"].mesh.Tell(peer.News{Endpoints: []endpoint.Info{leaving("e1")}}, n.now))
+		n.send("n000", n.nodes["n000"].mesh.Publish(peer.Update{Endpoints: []endpoint.Info{leaving("e1")}}, n.now))
 		n.runUntil(900*time.Millisecond, func() bool { return false })
 		news := 0
 		for _, count := range n.sent {
@@ -134,7 +134,7 @@
 	for _, m := range n.nodes {
 		c := m.mesh.Counts()
 		suspected += c.Suspected
-		declared += c.Declared
+		declared += c.DeclaredDead
 		refuted += c.Refuted
 	}
 	t.Logf("suspected %d, refuted %d, declared %d", suspected, refuted, declared)
@@ -175,7 +175,7 @@
 func TestPartitionAndReunion(t *testing.T) {
 	n := newNetwork(t, 12, 4)
 	n.run(5 * time.Second)
-	n.send("n000", n.nodes["n000"].mesh.Tell(peer.News{Changes: []config.Change{change(1)}}, n.now))
+	n.send("n000", n.nodes["n000"].mesh.Publish(peer.Update{Changes: []config.Change{change(1)}}, n.now))
 	n.run(2 * time.Second)
 	far := func(id string) bool { return n.nodes[id].mesh.Self().DataCenter >= "dc02" }
 	n.cut = func(a, b string) bool { return far(a) != far(b) }
@@ -183,8 +183,8 @@
 	n.run(20 * time.Second)
 	n.drop(func(e end) bool { return far(e.owner) != far(e.other) })
 	n.run(10 * time.Second)
-	n.send("n000", n.nodes["n000"].mesh.Tell(peer.News{Changes: []config.Change{change(2)}, Endpoints: []endpoint.Info{leaving("near")}}, n.now))
-	n.send("n002", n.nodes["n002"].mesh.Tell(peer.News{Endpoints: []endpoint.Info{leaving("away")}}, n.now))
+	n.send("n000", n.nodes["n000"].mesh.Publish(peer.Update{Changes: []config.Change{change(2)}, Endpoints: []endpoint.Info{leaving("near")}}, n.now))
+	n.send("n002", n.nodes["n002"].mesh.Publish(peer.Update{Endpoints: []endpoint.Info{leaving("away")}}, n.now))
 	n.run(time.Hour)
 	near := n.knownTo(func(m *member) bool { return m.config.Current().Revision() == 2 })
 	if near != 6 {
@@ -218,7 +218,7 @@
 	for i := range 200 {
 		infos = append(infos, leaving(fmt.Sprintf("e%d", i)))
 	}
-	n.send("n000", n.nodes["n000"].mesh.Tell(peer.News{Endpoints: infos, Changes: []config.Change{change(1), change(2), change(3)}}, n.now))
+	n.send("n000", n.nodes["n000"].mesh.Publish(peer.Update{Endpoints: infos, Changes: []config.Change{change(1), change(2), change(3)}}, n.now))
 	n.run(3 * time.Second)
 	m := n.add("n900", "dc00")
 	n.connect("n900", "n002")
@@ -244,7 +244,7 @@
 		for _, other := range n.nodes {
 			all = append(all, other.mesh.Self())
 		}
-		fresh.mesh.Tell(peer.News{Nodes: all}, n.now)
+		fresh.mesh.Publish(peer.Update{Nodes: all}, n.now)
 	}
 	took := n.runUntil(time.Minute, func() bool {
 		return n.knownTo(func(m *member) bool { return len(m.nodes.ServingNodes()) == 12 }) == 12
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -51,15 +51,17 @@
 	Endpoints []uint64
 }
 
-// News carries states and changes.
-type News struct {
+// Update carries states and changes.
+type Update struct {
 	Nodes     []membership.Node
 	Endpoints []endpoint.Info
 	Changes   []config.Change
 }
 
 // empty reports whether there is nothing in the news.
-func (n News) empty() bool { return len(n.Nodes) == 0 && len(n.Endpoints) == 0 && len(n.Changes) == 0 }
+func (n Update) empty() bool {
+	return len(n.Nodes) == 0 && len(n.Endpoints) == 0 && len(n.Changes) == 0
+}
 
 // Accept asks the receiver to commit rows of an accepted job in its batch.
 type Accept struct {
@@ -86,7 +88,7 @@
 
 // The outcomes.
 const (
-	AcceptDone AcceptOutcome = iota + 1
+	AcceptCommitted AcceptOutcome = iota + 1
 	AcceptConflict
 	AcceptRefused
 	AcceptUnknown
@@ -95,6 +97,6 @@
 func (Hello) message()    {}
 func (Digest) message()   {}
 func (Pull) message()     {}
-func (News) message()     {}
+func (Update) message()   {}
 func (Accept) message()   {}
 func (Accepted) message() {}
--- a/pkg/peer/network_test.go
+++ b/pkg/peer/network_test.go
@@ -25,8 +25,8 @@
 	nodes  map[string]*member
 	order  []string
 	queue  []delivery
-	links  map[peer.Link]end
-	nextID peer.Link
+	links  map[peer.LinkID]end
+	nextID peer.LinkID
 	// retry holds until when a lost message holds its link up.
 	sent map[string]int
 }
@@ -46,12 +46,12 @@
 // end is one side of a link: who holds it, and the other side.
 type end struct {
 	owner, other string
-	otherLink    peer.Link
+	otherLink    peer.LinkID
 }
 
 type delivery struct {
 	at      time.Time
-	link    peer.Link
+	link    peer.LinkID
 	message peer.Message
 }
 
@@ -63,7 +63,7 @@
 func newNetwork(t *testing.T, count, centres int) *network {
 	n := &network{
 		t: t, now: time.UnixMilli(1_800_000_000_000), random: rand.New(rand.NewPCG(1, 2)),
-		cut: func(string, string) bool { return false }, nodes: map[string]*member{}, links: map[peer.Link]end{}, sent: map[string]int{},
+		cut: func(string, string) bool { return false }, nodes: map[string]*member{}, links: map[peer.LinkID]end{}, sent: map[string]int{},
 	}
 	for i := range count {
 		n.add(fmt.Sprintf("n%03d", i), fmt.Sprintf("dc%02d", i%centres))
@@ -74,7 +74,7 @@
 		for _, other := range n.order {
 			all = append(all, n.nodes[other].mesh.Self())
 		}
-		n.nodes[id].mesh.Tell(peer.News{Nodes: all}, n.now)
+		n.nodes[id].mesh.Publish(peer.Update{Nodes: all}, n.now)
 	}
 	return n
 }
@@ -89,7 +89,7 @@
 	return m
 }
 
-func (n *network) send(from string, out []peer.Out) {
+func (n *network) send(from string, out []peer.Outgoing) {
 	for _, o := range out {
 		e, ok := n.links[o.Link]
 		if !ok {
@@ -113,14 +113,14 @@
 	la, lb := n.nextID+1, n.nextID+2
 	n.nextID += 2
 	n.links[la], n.links[lb] = end{a, b, lb}, end{b, a, la}
-	n.send(a, ma.mesh.Up(la, peer.Hello{Node: mb.mesh.Self(), Role: peer.RoleEntry}, n.now))
-	n.send(b, mb.mesh.Up(lb, peer.Hello{Node: ma.mesh.Self(), Role: peer.RoleEntry}, n.now))
+	n.send(a, ma.mesh.LinkUp(la, peer.Hello{Node: mb.mesh.Self(), Role: peer.RoleEntry}, n.now))
+	n.send(b, mb.mesh.LinkUp(lb, peer.Hello{Node: ma.mesh.Self(), Role: peer.RoleEntry}, n.now))
 	return true
 }
 
 // drop closes the links for which broken is true.
 func (n *network) drop(broken func(e end) bool) {
-	var links []peer.Link
+	var links []peer.LinkID
 	for link, e := range n.links {
 		if broken(e) {
 			links = append(links, link)
@@ -131,7 +131,7 @@
 		owner := n.links[link].owner
 		delete(n.links, link)
 		if m := n.nodes[owner]; !m.killed && !m.paused {
-			n.send(owner, m.mesh.Down(link))
+			n.send(owner, m.mesh.LinkDown(link))
 		}
 	}
 }
@@ -172,7 +172,7 @@
 
 // tickAll gives each node its heartbeat and lets it dial, at its own phase.
 func (n *network) tickAll() {
-	phases := int(peer.Heartbeat / tick)
+	phases := int(peer.HeartbeatInterval / tick)
 	step := int(n.now.UnixMilli()/tick.Milliseconds()) % phases
 	for i, id := range n.order {
 		m := n.nodes[id]
@@ -181,14 +181,14 @@
 		}
 		n.send(id, m.mesh.Tick(n.now))
 		m.round++
-		for _, target := range m.mesh.Dial(m.round) {
+		for _, target := range m.mesh.NodesToDial(m.round) {
 			if n.connect(id, target.ID) {
 				m.failed[target.ID] = 0
 				continue
 			}
 			m.failed[target.ID]++
 			if m.failed[target.ID] >= 3 && target.Status == membership.Alive {
-				n.send(id, m.mesh.Unreachable(target.ID, n.now))
+				n.send(id, m.mesh.MarkUnreachable(target.ID, n.now))
 			}
 		}
 	}
--- a/pkg/peer/news.go
+++ b/pkg/peer/news.go
@@ -9,7 +9,7 @@
 
 // compare answers a digest with a pull where the other side knows something
 // else for longer than news takes on its way.
-func (m *Mesh) compare(link Link, state *linkState, d Digest) []Out {
+func (m *Mesh) compare(link LinkID, state *linkState, d Digest) []Outgoing {
 	if state.role == RoleEntry {
 		m.demand.heard(link, d.Demands)
 	}
@@ -51,8 +51,8 @@
 }
 
 // answer sends the parts in which the other side differs.
-func (m *Mesh) answer(link Link, p Pull) []Out {
-	news := News{Changes: m.config.After(p.After)}
+func (m *Mesh) answer(link LinkID, p Pull) []Outgoing {
+	news := Update{Changes: m.config.After(p.After)}
 	if len(p.Nodes) == membership.BucketCount {
 		var want [membership.BucketCount]bool
 		for i, sum := range m.nodes.Sums() {
@@ -74,8 +74,8 @@
 }
 
 // take merges news and floods what of it was new. The lock is held.
-func (m *Mesh) take(news News, from Link, now time.Time) []Out {
-	var fresh News
+func (m *Mesh) take(news Update, from LinkID, now time.Time) []Outgoing {
+	var fresh Update
 	for _, n := range news.Nodes {
 		m.mergeNode(n, now, &fresh)
 	}
@@ -84,7 +84,7 @@
 			fresh.Endpoints = append(fresh.Endpoints, next)
 		}
 	}
-	var out []Out
+	var out []Outgoing
 	for _, c := range news.Changes {
 		applied, err := m.config.Apply(c)
 		switch {
@@ -100,7 +100,7 @@
 
 // mergeNode merges what was heard of a node and notes suspicions; what is said
 // of this node itself is refuted or obeyed.
-func (m *Mesh) mergeNode(heard membership.Node, now time.Time, fresh *News) {
+func (m *Mesh) mergeNode(heard membership.Node, now time.Time, fresh *Update) {
 	if heard.ID == m.self.ID && !m.follower {
 		m.answerForSelf(heard, now, fresh)
 		return
@@ -121,7 +121,7 @@
 // answerForSelf refutes a suspicion by a higher counter, and a death by a new
 // incarnation. News of a later start of this node's name is left alone: then
 // two processes bear the same name, which the operator must mend.
-func (m *Mesh) answerForSelf(heard membership.Node, now time.Time, fresh *News) {
+func (m *Mesh) answerForSelf(heard membership.Node, now time.Time, fresh *Update) {
 	if heard.Incarnation != m.self.Incarnation || heard.Status == membership.Alive {
 		return
 	}
@@ -137,11 +137,11 @@
 }
 
 // flood sends news to all links but the one it came from.
-func (m *Mesh) flood(news News, from Link) []Out {
+func (m *Mesh) flood(news Update, from LinkID) []Outgoing {
 	if news.empty() {
 		return nil
 	}
-	var out []Out
+	var out []Outgoing
 	for _, link := range m.sortedLinks() {
 		if link == from {
 			continue
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -51,7 +51,7 @@
 	handler   Handler
 
 	mu      sync.Mutex
-	conns   map[Link]*conn
+	conns   map[LinkID]*conn
 	nextID  atomic.Int64
 	dialing map[string]bool
 	failed  map[string]int
@@ -60,7 +60,7 @@
 
 // conn is one link's connection.
 type conn struct {
-	link   Link
+	link   LinkID
 	socket *websocket.Conn
 	queue  chan Message
 	cancel context.CancelFunc
@@ -94,7 +94,7 @@
 	return &Server{
 		mesh: mesh, role: role, scheme: scheme, counters: counters, ctx: ctx,
 		client: &http.Client{Transport: &http.Transport{TLSClientConfig: clientTLS, Proxy: nil}},
-		conns:  map[Link]*conn{}, dialing: map[string]bool{}, failed: map[string]int{},
+		conns:  map[LinkID]*conn{}, dialing: map[string]bool{}, failed: map[string]int{},
 		handler: func(Sender, Message) {},
 	}
 }
@@ -118,25 +118,25 @@
 // serve says hello, waits for the other side's, and runs the link to its end.
 func (s *Server) serve(ctx context.Context, socket *websocket.Conn) {
 	defer func() { _ = socket.CloseNow() }()
-	socket.SetReadLimit(MaxMessage)
+	socket.SetReadLimit(MaxMessageBytes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	hello, ok := s.greet(ctx, socket)
 	if !ok {
 		return
 	}
-	c := &conn{link: Link(s.nextID.Add(1)), socket: socket, queue: make(chan Message, queueLength), cancel: cancel}
+	c := &conn{link: LinkID(s.nextID.Add(1)), socket: socket, queue: make(chan Message, queueLength), cancel: cancel}
 	s.mu.Lock()
 	s.conns[c.link] = c
 	delete(s.failed, hello.Node.ID)
 	s.mu.Unlock()
 	go s.writeAll(ctx, c)
-	s.Send(s.mesh.Up(c.link, hello, time.Now()))
+	s.Send(s.mesh.LinkUp(c.link, hello, time.Now()))
 	s.readAll(ctx, c)
 	s.mu.Lock()
 	delete(s.conns, c.link)
 	s.mu.Unlock()
-	s.Send(s.mesh.Down(c.link))
+	s.Send(s.mesh.LinkDown(c.link))
 }
 
 // greet exchanges hellos; whoever connects and says none is let go.
@@ -162,8 +162,8 @@
 			s.handlerMu.RLock()
 			handler := s.handler
 			s.handlerMu.RUnlock()
-			s.mesh.Used(c.link, time.Now())
-			handler(func(m Message) { s.Send([]Out{{c.link, m}}) }, message)
+			s.mesh.MarkUsed(c.link, time.Now())
+			handler(func(m Message) { s.Send([]Outgoing{{c.link, m}}) }, message)
 		default:
 			s.Send(s.mesh.Receive(c.link, message, time.Now()))
 		}
@@ -207,7 +207,7 @@
 }
 
 // Send puts messages on their links' queues.
-func (s *Server) Send(out []Out) {
+func (s *Server) Send(out []Outgoing) {
 	for _, o := range out {
 		s.mu.Lock()
 		c, ok := s.conns[o.Link]
@@ -228,20 +228,20 @@
 func (s *Server) SendTo(node string, message Message) bool {
 	for link, n := range s.mesh.Links() {
 		if n.ID == node {
-			s.mesh.Used(link, time.Now())
-			s.Send([]Out{{link, message}})
+			s.mesh.MarkUsed(link, time.Now())
+			s.Send([]Outgoing{{link, message}})
 			return true
 		}
 	}
 	return false
 }
 
-// Ensure begins to link to a node that the mesh does not ask for by itself.
-func (s *Server) Ensure(node membership.Node) { s.dialNode(node) }
+// EnsureLink begins to link to a node that the mesh does not ask for by itself.
+func (s *Server) EnsureLink(node membership.Node) { s.dialNode(node) }
 
 // Run ticks the mesh and keeps up the links it asks for until the context ends.
 func (s *Server) Run() {
-	heartbeat := time.NewTicker(Heartbeat)
+	heartbeat := time.NewTicker(HeartbeatInterval)
 	defer heartbeat.Stop()
 	dial := time.NewTicker(dialEvery)
 	defer dial.Stop()
@@ -253,7 +253,7 @@
 			s.Send(s.mesh.Tick(now))
 		case <-dial.C:
 			round++
-			for _, node := range s.mesh.Dial(round) {
+			for _, node := range s.mesh.NodesToDial(round) {
 				s.dialNode(node)
 			}
 			if round%surplusEvery == 0 {
@@ -268,12 +268,12 @@
 const surplusEvery = 10
 
 func (s *Server) closeSurplus() {
-	for _, link := range s.mesh.Surplus(spareLinks, time.Now()) {
+	for _, link := range s.mesh.SurplusLinks(spareLinks, time.Now()) {
 		s.close(link)
 	}
 }
 
-func (s *Server) close(link Link) {
+func (s *Server) close(link LinkID) {
 	s.mu.Lock()
 	c, ok := s.conns[link]
 	s.mu.Unlock()
@@ -282,8 +282,8 @@
 	}
 }
 
-// Linked returns how many links are up.
-func (s *Server) Linked() int {
+// LinkCount returns how many links are up.
+func (s *Server) LinkCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -301,7 +301,7 @@
 		count := s.failed[node.ID]
 		s.mu.Unlock()
 		if count >= failedDials && node.Status == membership.Alive {
-			s.Send(s.mesh.Unreachable(node.ID, time.Now()))
+			s.Send(s.mesh.MarkUnreachable(node.ID, time.Now()))
 		}
 	}()
 }
--- a/pkg/peer/tick.go
+++ b/pkg/peer/tick.go
@@ -8,7 +8,7 @@
 
 // Tick sends heartbeats and judges silence. It is to be called once every
 // Heartbeat; a much longer gap means that this process was paused.
-func (m *Mesh) Tick(now time.Time) []Out {
+func (m *Mesh) Tick(now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > pauseSign {
@@ -17,7 +17,7 @@
 	m.lastTick = now
 	m.demand.step()
 	m.ticks++
-	var out []Out
+	var out []Outgoing
 	for _, link := range m.sortedLinks() {
 		role := m.links[link].role
 		if m.isAttachment(role) && m.ticks%attachedEvery != 0 || m.links[link].isExtra && m.ticks%extraEvery != 0 {
@@ -25,7 +25,7 @@
 		}
 		out = m.send(out, link, m.digest(role))
 	}
-	var news News
+	var news Update
 	if !m.follower {
 		m.suspectSilent(now, &news)
 		m.declareDead(now, &news)
@@ -56,7 +56,7 @@
 }
 
 // suspectSilent raises a suspicion against nodes whose links are silent.
-func (m *Mesh) suspectSilent(now time.Time, news *News) {
+func (m *Mesh) suspectSilent(now time.Time, news *Update) {
 	for _, link := range m.sortedLinks() {
 		state := m.links[link]
 		if state.role == RoleEntry && now.Sub(state.heard) > silence {
@@ -65,16 +65,16 @@
 	}
 }
 
-// Unreachable notes that a node could not be reached again and again.
-func (m *Mesh) Unreachable(id string, now time.Time) []Out {
+// MarkUnreachable notes that a node could not be reached again and again.
+func (m *Mesh) MarkUnreachable(id string, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var news News
+	var news Update
 	m.suspect(id, now, &news)
 	return m.flood(news, 0)
 }
 
-func (m *Mesh) suspect(id string, now time.Time, news *News) {
+func (m *Mesh) suspect(id string, now time.Time, news *Update) {
 	held, ok := m.nodes.Get(id)
 	if !ok || held.Status != membership.Alive {
 		return
@@ -85,7 +85,7 @@
 }
 
 // declareDead ends the suspicions that nobody refuted in time.
-func (m *Mesh) declareDead(now time.Time, news *News) {
+func (m *Mesh) declareDead(now time.Time, news *Update) {
 	for key, since := range m.suspects {
 		held, ok := m.nodes.Get(key.id)
 		stands := ok && held.Status == membership.Suspect && held.Incarnation == key.incarnation && held.Counter == key.counter
@@ -97,16 +97,16 @@
 			continue
 		}
 		delete(m.suspects, key)
-		m.counts.Declared++
+		m.counts.DeclaredDead++
 		held.Status = membership.Dead
 		m.mergeNode(held, now, news)
 	}
 }
 
-// Dial returns the nodes this process should be linked to and is not: its
+// NodesToDial returns the nodes this process should be linked to and is not: its
 // neighbours, and now and then one that counts as dead, since a part of the
 // fleet that was cut off comes back that way.
-func (m *Mesh) Dial(round int) []membership.Node {
+func (m *Mesh) NodesToDial(round int) []membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	linked := map[string]bool{m.self.ID: true}
@@ -147,16 +147,16 @@
 	return &dead[(round/deadEvery)%len(dead)]
 }
 
-// Surplus returns links that neither side asks for any more, beyond the number
+// SurplusLinks returns links that neither side asks for any more, beyond the number
 // that is kept. Links in use are left alone, with fewer heartbeats.
-func (m *Mesh) Surplus(most int, now time.Time) []Link {
+func (m *Mesh) SurplusLinks(most int, now time.Time) []LinkID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	wanted := map[string]bool{}
 	for _, n := range membership.Neighbours(m.self, m.nodes.Nodes()) {
 		wanted[n.ID] = true
 	}
-	var extra []Link
+	var extra []LinkID
 	entries := 0
 	for _, link := range m.sortedLinks() {
 		state := m.links[link]
--- a/pkg/plainservice/plainservice.go
+++ b/pkg/plainservice/plainservice.go
@@ -75,7 +75,7 @@
 
 // noticeOf reads what an answer's head says of its endpoint.
 func noticeOf(response *http.Response) endpoint.Notice {
-	notice := httpx.NoticeOf(response.StatusCode, response.Header)
+	notice := httpx.ParseNotice(response.StatusCode, response.Header)
 	notice.Refused = response.Header.Get(HeaderNotRun) != ""
 	notice.Leaving, _ = strconv.ParseBool(response.Header.Get(HeaderLeaving))
 	return notice
--- a/pkg/secure/make.go
+++ b/pkg/secure/make.go
@@ -17,12 +17,12 @@
 
 // Names of the files a site's set is made of.
 const (
-	FileCA       = "ca.pem"
-	FileCAKey    = "ca-key.pem"
-	FilePeer     = "peer.pem"
-	FilePeerKey  = "peer-key.pem"
-	FileServe    = "serve.pem"
-	FileServeKey = "serve-key.pem"
+	FileCA        = "ca.pem"
+	FileCAKey     = "ca-key.pem"
+	FilePeer      = "peer.pem"
+	FilePeerKey   = "peer-key.pem"
+	FileServer    = "serve.pem"
+	FileServerKey = "serve-key.pem"
 )
 
 // validFor is how long certificates are valid.
@@ -31,11 +31,11 @@
 // serialBits is the length of a serial number.
 const serialBits = 120
 
-// MakeSet makes a set of keys for a site in dir: an authority, a certificate
+// GenerateCertificates makes a set of keys for a site in dir: an authority, a certificate
 // for own processes and one to show to callers, for the IP numbers given. An
 // authority that is there already is used again, so that calling it anew
 // rotates the certificates alone.
-func MakeSet(dir string, addresses []net.IP, now time.Time) error {
+func GenerateCertificates(dir string, addresses []net.IP, now time.Time) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	if err := issue(dir, FilePeer, FilePeerKey, "ironhollow peer", addresses, ca, key, now); err != nil {
 		return err
 	}
-	return issue(dir, FileServe, FileServeKey, "ironhollow", addresses, ca, key, now)
+	return issue(dir, FileServer, FileServerKey, "ironhollow", addresses, ca, key, now)
 }
 
 func authority(dir string, now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
--- a/pkg/secure/secure.go
+++ b/pkg/secure/secure.go
@@ -102,9 +102,9 @@
 // errName says that the other side's certificate is not of this site.
 var errName = errors.New("secure: certificate is not signed by the site's authority")
 
-// PeerServer returns settings for a server of own processes: TLS 1.3, both
+// PeerServerConfig returns settings for a server of own processes: TLS 1.3, both
 // sides showing certificates of the site's authority.
-func (l *Loader) PeerServer() *tls.Config {
+func (l *Loader) PeerServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:            tls.VersionTLS13,
 		ClientAuth:            tls.RequireAnyClientCert,
@@ -113,9 +113,9 @@
 	}
 }
 
-// PeerClient returns settings for a client of own processes. Peers are known
+// PeerClientConfig returns settings for a client of own processes. Peers are known
 // by the authority, not by name: they have IP numbers that come and go.
-func (l *Loader) PeerClient() *tls.Config {
+func (l *Loader) PeerClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:            tls.VersionTLS13,
 		InsecureSkipVerify:    true, // Names are not checked; verify checks the rest.
@@ -124,8 +124,8 @@
 	}
 }
 
-// Server returns settings for a server towards callers or operators.
-func (l *Loader) Server() *tls.Config {
+// ServerConfig returns settings for a server towards callers or operators.
+func (l *Loader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { cert, _ := l.current(); return cert, nil },
--- a/pkg/secure/secure_test.go
+++ b/pkg/secure/secure_test.go
@@ -21,7 +21,7 @@
 func newSet(t *testing.T) (string, *secure.Loader) {
 	t.Helper()
 	dir := t.TempDir()
-	if err := secure.MakeSet(dir, []net.IP{net.IPv4(127, 0, 0, 1)}, time.Now()); err != nil {
+	if err := secure.GenerateCertificates(dir, []net.IP{net.IPv4(127, 0, 0, 1)}, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	loader, err := secure.Load(files(dir))
@@ -64,15 +64,15 @@
 func TestOwnProcessesKnowEachOtherAndNobodyElse(t *testing.T) {
 	_, site := newSet(t)
 	_, other := newSet(t)
-	_, version, err := shake(t, site.PeerServer(), site.PeerClient())
+	_, version, err := shake(t, site.PeerServerConfig(), site.PeerClientConfig())
 	if err != nil || version != tls.VersionTLS13 {
 		t.Errorf("same site: got version %x, %v; want TLS 1.3", version, err)
 	}
 	cases := map[string][2]*tls.Config{
-		"a client of another site":      {site.PeerServer(), other.PeerClient()},
-		"a server of another site":      {other.PeerServer(), site.PeerClient()},
-		"a client without certificate":  {site.PeerServer(), {InsecureSkipVerify: true}},
-		"a client of an older protocol": {site.PeerServer(), {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}},
+		"a client of another site":      {site.PeerServerConfig(), other.PeerClientConfig()},
+		"a server of another site":      {other.PeerServerConfig(), site.PeerClientConfig()},
+		"a client without certificate":  {site.PeerServerConfig(), {InsecureSkipVerify: true}},
+		"a client of an older protocol": {site.PeerServerConfig(), {InsecureSkipVerify: true, MaxVersion: tls.VersionTLS12}},
 	}
 	for name, c := range cases {
 		if _, _, err := shake(t, c[0], c[1]); err == nil {
@@ -85,15 +85,15 @@
 // the keys that were good stay in force.
 func TestKeysAreRotatedWithoutARestart(t *testing.T) {
 	dir, loader := newSet(t)
-	before, _, err := shake(t, loader.PeerServer(), loader.PeerClient())
+	before, _, err := shake(t, loader.PeerServerConfig(), loader.PeerClientConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := secure.MakeSet(dir, nil, time.Now()); err != nil {
+	if err := secure.GenerateCertificates(dir, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	loader.Recheck()
-	after, _, err := shake(t, loader.PeerServer(), loader.PeerClient())
+	after, _, err := shake(t, loader.PeerServerConfig(), loader.PeerClientConfig())
 	if err != nil || after == before {
 		t.Errorf("after renewal: got certificate %s, %v; want another than %s", after, err, before)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	loader.Recheck()
-	still, _, err := shake(t, loader.PeerServer(), loader.PeerClient())
+	still, _, err := shake(t, loader.PeerServerConfig(), loader.PeerClientConfig())
 	if err != nil || still != after {
 		t.Errorf("with a broken file: got %s, %v; want %s still", still, err, after)
 	}
--- a/pkg/standin/services/service.go
+++ b/pkg/standin/services/service.go
@@ -102,7 +102,7 @@
 		w.Header().Set(plainservice.HeaderLeaving, "1")
 	}
 	if options.Limit > 0 {
-		w.Header().Set(httpx.HeaderLimit, strconv.FormatFloat(options.Limit, 'f', -1, 64))
+		w.Header().Set(httpx.HeaderRequestLimit, strconv.FormatFloat(options.Limit, 'f', -1, 64))
 	}
 	if options.TurnsAway {
 		w.Header().Set(plainservice.HeaderNotRun, "busy")
