--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -11,32 +11,32 @@
 	"ironhollow/pkg/peer"
 )
 
-// planned returns a mesh that knows the planned fleet.
-func planned() (*peer.Mesh, *endpoint.Directory, []endpoint.Info) {
+// newLargeMesh returns a mesh that knows a fleet of the planned size: 420 nodes and 1900 endpoints.
+func newLargeMesh() (*peer.Mesh, *endpoint.Directory, []endpoint.Info) {
 	nodes, directory := membership.NewTable(), endpoint.NewDirectory()
 	m := peer.NewMesh(membership.Node{ID: "n0", Incarnation: 1, DataCenter: "dc0"}, nodes, directory, config.New())
-	var news peer.Update
+	var update peer.Update
 	for i := 1; i < 420; i++ {
-		news.Nodes = append(news.Nodes, membership.Node{
+		update.Nodes = append(update.Nodes, membership.Node{
 			ID: fmt.Sprintf("n%d", i), Incarnation: 1, Status: membership.Alive, DataCenter: fmt.Sprintf("dc%d", i%19),
 			PeerAddress: "10.0.0.1:7000", CallerAddress: "10.0.0.1:7001",
 		})
 	}
 	for i := range 1900 {
-		news.Endpoints = append(news.Endpoints, endpoint.Info{
+		update.Endpoints = append(update.Endpoints, endpoint.Info{
 			ID: fmt.Sprintf("e%d", i), Incarnation: 1, State: endpoint.Live, Counter: 1, DataCenter: fmt.Sprintf("dc%d", i%19),
 			Class: "standard", Kind: endpoint.Model, Model: "narrative-70b", Version: "1", Address: "10.0.0.1:8000",
 		})
 	}
-	m.Publish(news, time.UnixMilli(1))
+	m.Publish(update, time.UnixMilli(1))
 	for i := range 6 {
-		m.LinkUp(peer.LinkID(i+1), peer.Hello{Node: news.Nodes[i], Role: peer.RoleEntry}, time.UnixMilli(1))
+		m.LinkUp(peer.LinkID(i+1), peer.Hello{Node: update.Nodes[i], Role: peer.RoleEntry}, time.UnixMilli(1))
 	}
-	return m, directory, news.Endpoints
+	return m, directory, update.Endpoints
 }
 
 func BenchmarkTick420(b *testing.B) {
-	m, _, _ := planned()
+	m, _, _ := newLargeMesh()
 	now := time.UnixMilli(1)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -45,8 +45,8 @@
 	}
 }
 
-func BenchmarkDigest420(b *testing.B) {
-	m, _, _ := planned()
+func BenchmarkReceiveDigest420(b *testing.B) {
+	m, _, _ := newLargeMesh()
 	out := m.Tick(time.UnixMilli(2))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -54,15 +54,15 @@
 	}
 }
 
-func BenchmarkDial420(b *testing.B) {
-	m, _, _ := planned()
+func BenchmarkNodesToDial420(b *testing.B) {
+	m, _, _ := newLargeMesh()
 	for b.Loop() {
 		m.NodesToDial(1)
 	}
 }
 
-func BenchmarkEndpointNews1900(b *testing.B) {
-	m, _, infos := planned()
+func BenchmarkEndpointUpdate1900(b *testing.B) {
+	m, _, infos := newLargeMesh()
 	i := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -73,8 +73,8 @@
 	}
 }
 
-func BenchmarkWholeState(b *testing.B) {
-	_, _, infos := planned()
+func BenchmarkDecodeFullState(b *testing.B) {
+	_, _, infos := newLargeMesh()
 	data, err := peer.Encode(peer.Update{Endpoints: infos})
 	if err != nil {
 		b.Fatal(err)
--- a/pkg/peer/codec.go
+++ b/pkg/peer/codec.go
@@ -14,45 +14,45 @@
 	"ironhollow/pkg/peer/peerschema"
 )
 
-// Limits on what is decoded.
+// Limits of decoding.
 const (
-	// MaxMessageBytes is the longest message, in bytes.
-	MaxMessageBytes = 8 << 20
-	maxElements     = 1 << 16
-	maxNesting      = 8
+	// MaxMessageBytes is the maximum length of an encoded message.
+	MaxMessageBytes  = 8 << 20
+	maxArrayElements = 1 << 16
+	maxNestedLevels  = 8
 )
 
-var decoding = func() cbor.DecMode {
+var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
-		MaxArrayElements:  maxElements,
+		MaxArrayElements:  maxArrayElements,
 		MaxMapPairs:       64,
-		MaxNestedLevels:   maxNesting,
+		MaxNestedLevels:   maxNestedLevels,
 		DupMapKey:         cbor.DupMapKeyEnforcedAPF,
 		IndefLength:       cbor.IndefLengthForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 		TagsMd:            cbor.TagsForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // The options are constant.
+		panic(err) // cannot happen: the options are constant
 	}
 	return mode
 }()
 
-// ErrInvalidMessage says that a message can't be understood.
-var ErrInvalidMessage = errors.New("peer: bad message")
+// ErrInvalidMessage is returned for a message that cannot be decoded.
+var ErrInvalidMessage = errors.New("peer: invalid message")
 
-// Encode gives a message as CBOR.
+// Encode encodes a message as CBOR.
 func Encode(m Message) ([]byte, error) {
 	return cbor.Marshal(toWire(m))
 }
 
-// Decode reads a message. Errors are ErrMessage.
+// Decode decodes a message. All errors wrap ErrInvalidMessage.
 func Decode(data []byte) (Message, error) {
 	if len(data) > MaxMessageBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrInvalidMessage, len(data))
+		return nil, fmt.Errorf("%w: %d bytes is too long", ErrInvalidMessage, len(data))
 	}
 	var w peerschema.Message
-	if err := decoding.Unmarshal(data, &w); err != nil {
+	if err := decodeMode.Unmarshal(data, &w); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	return fromWire(w)
@@ -68,9 +68,9 @@
 	case Digest:
 		return peerschema.Message{Digest: digestToWire(m)}
 	case Pull:
-		return peerschema.Message{Pull: &peerschema.Pull{After: int(m.After), Nodes: ints(m.Nodes), Endpoints: ints(m.Endpoints)}}
+		return peerschema.Message{Pull: &peerschema.Pull{After: int(m.After), Nodes: sumsToInts(m.Nodes), Endpoints: sumsToInts(m.Endpoints)}}
 	case Update:
-		return peerschema.Message{News: newsToWire(m)}
+		return peerschema.Message{News: updateToWire(m)}
 	case Accept:
 		rows := make([]peerschema.AcceptRow, len(m.Rows))
 		for i, r := range m.Rows {
@@ -92,7 +92,7 @@
 	return d
 }
 
-func newsToWire(m Update) *peerschema.News {
+func updateToWire(m Update) *peerschema.News {
 	w := &peerschema.News{}
 	for _, n := range m.Nodes {
 		w.Nodes = append(w.Nodes, peerschema.Node{
@@ -101,8 +101,8 @@
 			Ready: n.Ready, Control: n.HasControl, Load: n.Load,
 		})
 	}
-	for _, i := range m.Endpoints {
-		w.Endpoints = append(w.Endpoints, endpointToWire(i))
+	for _, info := range m.Endpoints {
+		w.Endpoints = append(w.Endpoints, endpointToWire(info))
 	}
 	for _, c := range m.Changes {
 		change := peerschema.Change{Revision: int(c.Revision), Whole: c.Whole, Sections: []peerschema.Section{}}
@@ -114,14 +114,14 @@
 	return w
 }
 
-func endpointToWire(i endpoint.Info) peerschema.Endpoint {
+func endpointToWire(info endpoint.Info) peerschema.Endpoint {
 	w := peerschema.Endpoint{
-		Endpoint: i.ID, Incarnation: int(i.Incarnation), State: int(i.State), Counter: int(i.Counter),
-		DataCenter: i.DataCenter, Class: i.Class, Kind: string(i.Kind), Service: i.Service, Model: i.Model,
-		Version: i.Version, Adapter: i.Adapter, Address: i.Address, ChecksOrders: i.ChecksOrders, Reclaimable: i.Reclaimable,
+		Endpoint: info.ID, Incarnation: int(info.Incarnation), State: int(info.State), Counter: int(info.Counter),
+		DataCenter: info.DataCenter, Class: info.Class, Kind: string(info.Kind), Service: info.Service, Model: info.Model,
+		Version: info.Version, Adapter: info.Adapter, Address: info.Address, ChecksOrders: info.ChecksOrders, Reclaimable: info.Reclaimable,
 	}
-	if !i.LeaveBy.IsZero() {
-		w.LeaveBy = int(i.LeaveBy.UnixMilli())
+	if !info.LeaveBy.IsZero() {
+		w.LeaveBy = int(info.LeaveBy.UnixMilli())
 	}
 	return w
 }
@@ -138,10 +138,10 @@
 		found = append(found, digestFromWire(w.Digest))
 	}
 	if w.Pull != nil {
-		found = append(found, Pull{int64(w.Pull.After), uints(w.Pull.Nodes), uints(w.Pull.Endpoints)})
+		found = append(found, Pull{int64(w.Pull.After), intsToSums(w.Pull.Nodes), intsToSums(w.Pull.Endpoints)})
 	}
 	if w.News != nil {
-		found = append(found, newsFromWire(w.News))
+		found = append(found, updateFromWire(w.News))
 	}
 	if w.Accept != nil {
 		accept := Accept{Request: int64(w.Accept.Request)}
@@ -154,7 +154,7 @@
 		found = append(found, Accepted{int64(w.Accepted.Request), AcceptOutcome(w.Accepted.Outcome), int64(w.Accepted.Version)})
 	}
 	if len(found) != 1 {
-		return nil, fmt.Errorf("%w: %d kinds in one", ErrInvalidMessage, len(found))
+		return nil, fmt.Errorf("%w: %d kinds in one message, want 1", ErrInvalidMessage, len(found))
 	}
 	return found[0], nil
 }
@@ -167,26 +167,26 @@
 	return d
 }
 
-func newsFromWire(w *peerschema.News) Update {
-	var news Update
+func updateFromWire(w *peerschema.News) Update {
+	var update Update
 	for _, n := range w.Nodes {
-		news.Nodes = append(news.Nodes, membership.Node{
+		update.Nodes = append(update.Nodes, membership.Node{
 			ID: n.Node, Incarnation: int64(n.Incarnation), Status: membership.Status(n.Status), Leaving: n.Leaving,
 			Counter: int64(n.Counter), DataCenter: n.DataCenter, Region: n.Region, PeerAddress: n.PeerAddress,
 			CallerAddress: n.CallerAddress, Ready: n.Ready, HasControl: n.Control, Load: n.Load,
 		})
 	}
 	for _, e := range w.Endpoints {
-		news.Endpoints = append(news.Endpoints, endpointFromWire(e))
+		update.Endpoints = append(update.Endpoints, endpointFromWire(e))
 	}
 	for _, c := range w.Changes {
 		change := config.Change{Revision: int64(c.Revision), Whole: c.Whole}
 		for _, s := range c.Sections {
 			change.Sections = append(change.Sections, fleet.NewSection(s.Kind, s.Name, s.Body))
 		}
-		news.Changes = append(news.Changes, change)
+		update.Changes = append(update.Changes, change)
 	}
-	return news
+	return update
 }
 
 func endpointFromWire(e peerschema.Endpoint) endpoint.Info {
@@ -201,17 +201,17 @@
 	return info
 }
 
-func ints(sums []uint64) []int {
-	list := make([]int, len(sums))
+func sumsToInts(sums []uint64) []int {
+	result := make([]int, len(sums))
 	for i, s := range sums {
-		list[i] = int(s)
+		result[i] = int(s)
 	}
-	return list
+	return result
 }
 
-func uints(list []int) []uint64 {
-	sums := make([]uint64, len(list))
-	for i, n := range list {
+func intsToSums(values []int) []uint64 {
+	sums := make([]uint64, len(values))
+	for i, n := range values {
 		sums[i] = uint64(n)
 	}
 	return sums
--- a/pkg/peer/codec_test.go
+++ b/pkg/peer/codec_test.go
@@ -27,7 +27,7 @@
 	peer.Accepted{Request: 1, Outcome: peer.AcceptConflict, Version: 8},
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, want := range messages {
 		data, err := peer.Encode(want)
 		if err != nil {
@@ -43,19 +43,19 @@
 	}
 }
 
-func TestBadMessagesAreRefused(t *testing.T) {
+func TestInvalidMessagesAreRejected(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0xa1, 0x61, 'a'}, 20), 0xa0)
 	cases := map[string][]byte{
-		"nothing":               {},
-		"no kind":               {0xa0},
-		"nested deeply":         deep,
-		"an unknown member":     {0xa1, 0x61, 'z', 0x01},
-		"longer than the limit": make([]byte, peer.MaxMessageBytes+1),
-		"an endless list":       {0xa1, 0x64, 'n', 'e', 'w', 's', 0x9f, 0x01},
+		"empty":                   {},
+		"no message kind":         {0xa0},
+		"nested too deeply":       deep,
+		"unknown field":           {0xa1, 0x61, 'z', 0x01},
+		"longer than the limit":   make([]byte, peer.MaxMessageBytes+1),
+		"indefinite-length array": {0xa1, 0x64, 'n', 'e', 'w', 's', 0x9f, 0x01},
 	}
 	for name, data := range cases {
 		if _, err := peer.Decode(data); !errors.Is(err, peer.ErrInvalidMessage) {
-			t.Errorf("%s: got %v, want ErrMessage", name, err)
+			t.Errorf("%s: got %v, want ErrInvalidMessage", name, err)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 			return
 		}
 		if _, err := peer.Encode(m); err != nil {
-			t.Errorf("decoded, but does not encode: %v", err)
+			t.Errorf("decoded message cannot be encoded: %v", err)
 		}
 	})
 }
--- a/pkg/peer/demand.go
+++ b/pkg/peer/demand.go
@@ -8,38 +8,38 @@
 
 // Parameters of the demand estimate.
 const (
-	// anchor pulls an estimate towards the node's own demand at each step, so
-	// that the sum over all nodes comes true again when nodes have come and
-	// gone. It is small because it also leaves each estimate nearer to its own
-	// node's demand than to the mean.
-	anchor = 0.01
-	// linkWeight is the part of the difference to one neighbour that a step
-	// takes over. It is the same on both sides of a link, so that what one
-	// gives the other gets; mostBlend bounds it for a node with many links.
-	linkWeight = 0.1
-	mostBlend  = 0.8
-	// mostDemands bounds the teams told in one digest: the busiest.
-	mostDemands = 16
+	// ownDemandWeight is how far each step moves an estimate towards the node's own demand, so
+	// that the sum over all nodes becomes correct again after nodes have joined or left. It is
+	// small because it also keeps each estimate closer to its own node's demand than to the
+	// mean.
+	ownDemandWeight = 0.01
+	// linkWeight is the share of the difference to a neighbour's estimate that a step adds. It
+	// is the same on both sides of a link, so that one side gains what the other loses.
+	// maxTotalLinkWeight bounds the sum of the weights of a node with many links.
+	linkWeight         = 0.1
+	maxTotalLinkWeight = 0.8
+	// maxDigestDemands is the maximum number of teams in a digest; the busiest are sent.
+	maxDigestDemands = 16
 )
 
-// diffusion estimates each team's mean demand for one node by averaging with
-// the neighbours. No node counts for all, and nothing is lost for long when
-// one dies. Teams that ask for little everywhere are left out: they stay under
-// their even share anyway.
-type diffusion struct {
+// demandEstimator estimates each team's mean demand per node by averaging with the neighbours'
+// estimates. There is no central counter, and the death of a node distorts the estimates only for
+// a short time. Teams with little demand everywhere are dropped: they stay under their even share
+// anyway.
+type demandEstimator struct {
 	own      map[uint32]float64
 	estimate map[uint32]float64
 	links    map[LinkID]map[uint32]float64
 }
 
-func newDiffusion() *diffusion {
-	return &diffusion{own: map[uint32]float64{}, estimate: map[uint32]float64{}, links: map[LinkID]map[uint32]float64{}}
+func newDemandEstimator() *demandEstimator {
+	return &demandEstimator{own: map[uint32]float64{}, estimate: map[uint32]float64{}, links: map[LinkID]map[uint32]float64{}}
 }
 
-// TeamHash names a team in digests.
+// TeamHash returns the hash that identifies a team in digests.
 func TeamHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-func (d *diffusion) heard(link LinkID, demands []Demand) {
+func (d *demandEstimator) setNeighbour(link LinkID, demands []Demand) {
 	values := make(map[uint32]float64, len(demands))
 	for _, demand := range demands {
 		values[demand.Team] = demand.Value
@@ -47,24 +47,24 @@
 	d.links[link] = values
 }
 
-// setOwn notes the node's own demand. What changed goes into the estimate at
-// once, so that the sum over all nodes follows without waiting for the anchor.
-func (d *diffusion) setOwn(demands []Demand) {
+// setOwn sets the node's own demand. The difference is added to the estimate at once, so that the
+// sum over all nodes follows without waiting for ownDemandWeight to take effect.
+func (d *demandEstimator) setOwn(demands []Demand) {
 	next := make(map[uint32]float64, len(demands))
 	for _, demand := range demands {
 		next[demand.Team] = demand.Value
 		d.estimate[demand.Team] += demand.Value - d.own[demand.Team]
 	}
 	for team, value := range d.own {
-		if _, asks := next[team]; !asks {
+		if _, present := next[team]; !present {
 			d.estimate[team] = max(0, d.estimate[team]-value)
 		}
 	}
 	d.own = next
 }
 
-// step moves every estimate towards the neighbours' and its own anchor.
-func (d *diffusion) step() {
+// step moves every estimate towards the neighbours' estimates and the node's own demand.
+func (d *demandEstimator) step() {
 	teams := map[uint32]bool{}
 	for team := range d.own {
 		teams[team] = true
@@ -79,7 +79,7 @@
 	}
 	next := make(map[uint32]float64, len(teams))
 	for team := range teams {
-		value := d.average(team)
+		value := d.nextEstimate(team)
 		if value > 0.01 {
 			next[team] = value
 		}
@@ -87,22 +87,22 @@
 	d.estimate = next
 }
 
-func (d *diffusion) average(team uint32) float64 {
-	held := d.estimate[team]
-	value := held + anchor*(d.own[team]-held)
+func (d *demandEstimator) nextEstimate(team uint32) float64 {
+	current := d.estimate[team]
+	value := current + ownDemandWeight*(d.own[team]-current)
 	if len(d.links) == 0 {
 		return value
 	}
 	sum := 0.0
 	for _, values := range d.links {
-		sum += values[team] - held
+		sum += values[team] - current
 	}
-	weight := min(linkWeight, mostBlend/float64(len(d.links)))
+	weight := min(linkWeight, maxTotalLinkWeight/float64(len(d.links)))
 	return max(0, value+weight*sum)
 }
 
-// tell returns the estimates of the busiest teams.
-func (d *diffusion) tell() []Demand {
+// busiest returns the estimates of the teams with the highest demand.
+func (d *demandEstimator) busiest() []Demand {
 	list := make([]Demand, 0, len(d.estimate))
 	for team, value := range d.estimate {
 		list = append(list, Demand{team, value})
@@ -113,10 +113,10 @@
 		}
 		return list[i].Team < list[j].Team
 	})
-	return list[:min(len(list), mostDemands)]
+	return list[:min(len(list), maxDigestDemands)]
 }
 
-// SetDemand sets what a team asks for at this node, in requests a second.
+// SetDemand sets the demand of each team at this node, in requests per second.
 func (m *Mesh) SetDemand(demands []Demand) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -128,8 +128,8 @@
 	}
 }
 
-// MeanDemand returns the estimate of a team's mean demand for one node; ok is
-// false where nobody asks for it.
+// MeanDemand returns the estimate of a team's mean demand per node; ok is false if there is no
+// demand.
 func (m *Mesh) MeanDemand(team uint32) (perSecond float64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/peer/demand_test.go
+++ b/pkg/peer/demand_test.go
@@ -8,39 +8,39 @@
 	"ironhollow/pkg/peer"
 )
 
-// TestDemandIsAveragedWithoutACounter lets teams ask at some nodes only, and
-// sums what the nodes would admit of a rate that is asked for twice over: each
-// its own demand's part of the total it reckons. Then a node that asked dies.
-func TestDemandIsAveragedWithoutACounter(t *testing.T) {
+// Some nodes have demand for a team, in total twice the team's rate. Each node admits its own
+// demand's share of the total that it estimates. Checks that the sum admitted by all nodes is
+// within 10% of the rate.
+func TestDemandEstimatesConverge(t *testing.T) {
 	const team, rate = 7, 60.0
 	cases := []struct {
-		name  string
-		nodes int
-		asks  func(i int) float64
+		name     string
+		nodes    int
+		demandAt func(i int) float64
 	}{
-		{"nine nodes, even", 9, func(int) float64 { return 2 * rate / 9 }},
-		{"nine nodes, one asks most", 9, func(i int) float64 { return map[bool]float64{true: 80, false: 5}[i == 4] }},
-		{"thirty nodes, a third ask", 30, func(i int) float64 { return map[bool]float64{true: 12}[i%3 == 0] }},
+		{"nine nodes, even demand", 9, func(int) float64 { return 2 * rate / 9 }},
+		{"nine nodes, most demand at one", 9, func(i int) float64 { return map[bool]float64{true: 80, false: 5}[i == 4] }},
+		{"thirty nodes, demand at a third", 30, func(i int) float64 { return map[bool]float64{true: 12}[i%3 == 0] }},
 	}
 	for _, c := range cases {
 		n := newNetwork(t, c.nodes, 3)
 		for i, id := range n.order {
-			if own := c.asks(i); own > 0 {
+			if own := c.demandAt(i); own > 0 {
 				n.nodes[id].mesh.SetDemand([]peer.Demand{{Team: team, Value: own}})
 			}
 		}
 		n.run(40 * time.Second)
-		admitted, worst := 0.0, 0.0
+		admitted, highest := 0.0, 0.0
 		for i, id := range n.order {
 			mean, ok := n.nodes[id].mesh.MeanDemand(team)
-			if own := c.asks(i); ok && own > 0 {
+			if own := c.demandAt(i); ok && own > 0 {
 				admitted += rate * own / (mean * float64(c.nodes))
 			}
-			worst = math.Max(worst, mean*float64(c.nodes))
+			highest = math.Max(highest, mean*float64(c.nodes))
 		}
-		t.Logf("%s: admitted %.1f of %.0f, highest total reckoned %.1f", c.name, admitted, rate, worst)
+		t.Logf("%s: admitted %.1f of %.0f, highest total estimated %.1f", c.name, admitted, rate, highest)
 		if math.Abs(admitted-rate) > 0.1*rate {
-			t.Errorf("%s: got %.1f a second, want %.0f within 10%%", c.name, admitted, rate)
+			t.Errorf("%s: admitted %.1f requests per second, want %.0f within 10%%", c.name, admitted, rate)
 		}
 	}
 }
--- a/pkg/peer/mesh.go
+++ b/pkg/peer/mesh.go
@@ -14,115 +14,116 @@
 const (
 	// HeartbeatInterval is the time between digests on a link.
 	HeartbeatInterval = time.Second
-	// silence is how long a link may be silent before its peer is suspected.
-	silence = 3 * HeartbeatInterval
-	// refutation is how long a suspect has to speak up before it counts as dead.
-	refutation = 3 * time.Second
-	// pauseSign is a gap between ticks after which this process takes it that
-	// it was paused itself, and distrusts what it thinks of others.
-	pauseSign = 2500 * time.Millisecond
-	// pullAfter is how many digests in a row must differ before a pull: news
-	// on its way makes digests differ for a moment.
-	pullAfter = 2
+	// silenceTimeout is how long a link may be silent before its node is suspected.
+	silenceTimeout = 3 * HeartbeatInterval
+	// suspicionTimeout is how long a suspected node has to refute the suspicion before it is
+	// declared dead.
+	suspicionTimeout = 3 * time.Second
+	// pauseThreshold is the gap between ticks above which this process was probably paused
+	// itself, so that the silence of its links says nothing about the other nodes.
+	pauseThreshold = 2500 * time.Millisecond
+	// digestsBeforePull is how many consecutive digests must differ before a pull: updates
+	// that are still on the way make digests differ for a moment.
+	digestsBeforePull = 2
 )
 
-// LinkID names one connection of this process.
+// LinkID identifies a connection of this process.
 type LinkID int64
 
-// Outgoing is a message to be sent on a link.
+// Outgoing is a message to send on a link.
 type Outgoing struct {
 	Link    LinkID
 	Message Message
 }
 
-// Mesh is the protocol between entries, without I/O: what comes in and the time
-// are passed to it, and it returns what is to be sent. It is safe for
-// concurrent use.
+// Mesh is the protocol between entries, without I/O: callers pass in received messages and the
+// time, and send the messages that it returns. It is safe for concurrent use.
 type Mesh struct {
 	nodes     *membership.Table
 	endpoints *endpoint.Directory
 	config    *config.Holder
 
-	// follower says that this process is no member: it hears and tells.
-	follower bool
+	// attached is set if this process is not a member of the mesh itself but attached to a
+	// member: it receives and publishes updates.
+	attached bool
 
 	mu   sync.Mutex
 	self membership.Node
-	// links are the live connections that have said hello.
+	// links holds the open links on which a hello was received.
 	links    map[LinkID]*linkState
 	lastTick time.Time
 	ticks    int64
-	// suspects holds since when each suspected incarnation has been one.
-	suspects map[suspect]time.Time
-	demand   *diffusion
-	counts   Counts
+	// suspicions holds when each suspicion was first seen here.
+	suspicions map[suspicion]time.Time
+	demand     *demandEstimator
+	counts     Counts
 }
 
-// linkState is one link's state.
 type linkState struct {
-	node  membership.Node
-	role  Role
-	heard time.Time
-	// usedAt is when something beside the mesh's own messages last went over
-	// the link; zero for never.
-	usedAt time.Time
-	// isExtra marks a link in use that the mesh does not ask for.
-	isExtra bool
-	// differs counts digests in a row that differ from ours.
-	differs int
+	node         membership.Node
+	role         Role
+	lastReceived time.Time
+	// lastUsed is when a message that is not the mesh's own last went over the link; zero if
+	// there was none.
+	lastUsed time.Time
+	// keptForTraffic is set if the mesh does not need the link, but other messages use it.
+	keptForTraffic bool
+	// differingDigests counts the consecutive digests that differ from this node's state.
+	differingDigests int
 }
 
-type suspect struct {
+// suspicion identifies a suspected state of a node.
+type suspicion struct {
 	id          string
 	incarnation int64
 	counter     int64
 }
 
-// Counts are the mesh's own counters.
+// Counts are the counters of a mesh.
 type Counts struct {
 	Sent, Received int64
-	// Suspected counts suspicions raised here, Refuted those against this node,
-	// DeclaredDead nodes declared dead here.
+	// Suspected counts the suspicions raised by this node, Refuted the reports about this node
+	// that it refuted, and DeclaredDead the nodes that it declared dead.
 	Suspected, Refuted, DeclaredDead int64
 	Pulls                            int64
 	Pauses                           int64
 }
 
-// NewMesh returns the mesh of one entry. The incarnation of self must be
-// greater than that of any earlier start of the node.
+// NewMesh returns the mesh of an entry. The incarnation of self must be greater than that of any
+// earlier start of the node.
 func NewMesh(self membership.Node, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *Mesh {
 	self.Status = membership.Alive
 	nodes.Merge(self)
 	return &Mesh{
 		nodes: nodes, endpoints: endpoints, config: holder, self: self,
-		links: map[LinkID]*linkState{}, suspects: map[suspect]time.Time{}, demand: newDiffusion(),
+		links: map[LinkID]*linkState{}, suspicions: map[suspicion]time.Time{}, demand: newDemandEstimator(),
 	}
 }
 
-// NewAttached returns the mesh's side of a process that is attached to an
-// entry: it hears all news and tells its own, but is no member itself.
+// NewAttached returns the mesh of a process that is attached to an entry: it receives all updates
+// and publishes its own, but is not a member itself.
 func NewAttached(self membership.Node, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *Mesh {
 	return &Mesh{
-		nodes: nodes, endpoints: endpoints, config: holder, self: self, follower: true,
-		links: map[LinkID]*linkState{}, suspects: map[suspect]time.Time{}, demand: newDiffusion(),
+		nodes: nodes, endpoints: endpoints, config: holder, self: self, attached: true,
+		links: map[LinkID]*linkState{}, suspicions: map[suspicion]time.Time{}, demand: newDemandEstimator(),
 	}
 }
 
-// Self returns this node as it shows itself.
+// Self returns the current state of this node.
 func (m *Mesh) Self() membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// Counts returns the counters so far.
+// Counts returns a copy of the counters.
 func (m *Mesh) Counts() Counts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts
 }
 
-// Links returns the nodes linked to, by link.
+// Links returns the linked entries by link.
 func (m *Mesh) Links() map[LinkID]membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,53 +136,54 @@
 	return list
 }
 
-// LinkUp notes a link whose other side has said hello, and tells it what it lacks
-// by a digest at once. A control process that comes shows on this node.
+// LinkUp registers a link on which a hello was received, and sends a digest at once, so that the
+// other side can pull what it lacks. An attached control process is shown in the state of this
+// node.
 func (m *Mesh) LinkUp(link LinkID, hello Hello, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.links[link] = &linkState{node: hello.Node, role: hello.Role, heard: now}
+	m.links[link] = &linkState{node: hello.Node, role: hello.Role, lastReceived: now}
 	out := []Outgoing{{link, m.digest(hello.Role)}}
 	if hello.Role == RoleControl {
-		return append(out, m.showControl()...)
+		return append(out, m.updateHasControl()...)
 	}
-	var news Update
-	m.mergeNode(hello.Node, now, &news)
-	if !m.follower {
+	var toFlood Update
+	m.mergeNode(hello.Node, now, &toFlood)
+	if !m.attached {
 		out = m.send(out, link, Update{Nodes: []membership.Node{m.self}})
 	}
-	return append(out, m.flood(news, link)...)
+	return append(out, m.flood(toFlood, link)...)
 }
 
-// LinkDown notes that a link is closed. A node to which no link is left is
-// suspected at the next tick by its silence, not at once: it may be restarting
-// its connection.
+// LinkDown removes a closed link. Losing the last link to a node raises no suspicion by itself,
+// because the node may be reconnecting; failed dials do.
 func (m *Mesh) LinkDown(link LinkID) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	state, ok := m.links[link]
 	delete(m.links, link)
 	if ok && state.role == RoleControl {
-		return m.showControl()
+		return m.updateHasControl()
 	}
 	return nil
 }
 
-// showControl tells whether a control process is attached.
-func (m *Mesh) showControl() []Outgoing {
-	attached := false
+// updateHasControl sets in the state of this node whether a control process is attached.
+func (m *Mesh) updateHasControl() []Outgoing {
+	hasControl := false
 	for _, state := range m.links {
-		attached = attached || state.role == RoleControl
+		hasControl = hasControl || state.role == RoleControl
 	}
-	return m.changeSelf(func(n *membership.Node) bool {
-		changed := n.HasControl != attached
-		n.HasControl = attached
+	return m.updateSelf(func(n *membership.Node) bool {
+		changed := n.HasControl != hasControl
+		n.HasControl = hasControl
 		return changed
 	})
 }
 
-// changeSelf changes this node and floods it. The lock is held.
-func (m *Mesh) changeSelf(change func(*membership.Node) bool) []Outgoing {
+// updateSelf changes the state of this node and floods it if change returns true. The caller
+// holds mu.
+func (m *Mesh) updateSelf(change func(*membership.Node) bool) []Outgoing {
 	if !change(&m.self) {
 		return nil
 	}
@@ -190,60 +192,59 @@
 	return m.flood(Update{Nodes: []membership.Node{m.self}}, 0)
 }
 
-// usedFor is how long a link that the mesh does not ask for is kept after it
-// was last used.
-const usedFor = 5 * time.Minute
+// idleLinkTimeout is how long a link that the mesh does not need is kept after its last use.
+const idleLinkTimeout = 5 * time.Minute
 
-// MarkUsed notes that a link carried something beside the mesh's own messages.
+// MarkUsed records that a link carried a message that is not the mesh's own.
 func (m *Mesh) MarkUsed(link LinkID, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if state, ok := m.links[link]; ok {
-		state.usedAt = now
+		state.lastUsed = now
 	}
 }
 
-// Leave shows this node as leaving.
+// Leave marks this node as leaving.
 func (m *Mesh) Leave() []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.changeSelf(func(n *membership.Node) bool {
+	return m.updateSelf(func(n *membership.Node) bool {
 		changed := !n.Leaving
 		n.Leaving = true
 		return changed
 	})
 }
 
-// SetReady shows this node as ready to serve.
+// SetReady marks this node as ready to serve.
 func (m *Mesh) SetReady() []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.changeSelf(func(n *membership.Node) bool {
+	return m.updateSelf(func(n *membership.Node) bool {
 		changed := !n.Ready
 		n.Ready = true
 		return changed
 	})
 }
 
-// SetLoad shows this node's load in tenths of its capacity.
+// SetLoad sets this node's load, in tenths of its capacity.
 func (m *Mesh) SetLoad(tenths int) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.changeSelf(func(n *membership.Node) bool {
+	return m.updateSelf(func(n *membership.Node) bool {
 		changed := n.Load != tenths
 		n.Load = tenths
 		return changed
 	})
 }
 
-// Publish takes in news that this process learned by itself, and floods it.
-func (m *Mesh) Publish(news Update, now time.Time) []Outgoing {
+// Publish merges an update that originates in this process, and floods it.
+func (m *Mesh) Publish(update Update, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.take(news, 0, now)
+	return m.mergeUpdate(update, 0, now)
 }
 
-// Receive takes in a message.
+// Receive handles a message received on a link.
 func (m *Mesh) Receive(link LinkID, message Message, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -252,14 +253,14 @@
 		return nil
 	}
 	m.counts.Received++
-	state.heard = now
+	state.lastReceived = now
 	switch message := message.(type) {
 	case Digest:
-		return m.compare(link, state, message)
+		return m.compareDigest(link, state, message)
 	case Pull:
-		return m.answer(link, message)
+		return m.answerPull(link, message)
 	case Update:
-		return m.take(message, link, now)
+		return m.mergeUpdate(message, link, now)
 	}
 	return nil
 }
@@ -269,7 +270,7 @@
 	return append(out, Outgoing{link, message})
 }
 
-// sortedLinks makes the order of messages repeatable.
+// sortedLinks returns the links in a fixed order, so that the order of messages is reproducible.
 func (m *Mesh) sortedLinks() []LinkID {
 	links := make([]LinkID, 0, len(m.links))
 	for link := range m.links {
@@ -279,12 +280,12 @@
 	return links
 }
 
-// digest is the heartbeat for one kind of link.
+// digest returns the heartbeat for a link to a process of that role.
 func (m *Mesh) digest(role Role) Digest {
-	nodes, endpoints := m.sums()
+	nodes, endpoints := m.combinedSums()
 	d := Digest{Revision: m.config.Current().Revision(), Nodes: nodes, Endpoints: endpoints}
 	if role == RoleEntry {
-		d.Demands = m.demand.tell()
+		d.Demands = m.demand.busiest()
 	}
 	return d
 }
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -1,6 +1,6 @@
-// Package peer is how the system's own processes talk: links of WebSocket with
-// CBOR between neighbours, over which news floods and digests mend what was
-// missed. The protocol itself (Mesh) does no I/O and reads no clock.
+// Package peer implements the protocol between the system's own processes. Neighbours are connected
+// by WebSocket links that carry CBOR messages: updates are flooded over all links, and digests find
+// and repair what was missed. The protocol itself (Mesh) does no I/O and reads no clock.
 package peer
 
 import (
@@ -9,26 +9,26 @@
 	"ironhollow/pkg/membership"
 )
 
-// Role tells the kinds of process on a link.
+// Role is the kind of process at the other end of a link.
 type Role string
 
-// The roles. Only entries are members of the mesh; a control process is
-// attached to an entry and hears and tells news through it.
+// Roles of processes. Only entries are members of the mesh; a control process is attached to an
+// entry and receives and publishes updates through it.
 const (
 	RoleEntry   Role = "entry"
 	RoleControl Role = "control"
 )
 
-// Message is one message on a link.
+// Message is a message on a link.
 type Message interface{ message() }
 
-// Hello is the first message of each side.
+// Hello is the first message that each side sends on a link.
 type Hello struct {
 	Node membership.Node
 	Role Role
 }
 
-// Digest is the heartbeat: what the sender knows, in few words.
+// Digest is the heartbeat: a summary of the sender's state.
 type Digest struct {
 	Revision  int64
 	Nodes     uint64
@@ -36,57 +36,58 @@
 	Demands   []Demand
 }
 
-// Demand is the sender's estimate of one team's mean demand for one node.
+// Demand is the sender's estimate of a team's mean demand per node.
 type Demand struct {
-	// Team is a hash of the team's name.
+	// Team is a hash of the team's name; see TeamHash.
 	Team  uint32
 	Value float64
 }
 
-// Pull asks for what the sender lacks. Nil sums ask for none of that kind.
+// Pull requests the state that the sender lacks. Nodes and Endpoints are the sender's checksums
+// per bucket; nil requests none of that kind.
 type Pull struct {
-	// After is the sender's revision.
+	// After is the sender's configuration revision.
 	After     int64
 	Nodes     []uint64
 	Endpoints []uint64
 }
 
-// Update carries states and changes.
+// Update holds states of nodes and endpoints, and configuration changes.
 type Update struct {
 	Nodes     []membership.Node
 	Endpoints []endpoint.Info
 	Changes   []config.Change
 }
 
-// empty reports whether there is nothing in the news.
-func (n Update) empty() bool {
-	return len(n.Nodes) == 0 && len(n.Endpoints) == 0 && len(n.Changes) == 0
+// empty reports whether the update holds nothing.
+func (u Update) empty() bool {
+	return len(u.Nodes) == 0 && len(u.Endpoints) == 0 && len(u.Changes) == 0
 }
 
-// Accept asks the receiver to commit rows of an accepted job in its batch.
+// Accept asks the receiver to commit the rows of an accepted job in its next batch.
 type Accept struct {
 	Request int64
 	Rows    []AcceptRow
 }
 
-// AcceptRow is one row to insert.
+// AcceptRow is a row to insert.
 type AcceptRow struct {
 	Key   string
 	Value []byte
 }
 
-// Accepted answers an Accept.
+// Accepted is the response to an Accept.
 type Accepted struct {
 	Request int64
 	Outcome AcceptOutcome
-	// Version is that of the rows, if they were inserted.
+	// Version is the version of the rows if they were inserted.
 	Version int64
 }
 
-// AcceptOutcome is how a commit ended, as told to another process.
+// AcceptOutcome is the result of a commit, as reported to the process that requested it.
 type AcceptOutcome int
 
-// The outcomes.
+// Outcomes of an Accept.
 const (
 	AcceptCommitted AcceptOutcome = iota + 1
 	AcceptConflict
--- a/pkg/peer/network_test.go
+++ b/pkg/peer/network_test.go
@@ -13,26 +13,25 @@
 	"ironhollow/pkg/peer"
 )
 
-// network carries messages between a few meshes in virtual time. It knows
-// links, loss and cuts, and nothing of processes or hosts.
+// network carries messages between meshes in virtual time. It simulates links, retransmissions and
+// partitions, but not processes or hosts.
 type network struct {
-	t      *testing.T
-	now    time.Time
-	random *rand.Rand
-	loss   float64
-	// cut reports whether two nodes can't reach each other at the moment.
-	cut    func(a, b string) bool
-	nodes  map[string]*member
-	order  []string
-	queue  []delivery
-	links  map[peer.LinkID]end
-	nextID peer.LinkID
-	// retry holds until when a lost message holds its link up.
+	t    *testing.T
+	now  time.Time
+	rng  *rand.Rand
+	loss float64
+	// partitioned reports whether two nodes cannot reach each other now.
+	partitioned func(a, b string) bool
+	nodes       map[string]*testNode
+	order       []string
+	queue       []delivery
+	links       map[peer.LinkID]linkEnd
+	nextID      peer.LinkID
+	// sent counts the messages that each node sent.
 	sent map[string]int
 }
 
-// member is one node.
-type member struct {
+type testNode struct {
 	mesh      *peer.Mesh
 	nodes     *membership.Table
 	endpoints *endpoint.Directory
@@ -43,8 +42,8 @@
 	failed    map[string]int
 }
 
-// end is one side of a link: who holds it, and the other side.
-type end struct {
+// linkEnd is one side of a link: the node that owns it, and the other node.
+type linkEnd struct {
 	owner, other string
 	otherLink    peer.LinkID
 }
@@ -56,19 +55,19 @@
 }
 
 const (
-	hop  = 5 * time.Millisecond
-	tick = 100 * time.Millisecond
+	linkDelay    = 5 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 )
 
-func newNetwork(t *testing.T, count, centres int) *network {
+func newNetwork(t *testing.T, count, dataCenters int) *network {
 	n := &network{
-		t: t, now: time.UnixMilli(1_800_000_000_000), random: rand.New(rand.NewPCG(1, 2)),
-		cut: func(string, string) bool { return false }, nodes: map[string]*member{}, links: map[peer.LinkID]end{}, sent: map[string]int{},
+		t: t, now: time.UnixMilli(1_800_000_000_000), rng: rand.New(rand.NewPCG(1, 2)),
+		partitioned: func(string, string) bool { return false }, nodes: map[string]*testNode{}, links: map[peer.LinkID]linkEnd{}, sent: map[string]int{},
 	}
 	for i := range count {
-		n.add(fmt.Sprintf("n%03d", i), fmt.Sprintf("dc%02d", i%centres))
+		n.add(fmt.Sprintf("n%03d", i), fmt.Sprintf("dc%02d", i%dataCenters))
 	}
-	// Every node has read the registrations at its start.
+	// Every node reads the registrations when it starts.
 	for _, id := range n.order {
 		var all []membership.Node
 		for _, other := range n.order {
@@ -79,9 +78,9 @@
 	return n
 }
 
-func (n *network) add(id, centre string) *member {
-	m := &member{nodes: membership.NewTable(), endpoints: endpoint.NewDirectory(), config: config.New(), failed: map[string]int{}}
-	self := membership.Node{ID: id, Incarnation: n.now.UnixMilli(), DataCenter: centre, PeerAddress: id, Ready: true}
+func (n *network) add(id, dataCenter string) *testNode {
+	m := &testNode{nodes: membership.NewTable(), endpoints: endpoint.NewDirectory(), config: config.New(), failed: map[string]int{}}
+	self := membership.Node{ID: id, Incarnation: n.now.UnixMilli(), DataCenter: dataCenter, PeerAddress: id, Ready: true}
 	m.mesh = peer.NewMesh(self, m.nodes, m.endpoints, m.config)
 	n.nodes[id] = m
 	n.order = append(n.order, id)
@@ -96,30 +95,30 @@
 			continue
 		}
 		n.sent[from]++
-		delay := hop
-		if n.random.Float64() < n.loss {
-			delay += 250 * time.Millisecond // TCP sends it again.
+		delay := linkDelay
+		if n.rng.Float64() < n.loss {
+			delay += 250 * time.Millisecond // TCP retransmits the message.
 		}
 		n.queue = append(n.queue, delivery{n.now.Add(delay), e.otherLink, o.Message})
 	}
 }
 
-// connect makes a link between two nodes if they can reach each other.
+// connect creates a link between two nodes if they can reach each other.
 func (n *network) connect(a, b string) bool {
 	ma, mb := n.nodes[a], n.nodes[b]
-	if mb == nil || mb.killed || mb.paused || n.cut(a, b) {
+	if mb == nil || mb.killed || mb.paused || n.partitioned(a, b) {
 		return false
 	}
 	la, lb := n.nextID+1, n.nextID+2
 	n.nextID += 2
-	n.links[la], n.links[lb] = end{a, b, lb}, end{b, a, la}
+	n.links[la], n.links[lb] = linkEnd{a, b, lb}, linkEnd{b, a, la}
 	n.send(a, ma.mesh.LinkUp(la, peer.Hello{Node: mb.mesh.Self(), Role: peer.RoleEntry}, n.now))
 	n.send(b, mb.mesh.LinkUp(lb, peer.Hello{Node: ma.mesh.Self(), Role: peer.RoleEntry}, n.now))
 	return true
 }
 
-// drop closes the links for which broken is true.
-func (n *network) drop(broken func(e end) bool) {
+// closeLinks closes the links for which broken returns true.
+func (n *network) closeLinks(broken func(e linkEnd) bool) {
 	var links []peer.LinkID
 	for link, e := range n.links {
 		if broken(e) {
@@ -136,20 +135,20 @@
 	}
 }
 
-// run lets time pass.
+// run advances the time by d.
 func (n *network) run(d time.Duration) { n.runUntil(d, func() bool { return false }) }
 
-// runUntil lets time pass until done, and returns how long that took.
+// runUntil advances the time until done returns true, at most by d, and returns the time passed.
 func (n *network) runUntil(d time.Duration, done func() bool) time.Duration {
-	begun := n.now
-	for n.now.Sub(begun) < d && !done() {
-		n.now = n.now.Add(tick / 20)
+	start := n.now
+	for n.now.Sub(start) < d && !done() {
+		n.now = n.now.Add(tickInterval / 20)
 		n.deliver()
-		if n.now.UnixMilli()%tick.Milliseconds() == 0 {
+		if n.now.UnixMilli()%tickInterval.Milliseconds() == 0 {
 			n.tickAll()
 		}
 	}
-	return n.now.Sub(begun)
+	return n.now.Sub(start)
 }
 
 func (n *network) deliver() {
@@ -160,8 +159,8 @@
 		e, ok := n.links[d.link]
 		switch {
 		case !ok:
-		case d.at.After(n.now) || n.nodes[e.owner].paused || n.cut(e.owner, e.other):
-			// A cut link holds its messages until it is closed.
+		case d.at.After(n.now) || n.nodes[e.owner].paused || n.partitioned(e.owner, e.other):
+			// A link across a partition keeps its messages until it is closed.
 			later = append(later, d)
 		case !n.nodes[e.owner].killed:
 			n.send(e.owner, n.nodes[e.owner].mesh.Receive(d.link, d.message, n.now))
@@ -170,13 +169,13 @@
 	n.queue = append(later, n.queue...)
 }
 
-// tickAll gives each node its heartbeat and lets it dial, at its own phase.
+// tickAll ticks the nodes whose phase it is, and lets them dial.
 func (n *network) tickAll() {
-	phases := int(peer.HeartbeatInterval / tick)
-	step := int(n.now.UnixMilli()/tick.Milliseconds()) % phases
+	phases := int(peer.HeartbeatInterval / tickInterval)
+	phase := int(n.now.UnixMilli()/tickInterval.Milliseconds()) % phases
 	for i, id := range n.order {
 		m := n.nodes[id]
-		if i%phases != step || m.killed || m.paused {
+		if i%phases != phase || m.killed || m.paused {
 			continue
 		}
 		n.send(id, m.mesh.Tick(n.now))
@@ -194,27 +193,27 @@
 	}
 }
 
-// kill ends a node; its links close.
+// kill stops a node and closes its links.
 func (n *network) kill(id string) {
 	n.nodes[id].killed = true
-	n.drop(func(e end) bool { return e.owner == id || e.other == id })
+	n.closeLinks(func(e linkEnd) bool { return e.owner == id || e.other == id })
 }
 
-// knownTo counts the living nodes for which known is true.
-func (n *network) knownTo(known func(m *member) bool) int {
+// countLiving counts the living nodes for which matches returns true.
+func (n *network) countLiving(matches func(m *testNode) bool) int {
 	count := 0
 	for _, m := range n.nodes {
-		if !m.killed && known(m) {
+		if !m.killed && matches(m) {
 			count++
 		}
 	}
 	return count
 }
 
-func (n *network) living() int { return n.knownTo(func(*member) bool { return true }) }
+func (n *network) living() int { return n.countLiving(func(*testNode) bool { return true }) }
 
-// statusAt returns what a node thinks of another.
-func (n *network) statusAt(at, of string) membership.Status {
-	node, _ := n.nodes[at].nodes.Get(of)
+// statusAt returns the status of a node as seen by another.
+func (n *network) statusAt(observer, id string) membership.Status {
+	node, _ := n.nodes[observer].nodes.Get(id)
 	return node.Status
 }
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -17,29 +17,29 @@
 
 // Parameters of the links.
 const (
-	// Path is where peers connect.
+	// Path is the URL path on which peers connect.
 	Path = "/peer"
-	// queueLength bounds the messages that wait on one link; a link that lets
-	// them pile up is closed, and digests mend what it missed.
-	queueLength = 256
-	writeTime   = 5 * time.Second
-	dialTime    = 3 * time.Second
-	// dialEvery is the time between looks at which links are missing.
-	dialEvery = time.Second
-	// failedDials in a row make a neighbour suspect.
-	failedDials = 3
-	// spareLinks is how many links a node keeps before it closes those that
-	// neither side asks for any more.
-	spareLinks = 4
+	// sendQueueLength is the maximum number of messages queued on a link. A link whose queue
+	// is full is closed, and digests repair what was lost.
+	sendQueueLength = 256
+	writeTimeout    = 5 * time.Second
+	dialTimeout     = 3 * time.Second
+	// dialInterval is the time between checks for missing links.
+	dialInterval = time.Second
+	// dialFailuresToSuspect is how many consecutive failed dials raise a suspicion of a node.
+	dialFailuresToSuspect = 3
+	// minKeptLinks is the number of links to entries up to which a node closes none, even if
+	// neither side needs them any more.
+	minKeptLinks = 4
 )
 
-// Handler takes messages that are not the mesh's own.
-type Handler func(from Sender, message Message)
+// Handler handles messages that are not the mesh's own.
+type Handler func(reply Sender, message Message)
 
-// Sender sends a message on the link another came from.
+// Sender sends a message on the link on which another was received.
 type Sender func(Message)
 
-// Server does the mesh's I/O.
+// Server opens and accepts the links of a mesh, and sends and receives its messages.
 type Server struct {
 	mesh     *Mesh
 	role     Role
@@ -50,15 +50,15 @@
 	handlerMu sync.RWMutex
 	handler   Handler
 
-	mu      sync.Mutex
-	conns   map[LinkID]*conn
-	nextID  atomic.Int64
-	dialing map[string]bool
-	failed  map[string]int
-	ctx     context.Context
+	mu           sync.Mutex
+	conns        map[LinkID]*conn
+	nextID       atomic.Int64
+	dialing      map[string]bool
+	dialFailures map[string]int
+	ctx          context.Context
 }
 
-// conn is one link's connection.
+// conn is the connection of a link.
 type conn struct {
 	link   LinkID
 	socket *websocket.Conn
@@ -66,14 +66,14 @@
 	cancel context.CancelFunc
 }
 
-// Counters count messages and bytes on links.
+// Counters are the metrics of messages and bytes on links.
 type Counters struct {
 	sentMessages, receivedMessages prometheus.Counter
 	sentBytes, receivedBytes       prometheus.Counter
 	overflows                      prometheus.Counter
 }
 
-// NewCounters registers the counters.
+// NewCounters creates and registers the metrics.
 func NewCounters(registry prometheus.Registerer) *Counters {
 	group := metrics.New(registry, "peer")
 	return &Counters{
@@ -85,7 +85,7 @@
 	}
 }
 
-// NewServer returns the I/O of a mesh; clientTLS is nil for links without TLS.
+// NewServer returns a server for a mesh; clientTLS is nil for links without TLS.
 func NewServer(ctx context.Context, mesh *Mesh, role Role, clientTLS *tls.Config, counters *Counters) *Server {
 	scheme := "ws"
 	if clientTLS != nil {
@@ -94,54 +94,55 @@
 	return &Server{
 		mesh: mesh, role: role, scheme: scheme, counters: counters, ctx: ctx,
 		client: &http.Client{Transport: &http.Transport{TLSClientConfig: clientTLS, Proxy: nil}},
-		conns:  map[LinkID]*conn{}, dialing: map[string]bool{}, failed: map[string]int{},
+		conns:  map[LinkID]*conn{}, dialing: map[string]bool{}, dialFailures: map[string]int{},
 		handler: func(Sender, Message) {},
 	}
 }
 
-// SetHandler sets who takes messages that are not the mesh's own.
+// SetHandler sets the handler of messages that are not the mesh's own.
 func (s *Server) SetHandler(h Handler) {
 	s.handlerMu.Lock()
 	defer s.handlerMu.Unlock()
 	s.handler = h
 }
 
-// ServeHTTP takes in a link.
+// ServeHTTP accepts a link from a peer.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	socket, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
 		return
 	}
-	s.serve(s.ctx, socket)
+	s.runLink(s.ctx, socket)
 }
 
-// serve says hello, waits for the other side's, and runs the link to its end.
-func (s *Server) serve(ctx context.Context, socket *websocket.Conn) {
+// runLink exchanges hellos and serves the link until it is closed.
+func (s *Server) runLink(ctx context.Context, socket *websocket.Conn) {
 	defer func() { _ = socket.CloseNow() }()
 	socket.SetReadLimit(MaxMessageBytes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	hello, ok := s.greet(ctx, socket)
+	hello, ok := s.exchangeHello(ctx, socket)
 	if !ok {
 		return
 	}
-	c := &conn{link: LinkID(s.nextID.Add(1)), socket: socket, queue: make(chan Message, queueLength), cancel: cancel}
+	c := &conn{link: LinkID(s.nextID.Add(1)), socket: socket, queue: make(chan Message, sendQueueLength), cancel: cancel}
 	s.mu.Lock()
 	s.conns[c.link] = c
-	delete(s.failed, hello.Node.ID)
+	delete(s.dialFailures, hello.Node.ID)
 	s.mu.Unlock()
-	go s.writeAll(ctx, c)
+	go s.writeLoop(ctx, c)
 	s.Send(s.mesh.LinkUp(c.link, hello, time.Now()))
-	s.readAll(ctx, c)
+	s.readLoop(ctx, c)
 	s.mu.Lock()
 	delete(s.conns, c.link)
 	s.mu.Unlock()
 	s.Send(s.mesh.LinkDown(c.link))
 }
 
-// greet exchanges hellos; whoever connects and says none is let go.
-func (s *Server) greet(ctx context.Context, socket *websocket.Conn) (Hello, bool) {
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+// exchangeHello sends a hello and returns that of the other side, or false if the first message
+// received is not a hello.
+func (s *Server) exchangeHello(ctx context.Context, socket *websocket.Conn) (Hello, bool) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	if s.write(ctx, socket, Hello{Node: s.mesh.Self(), Role: s.role}) != nil {
 		return Hello{}, false
@@ -151,7 +152,7 @@
 	return hello, ok && err == nil
 }
 
-func (s *Server) readAll(ctx context.Context, c *conn) {
+func (s *Server) readLoop(ctx context.Context, c *conn) {
 	for {
 		message, err := s.read(ctx, c.socket)
 		if err != nil {
@@ -170,7 +171,7 @@
 	}
 }
 
-func (s *Server) writeAll(ctx context.Context, c *conn) {
+func (s *Server) writeLoop(ctx context.Context, c *conn) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,14 +200,14 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	s.counters.sentMessages.Inc()
 	s.counters.sentBytes.Add(float64(len(data)))
 	return socket.Write(ctx, websocket.MessageBinary, data)
 }
 
-// Send puts messages on their links' queues.
+// Send queues messages on their links.
 func (s *Server) Send(out []Outgoing) {
 	for _, o := range out {
 		s.mu.Lock()
@@ -224,7 +225,7 @@
 	}
 }
 
-// SendTo sends a message to a node that is linked; false where it is not.
+// SendTo sends a message to a node; it returns false if there is no link to the node.
 func (s *Server) SendTo(node string, message Message) bool {
 	for link, n := range s.mesh.Links() {
 		if n.ID == node {
@@ -236,14 +237,14 @@
 	return false
 }
 
-// EnsureLink begins to link to a node that the mesh does not ask for by itself.
+// EnsureLink starts to dial a node that the mesh does not need a link to.
 func (s *Server) EnsureLink(node membership.Node) { s.dialNode(node) }
 
-// Run ticks the mesh and keeps up the links it asks for until the context ends.
+// Run ticks the mesh and maintains its links until the context ends.
 func (s *Server) Run() {
 	heartbeat := time.NewTicker(HeartbeatInterval)
 	defer heartbeat.Stop()
-	dial := time.NewTicker(dialEvery)
+	dial := time.NewTicker(dialInterval)
 	defer dial.Stop()
 	for round := 0; ; {
 		select {
@@ -256,24 +257,24 @@
 			for _, node := range s.mesh.NodesToDial(round) {
 				s.dialNode(node)
 			}
-			if round%surplusEvery == 0 {
-				s.closeSurplus()
+			if round%surplusCheckRounds == 0 {
+				s.closeSurplusLinks()
 			}
 		}
 	}
 }
 
-// surplusEvery is how many looks at missing links pass between two at surplus
-// ones, which costs more and presses less.
-const surplusEvery = 10
+// surplusCheckRounds is the number of checks for missing links per check for surplus ones, which
+// costs more and is less urgent.
+const surplusCheckRounds = 10
 
-func (s *Server) closeSurplus() {
-	for _, link := range s.mesh.SurplusLinks(spareLinks, time.Now()) {
-		s.close(link)
+func (s *Server) closeSurplusLinks() {
+	for _, link := range s.mesh.SurplusLinks(minKeptLinks, time.Now()) {
+		s.closeLink(link)
 	}
 }
 
-func (s *Server) close(link LinkID) {
+func (s *Server) closeLink(link LinkID) {
 	s.mu.Lock()
 	c, ok := s.conns[link]
 	s.mu.Unlock()
@@ -282,33 +283,33 @@
 	}
 }
 
-// LinkCount returns how many links are up.
+// LinkCount returns the number of open links.
 func (s *Server) LinkCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// dialNode connects to a node unless that is under way. A node that is not
-// reached again and again becomes suspect.
+// dialNode connects to a node in the background, unless a dial to it is in progress. Too many
+// failed dials in a row raise a suspicion of the node.
 func (s *Server) dialNode(node membership.Node) {
 	go func() {
 		if s.DialAddress(s.ctx, node.PeerAddress) {
 			return
 		}
 		s.mu.Lock()
-		s.failed[node.ID]++
-		count := s.failed[node.ID]
+		s.dialFailures[node.ID]++
+		count := s.dialFailures[node.ID]
 		s.mu.Unlock()
-		if count >= failedDials && node.Status == membership.Alive {
+		if count >= dialFailuresToSuspect && node.Status == membership.Alive {
 			s.Send(s.mesh.MarkUnreachable(node.ID, time.Now()))
 		}
 	}()
 }
 
-// DialAddress connects to a peer address and reports whether the link came up.
-// It returns once the link or ctx has ended, or at once if the dial fails or
-// another one to the address is under way.
+// DialAddress connects to a peer address and returns when the link is closed or ctx ends. It
+// returns false if the dial fails, and true at once if this process is already dialling the address
+// or has a link that it opened to it.
 func (s *Server) DialAddress(ctx context.Context, address string) bool {
 	s.mu.Lock()
 	if s.dialing[address] {
@@ -322,7 +323,7 @@
 		delete(s.dialing, address)
 		s.mu.Unlock()
 	}()
-	dialCtx, cancel := context.WithTimeout(ctx, dialTime)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	socket, response, err := websocket.Dial(dialCtx, s.scheme+"://"+address+Path, &websocket.DialOptions{HTTPClient: s.client})
 	if response != nil && response.Body != nil {
@@ -331,6 +332,6 @@
 	if err != nil {
 		return false
 	}
-	s.serve(ctx, socket)
+	s.runLink(ctx, socket)
 	return true
 }
--- a/pkg/peer/tick.go
+++ b/pkg/peer/tick.go
@@ -6,13 +6,13 @@
 	"ironhollow/pkg/membership"
 )
 
-// Tick sends heartbeats and judges silence. It is to be called once every
-// Heartbeat; a much longer gap means that this process was paused.
+// Tick sends heartbeats, suspects silent nodes and declares suspected ones dead. It must be called
+// once per HeartbeatInterval; a much longer gap means that this process was paused.
 func (m *Mesh) Tick(now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > pauseSign {
-		m.forgive(now.Sub(m.lastTick), now)
+	if !m.lastTick.IsZero() && now.Sub(m.lastTick) > pauseThreshold {
+		m.compensatePause(now.Sub(m.lastTick), now)
 	}
 	m.lastTick = now
 	m.demand.step()
@@ -20,92 +20,93 @@
 	var out []Outgoing
 	for _, link := range m.sortedLinks() {
 		role := m.links[link].role
-		if m.isAttachment(role) && m.ticks%attachedEvery != 0 || m.links[link].isExtra && m.ticks%extraEvery != 0 {
+		if m.isAttachedLink(role) && m.ticks%attachedDigestTicks != 0 || m.links[link].keptForTraffic && m.ticks%trafficLinkDigestTicks != 0 {
 			continue
 		}
 		out = m.send(out, link, m.digest(role))
 	}
-	var news Update
-	if !m.follower {
-		m.suspectSilent(now, &news)
-		m.declareDead(now, &news)
+	var toFlood Update
+	if !m.attached {
+		m.suspectSilentNodes(now, &toFlood)
+		m.declareDead(now, &toFlood)
 	}
-	return append(out, m.flood(news, 0)...)
+	return append(out, m.flood(toFlood, 0)...)
 }
 
-// attachedEvery is how many ticks pass between digests on the link of an
-// attached process: nobody judges its silence, and news floods there at once.
-const attachedEvery = 3
+// attachedDigestTicks is the number of ticks between digests on the link of an attached process.
+// It may be long: no suspicion is raised on such a link, and updates are flooded on it at once.
+const attachedDigestTicks = 3
 
-// extraEvery is the same for a link in use that the mesh does not ask for. It
-// stays under the silence that raises a suspicion.
-const extraEvery = 2
+// trafficLinkDigestTicks is the number of ticks between digests on a link that is kept only for
+// other messages. It must stay below silenceTimeout, after which the other side suspects this node.
+const trafficLinkDigestTicks = 2
 
-func (m *Mesh) isAttachment(role Role) bool { return m.follower || role == RoleControl }
+func (m *Mesh) isAttachedLink(role Role) bool { return m.attached || role == RoleControl }
 
-// forgive starts all clocks anew after a pause of this process: the silence it
-// heard was its own.
-func (m *Mesh) forgive(gap time.Duration, now time.Time) {
+// compensatePause restarts the silence of all links and extends all suspicions by the gap after a
+// pause of this process: the links only seemed silent because this process did not read them.
+func (m *Mesh) compensatePause(gap time.Duration, now time.Time) {
 	m.counts.Pauses++
 	for _, state := range m.links {
-		state.heard = now
+		state.lastReceived = now
 	}
-	for key, since := range m.suspects {
-		m.suspects[key] = since.Add(gap)
+	for key, since := range m.suspicions {
+		m.suspicions[key] = since.Add(gap)
 	}
 }
 
-// suspectSilent raises a suspicion against nodes whose links are silent.
-func (m *Mesh) suspectSilent(now time.Time, news *Update) {
+// suspectSilentNodes raises a suspicion of the entries whose links are silent.
+func (m *Mesh) suspectSilentNodes(now time.Time, toFlood *Update) {
 	for _, link := range m.sortedLinks() {
 		state := m.links[link]
-		if state.role == RoleEntry && now.Sub(state.heard) > silence {
-			m.suspect(state.node.ID, now, news)
+		if state.role == RoleEntry && now.Sub(state.lastReceived) > silenceTimeout {
+			m.suspect(state.node.ID, now, toFlood)
 		}
 	}
 }
 
-// MarkUnreachable notes that a node could not be reached again and again.
+// MarkUnreachable raises a suspicion of a node to which several dials in a row failed.
 func (m *Mesh) MarkUnreachable(id string, now time.Time) []Outgoing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var news Update
-	m.suspect(id, now, &news)
-	return m.flood(news, 0)
+	var toFlood Update
+	m.suspect(id, now, &toFlood)
+	return m.flood(toFlood, 0)
 }
 
-func (m *Mesh) suspect(id string, now time.Time, news *Update) {
-	held, ok := m.nodes.Get(id)
-	if !ok || held.Status != membership.Alive {
+func (m *Mesh) suspect(id string, now time.Time, toFlood *Update) {
+	node, ok := m.nodes.Get(id)
+	if !ok || node.Status != membership.Alive {
 		return
 	}
 	m.counts.Suspected++
-	held.Status = membership.Suspect
-	m.mergeNode(held, now, news)
+	node.Status = membership.Suspect
+	m.mergeNode(node, now, toFlood)
 }
 
-// declareDead ends the suspicions that nobody refuted in time.
-func (m *Mesh) declareDead(now time.Time, news *Update) {
-	for key, since := range m.suspects {
-		held, ok := m.nodes.Get(key.id)
-		stands := ok && held.Status == membership.Suspect && held.Incarnation == key.incarnation && held.Counter == key.counter
-		if !stands {
-			delete(m.suspects, key)
+// declareDead declares the nodes dead that did not refute a suspicion in time, and drops suspicions
+// that no longer apply.
+func (m *Mesh) declareDead(now time.Time, toFlood *Update) {
+	for key, since := range m.suspicions {
+		node, ok := m.nodes.Get(key.id)
+		isCurrent := ok && node.Status == membership.Suspect && node.Incarnation == key.incarnation && node.Counter == key.counter
+		if !isCurrent {
+			delete(m.suspicions, key)
 			continue
 		}
-		if now.Sub(since) < refutation {
+		if now.Sub(since) < suspicionTimeout {
 			continue
 		}
-		delete(m.suspects, key)
+		delete(m.suspicions, key)
 		m.counts.DeclaredDead++
-		held.Status = membership.Dead
-		m.mergeNode(held, now, news)
+		node.Status = membership.Dead
+		m.mergeNode(node, now, toFlood)
 	}
 }
 
-// NodesToDial returns the nodes this process should be linked to and is not: its
-// neighbours, and now and then one that counts as dead, since a part of the
-// fleet that was cut off comes back that way.
+// NodesToDial returns the nodes that this process should have a link to and has not: its
+// neighbours and, every deadDialRounds rounds, a dead node, which is how a part of the fleet that
+// was cut off rejoins.
 func (m *Mesh) NodesToDial(round int) []membership.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,17 +123,17 @@
 			list = append(list, n)
 		}
 	}
-	if dead := pickDead(nodes, round); dead != nil && !linked[dead.ID] {
+	if dead := nextDeadNode(nodes, round); dead != nil && !linked[dead.ID] {
 		list = append(list, *dead)
 	}
 	return list
 }
 
-// deadEvery is how many rounds pass between tries of a dead node.
-const deadEvery = 5
+// deadDialRounds is the number of rounds between dials of a dead node.
+const deadDialRounds = 5
 
-func pickDead(nodes []membership.Node, round int) *membership.Node {
-	if round%deadEvery != 0 {
+func nextDeadNode(nodes []membership.Node, round int) *membership.Node {
+	if round%deadDialRounds != 0 {
 		return nil
 	}
 	var dead []membership.Node
@@ -144,19 +145,19 @@
 	if len(dead) == 0 {
 		return nil
 	}
-	return &dead[(round/deadEvery)%len(dead)]
+	return &dead[(round/deadDialRounds)%len(dead)]
 }
 
-// SurplusLinks returns links that neither side asks for any more, beyond the number
-// that is kept. Links in use are left alone, with fewer heartbeats.
-func (m *Mesh) SurplusLinks(most int, now time.Time) []LinkID {
+// SurplusLinks returns the links to entries, beyond the first minKept, that neither side needs any
+// more. Links that other messages use are kept, with fewer heartbeats.
+func (m *Mesh) SurplusLinks(minKept int, now time.Time) []LinkID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	wanted := map[string]bool{}
+	neighbours := map[string]bool{}
 	for _, n := range membership.Neighbours(m.self, m.nodes.Nodes()) {
-		wanted[n.ID] = true
+		neighbours[n.ID] = true
 	}
-	var extra []LinkID
+	var surplus []LinkID
 	entries := 0
 	for _, link := range m.sortedLinks() {
 		state := m.links[link]
@@ -164,18 +165,18 @@
 			continue
 		}
 		entries++
-		unwanted := !wanted[state.node.ID] && !m.wantsUs(state.node)
-		inUse := now.Sub(state.usedAt) < usedFor
-		state.isExtra = unwanted && inUse
-		if unwanted && !inUse && entries > most {
-			extra = append(extra, link)
+		unneeded := !neighbours[state.node.ID] && !m.isNeighbourOf(state.node)
+		inUse := now.Sub(state.lastUsed) < idleLinkTimeout
+		state.keptForTraffic = unneeded && inUse
+		if unneeded && !inUse && entries > minKept {
+			surplus = append(surplus, link)
 		}
 	}
-	return extra
+	return surplus
 }
 
-// wantsUs reports whether this node is one the other side dials.
-func (m *Mesh) wantsUs(other membership.Node) bool {
+// isNeighbourOf reports whether this node is one that the other node dials.
+func (m *Mesh) isNeighbourOf(other membership.Node) bool {
 	for _, n := range membership.Neighbours(other, m.nodes.Nodes()) {
 		if n.ID == m.self.ID {
 			return true
