--- a/pkg/httpx/httpx.go
+++ b/pkg/httpx/httpx.go
@@ -1,4 +1,4 @@
-// Package httpx holds the few HTTP helpers that edges share.
+// Package httpx holds HTTP helpers that several packages share.
 package httpx
 
 import (
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// maxJSON bounds the bytes read of a JSON answer.
-const maxJSON = 32 << 20
+// maxJSONBytes is the maximum number of bytes read of a JSON response.
+const maxJSONBytes = 32 << 20
 
-// NewClient returns an HTTP client for calls to the platform and endpoints. It
-// keeps connections, follows no redirects and uses no proxy.
-func NewClient(perHost int) *http.Client {
+// NewClient returns an HTTP client for calls to the platform and to endpoints. It reuses
+// connections, follows no redirects and uses no proxy.
+func NewClient(maxIdlePerHost int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			Proxy:               nil,
-			MaxIdleConns:        4 * perHost,
-			MaxIdleConnsPerHost: perHost,
+			MaxIdleConns:        4 * maxIdlePerHost,
+			MaxIdleConnsPerHost: maxIdlePerHost,
 			IdleConnTimeout:     90 * time.Second,
 			DisableCompression:  true,
 			ReadBufferSize:      8 << 10,
@@ -32,17 +32,17 @@
 	}
 }
 
-// StatusError is an answer with an unexpected status.
+// StatusError is the error for a response with an unexpected status.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
-// Error gives the status and the beginning of the body.
+// Error returns the status and the beginning of the body.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Body) }
 
-// CallJSON sends in as JSON (nil for no body) and decodes the answer into out
-// (nil to ignore it). Statuses other than 2xx are a *StatusError.
+// CallJSON sends in as JSON (nil for no body) and decodes the response into out (nil to ignore it).
+// For a status other than 2xx it returns a *StatusError.
 func CallJSON(ctx context.Context, client *http.Client, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
@@ -67,20 +67,20 @@
 		return &StatusError{response.StatusCode, string(bytes.TrimSpace(text))}
 	}
 	if out == nil {
-		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxJSON))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxJSONBytes))
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(response.Body, maxJSON)).Decode(out)
+	return json.NewDecoder(io.LimitReader(response.Body, maxJSONBytes)).Decode(out)
 }
 
-// WriteJSON answers with a JSON body.
+// WriteJSON writes a response with a JSON body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// CheckAddress returns an error unless address is an IP number and port.
+// CheckAddress returns an error unless address is an IP address and port.
 func CheckAddress(address string) error {
 	_, err := netip.ParseAddrPort(address)
 	return err
--- a/pkg/httpx/notice.go
+++ b/pkg/httpx/notice.go
@@ -7,22 +7,22 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// HeaderRetryAfter is when to come back, in seconds (RFC 9110, 10.2.3); fractions are
-// understood.
+// HeaderRetryAfter is the header with the time until the next request may be sent, in seconds
+// (RFC 9110, 10.2.3). Fractions are accepted.
 const HeaderRetryAfter = "Retry-After"
 
-// HeaderRequestLimit is how many requests a second a back end takes from all entries together, a
-// decimal number, in each answer while it limits them.
+// HeaderRequestLimit is the header with the number of requests per second that an endpoint accepts
+// from all entries together, as a decimal number. It is in each response while the limit applies.
 const HeaderRequestLimit = "X-Request-Limit"
 
-// ParseNotice reads from an answer what a back end says of itself: the backoff that it asks
-// for and the limit that it names.
+// ParseNotice returns what a response says about the endpoint itself: the backoff and the limit
+// that it asks for.
 func ParseNotice(status int, h http.Header) endpoint.Notice {
 	return ParseBackoff(status, h).WithLimit(h.Get(HeaderRequestLimit))
 }
 
-// ParseBackoff reads how long the sender of an answer asks for no other request. Only
-// refusals ask for that; what can't be read asks for nothing.
+// ParseBackoff returns how long the sender of a response asks for no further requests. Only
+// refusals (429 and 503) ask for that; a value that cannot be parsed means no backoff.
 func ParseBackoff(status int, h http.Header) endpoint.Notice {
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests {
 		return endpoint.Notice{}
--- a/pkg/secure/make.go
+++ b/pkg/secure/make.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Names of the files a site's set is made of.
+// Names of the files that GenerateCertificates writes.
 const (
 	FileCA        = "ca.pem"
 	FileCAKey     = "ca-key.pem"
@@ -25,41 +25,39 @@
 	FileServerKey = "serve-key.pem"
 )
 
-// validFor is how long certificates are valid.
-const validFor = 365 * 24 * time.Hour
+const certificateLifetime = 365 * 24 * time.Hour
 
-// serialBits is the length of a serial number.
-const serialBits = 120
+const serialNumberBits = 120
 
-// GenerateCertificates makes a set of keys for a site in dir: an authority, a certificate
-// for own processes and one to show to callers, for the IP numbers given. An
-// authority that is there already is used again, so that calling it anew
-// rotates the certificates alone.
+// GenerateCertificates creates the keys and certificates of a site in dir: an authority, a
+// certificate for connections between the system's own processes and one for servers towards
+// callers, both for the given IP addresses. An existing authority is used again, so that another
+// call rotates the certificates only.
 func GenerateCertificates(dir string, addresses []net.IP, now time.Time) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	ca, key, err := authority(dir, now)
+	ca, key, err := loadOrCreateCA(dir, now)
 	if err != nil {
 		return err
 	}
-	if err := issue(dir, FilePeer, FilePeerKey, "ironhollow peer", addresses, ca, key, now); err != nil {
+	if err := issueCertificate(dir, FilePeer, FilePeerKey, "ironhollow peer", addresses, ca, key, now); err != nil {
 		return err
 	}
-	return issue(dir, FileServer, FileServerKey, "ironhollow", addresses, ca, key, now)
+	return issueCertificate(dir, FileServer, FileServerKey, "ironhollow", addresses, ca, key, now)
 }
 
-func authority(dir string, now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func loadOrCreateCA(dir string, now time.Time) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	certPEM, certErr := os.ReadFile(filepath.Join(dir, FileCA))
 	keyPEM, keyErr := os.ReadFile(filepath.Join(dir, FileCAKey))
 	if certErr == nil && keyErr == nil {
-		return parseAuthority(certPEM, keyPEM)
+		return parseCA(certPEM, keyPEM)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	template, err := template("ironhollow site", now)
+	template, err := newTemplate("ironhollow site", now)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -70,18 +68,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := writePair(dir, FileCA, FileCAKey, der, key); err != nil {
+	if err := writeKeyPair(dir, FileCA, FileCAKey, der, key); err != nil {
 		return nil, nil, err
 	}
 	cert, err := x509.ParseCertificate(der)
 	return cert, key, err
 }
 
-func parseAuthority(certPEM, keyPEM []byte) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+func parseCA(certPEM, keyPEM []byte) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	certBlock, _ := pem.Decode(certPEM)
 	keyBlock, _ := pem.Decode(keyPEM)
 	if certBlock == nil || keyBlock == nil {
-		return nil, nil, fmt.Errorf("secure: %s or %s is no PEM file", FileCA, FileCAKey)
+		return nil, nil, fmt.Errorf("secure: %s or %s is not a PEM file", FileCA, FileCAKey)
 	}
 	cert, err := x509.ParseCertificate(certBlock.Bytes)
 	if err != nil {
@@ -91,8 +89,8 @@
 	return cert, key, err
 }
 
-func template(name string, now time.Time) (*x509.Certificate, error) {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+func newTemplate(name string, now time.Time) (*x509.Certificate, error) {
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits))
 	if err != nil {
 		return nil, err
 	}
@@ -100,47 +98,47 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(validFor),
+		NotAfter:     now.Add(certificateLifetime),
 	}, nil
 }
 
-func issue(dir, certFile, keyFile, name string, addresses []net.IP, ca *x509.Certificate, caKey *ecdsa.PrivateKey, now time.Time) error {
+func issueCertificate(dir, certFile, keyFile, name string, addresses []net.IP, ca *x509.Certificate, caKey *ecdsa.PrivateKey, now time.Time) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	t, err := template(name, now)
+	template, err := newTemplate(name, now)
 	if err != nil {
 		return err
 	}
-	t.IPAddresses = addresses
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	der, err := x509.CreateCertificate(rand.Reader, t, ca, &key.PublicKey, caKey)
+	template.IPAddresses = addresses
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	der, err := x509.CreateCertificate(rand.Reader, template, ca, &key.PublicKey, caKey)
 	if err != nil {
 		return err
 	}
-	return writePair(dir, certFile, keyFile, der, key)
+	return writeKeyPair(dir, certFile, keyFile, der, key)
 }
 
-// writePair writes key and certificate, each whole: a file is put in place by
-// a rename, so that a process that reads at that moment finds old or new.
-func writePair(dir, certFile, keyFile string, der []byte, key *ecdsa.PrivateKey) error {
+// writeKeyPair writes a key and its certificate. Each file is renamed into place, so that a process
+// that reads it at that moment finds the old or the new file, never a partial one.
+func writeKeyPair(dir, certFile, keyFile string, der []byte, key *ecdsa.PrivateKey) error {
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return err
 	}
 	keyPEM := pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER})
-	if err := writeWhole(filepath.Join(dir, keyFile), keyPEM, 0o600); err != nil {
+	if err := writeFileAtomically(filepath.Join(dir, keyFile), keyPEM, 0o600); err != nil {
 		return err
 	}
-	return writeWhole(filepath.Join(dir, certFile), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
+	return writeFileAtomically(filepath.Join(dir, certFile), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
 }
 
-func writeWhole(path string, data []byte, mode os.FileMode) error {
-	next := path + ".next"
-	if err := os.WriteFile(next, data, mode); err != nil {
+func writeFileAtomically(path string, data []byte, mode os.FileMode) error {
+	tempPath := path + ".next"
+	if err := os.WriteFile(tempPath, data, mode); err != nil {
 		return err
 	}
-	return os.Rename(next, path)
+	return os.Rename(tempPath, path)
 }
--- a/pkg/secure/secure.go
+++ b/pkg/secure/secure.go
@@ -1,5 +1,5 @@
-// Package secure makes and loads keys and certificates. Files are read again
-// when they change, so that keys are rotated without a restart.
+// Package secure creates and loads keys and certificates. Files are reloaded when they change, so
+// that keys can be rotated without a restart.
 package secure
 
 import (
@@ -12,98 +12,99 @@
 	"time"
 )
 
-// recheck is how often files are looked at.
-const recheck = 2 * time.Second
+// recheckInterval is the minimum time between checks for changed files.
+const recheckInterval = 2 * time.Second
 
-// Files names one side's PEM files.
+// Files are the paths of the PEM files of one side of a connection.
 type Files struct {
 	Cert, Key string
-	// CA signed the other side's certificate; empty where that shows none.
+	// CA is the certificate of the authority that signs the other side's certificates; empty if
+	// the other side shows none.
 	CA string
 }
 
-// Empty reports whether no TLS is asked for.
+// Empty reports whether TLS is off.
 func (f Files) Empty() bool { return f.Cert == "" && f.Key == "" && f.CA == "" }
 
-// Loader holds what was read of the files last.
+// Loader holds the certificates that were last loaded from files.
 type Loader struct {
 	files Files
 
-	mu      sync.Mutex
-	checked time.Time
-	stamp   string
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	mu        sync.Mutex
+	lastCheck time.Time
+	fileStats string
+	cert      *tls.Certificate
+	caPool    *x509.CertPool
 }
 
-// Load reads the files; errors name the file at fault.
+// Load loads the files; errors name the file at fault.
 func Load(files Files) (*Loader, error) {
 	l := &Loader{files: files}
-	if err := l.read(); err != nil {
+	if err := l.readFiles(); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// read replaces what is held. Files that can't be read leave it as it was, so
-// that a rotation half done does no harm.
-func (l *Loader) read() error {
+// readFiles loads the files. If one cannot be read, the loader keeps what it has, so that an
+// unfinished rotation does no harm.
+func (l *Loader) readFiles() error {
 	cert, err := tls.LoadX509KeyPair(l.files.Cert, l.files.Key)
 	if err != nil {
 		return fmt.Errorf("secure: %s, %s: %w", l.files.Cert, l.files.Key, err)
 	}
-	var pool *x509.CertPool
+	var caPool *x509.CertPool
 	if l.files.CA != "" {
-		pem, err := os.ReadFile(l.files.CA)
+		caPEM, err := os.ReadFile(l.files.CA)
 		if err != nil {
 			return fmt.Errorf("secure: %w", err)
 		}
-		pool = x509.NewCertPool()
-		if !pool.AppendCertsFromPEM(pem) {
-			return fmt.Errorf("secure: %s holds no certificate", l.files.CA)
+		caPool = x509.NewCertPool()
+		if !caPool.AppendCertsFromPEM(caPEM) {
+			return fmt.Errorf("secure: %s contains no certificate", l.files.CA)
 		}
 	}
-	l.cert, l.pool, l.stamp = &cert, pool, l.stampNow()
+	l.cert, l.caPool, l.fileStats = &cert, caPool, l.statFiles()
 	return nil
 }
 
-// stampNow tells versions of the files apart.
-func (l *Loader) stampNow() string {
-	stamp := ""
+// statFiles returns a text that differs between versions of the files.
+func (l *Loader) statFiles() string {
+	stats := ""
 	for _, name := range []string{l.files.Cert, l.files.Key, l.files.CA} {
 		if info, err := os.Stat(name); err == nil {
-			stamp += fmt.Sprintf("%s %d %d;", name, info.ModTime().UnixNano(), info.Size())
+			stats += fmt.Sprintf("%s %d %d;", name, info.ModTime().UnixNano(), info.Size())
 		}
 	}
-	return stamp
+	return stats
 }
 
-// current returns what is in force, reading changed files first.
+// current returns the certificate and authorities in force, reloading changed files first.
 func (l *Loader) current() (*tls.Certificate, *x509.CertPool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); now.Sub(l.checked) > recheck {
-		l.checked = now
-		if l.stampNow() != l.stamp {
-			// An error leaves the old keys in force until the files are whole.
-			_ = l.read()
+	if now := time.Now(); now.Sub(l.lastCheck) > recheckInterval {
+		l.lastCheck = now
+		if l.statFiles() != l.fileStats {
+			// On an error the old keys stay in force until the files are complete.
+			_ = l.readFiles()
 		}
 	}
-	return l.cert, l.pool
+	return l.cert, l.caPool
 }
 
-// Recheck makes the next use look at the files, however lately that was done.
+// Recheck makes the next use check the files, even if the last check was a short time ago.
 func (l *Loader) Recheck() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.checked = time.Time{}
+	l.lastCheck = time.Time{}
 }
 
-// errName says that the other side's certificate is not of this site.
-var errName = errors.New("secure: certificate is not signed by the site's authority")
+// errUntrusted is returned if the other side's certificate is not of this site.
+var errUntrusted = errors.New("secure: certificate is not signed by the site's authority")
 
-// PeerServerConfig returns settings for a server of own processes: TLS 1.3, both
-// sides showing certificates of the site's authority.
+// PeerServerConfig returns the settings of a server for the system's own processes: TLS 1.3, with
+// certificates of the site's authority on both sides.
 func (l *Loader) PeerServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:            tls.VersionTLS13,
@@ -113,18 +114,18 @@
 	}
 }
 
-// PeerClientConfig returns settings for a client of own processes. Peers are known
-// by the authority, not by name: they have IP numbers that come and go.
+// PeerClientConfig returns the settings of a client of the system's own processes. Peers are
+// verified by the authority and not by name, because their IP addresses change.
 func (l *Loader) PeerClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:            tls.VersionTLS13,
-		InsecureSkipVerify:    true, // Names are not checked; verify checks the rest.
+		InsecureSkipVerify:    true, // Names are not verified; verify checks the chain to the authority.
 		GetClientCertificate:  func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { cert, _ := l.current(); return cert, nil },
 		VerifyPeerCertificate: l.verify,
 	}
 }
 
-// ServerConfig returns settings for a server towards callers or operators.
+// ServerConfig returns the settings of a server for callers or operators.
 func (l *Loader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:     tls.VersionTLS12,
@@ -132,24 +133,24 @@
 	}
 }
 
-func (l *Loader) verify(raw [][]byte, _ [][]*x509.Certificate) error {
-	_, pool := l.current()
-	if len(raw) == 0 || pool == nil {
-		return errName
+func (l *Loader) verify(rawCerts [][]byte, _ [][]*x509.Certificate) error {
+	_, caPool := l.current()
+	if len(rawCerts) == 0 || caPool == nil {
+		return errUntrusted
 	}
-	leaf, err := x509.ParseCertificate(raw[0])
+	leaf, err := x509.ParseCertificate(rawCerts[0])
 	if err != nil {
 		return err
 	}
-	between := x509.NewCertPool()
-	for _, der := range raw[1:] {
+	intermediates := x509.NewCertPool()
+	for _, der := range rawCerts[1:] {
 		if cert, err := x509.ParseCertificate(der); err == nil {
-			between.AddCert(cert)
+			intermediates.AddCert(cert)
 		}
 	}
-	_, err = leaf.Verify(x509.VerifyOptions{Roots: pool, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
+	_, err = leaf.Verify(x509.VerifyOptions{Roots: caPool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
 	if err != nil {
-		return fmt.Errorf("%w: %w", errName, err)
+		return fmt.Errorf("%w: %w", errUntrusted, err)
 	}
 	return nil
 }
