--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -15,6 +15,7 @@
 	"go.opentelemetry.io/otel/sdk/trace"
 
 	"ironhollow/pkg/app/process"
+	"ironhollow/pkg/boottime"
 	"ironhollow/pkg/cloud"
 	"ironhollow/pkg/config"
 	"ironhollow/pkg/endpoint"
@@ -25,7 +26,6 @@
 	"ironhollow/pkg/membership"
 	"ironhollow/pkg/operatorapi"
 	"ironhollow/pkg/peer"
-	"ironhollow/pkg/steady"
 	"ironhollow/pkg/table"
 )
 
@@ -88,7 +88,7 @@
 }
 
 func newLeases(writer *table.Writer, s Settings) *lease.Manager {
-	return lease.New(writer, writer.Incarnation(), s.leaseTiming, steady.Now)
+	return lease.New(writer, writer.Incarnation(), s.leaseTiming, boottime.Now)
 }
 
 func newMesh(s Settings, incarnation Incarnation, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *peer.Mesh {
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"ironhollow/pkg/autoscale"
+	"ironhollow/pkg/boottime"
 	"ironhollow/pkg/endpoint"
 	"ironhollow/pkg/lease"
 	"ironhollow/pkg/pause"
 	"ironhollow/pkg/roster"
-	"ironhollow/pkg/steady"
 	"ironhollow/pkg/storeview"
 	"ironhollow/pkg/table"
 	"ironhollow/pkg/usage"
@@ -121,7 +121,7 @@
 	if left < leastLeft {
 		return nil, nil, errLeaseEnds
 	}
-	ctx, cancel := steady.WithTimeout(ctx, min(left, dutyCall))
+	ctx, cancel := boottime.WithTimeout(ctx, min(left, dutyCall))
 	return ctx, cancel, nil
 }
 
--- a/pkg/app/node/life.go
+++ b/pkg/app/node/life.go
@@ -4,8 +4,8 @@
 	"sync/atomic"
 	"time"
 
+	"ironhollow/pkg/boottime"
 	"ironhollow/pkg/forward"
-	"ironhollow/pkg/steady"
 	"ironhollow/pkg/storeclock"
 )
 
@@ -46,7 +46,7 @@
 
 // noteSuspension writes a line when the machine was suspended.
 func (n *node) noteSuspension() {
-	total := steady.Suspended()
+	total := boottime.Suspended()
 	if total == n.suspensions.logged {
 		return
 	}
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -15,6 +15,7 @@
 
 	"ironhollow/pkg/app/process"
 	"ironhollow/pkg/autoscale"
+	"ironhollow/pkg/boottime"
 	"ironhollow/pkg/forward"
 	"ironhollow/pkg/gossip"
 	"ironhollow/pkg/hazard"
@@ -30,7 +31,6 @@
 	"ironhollow/pkg/rolloutsync"
 	"ironhollow/pkg/roster"
 	"ironhollow/pkg/route"
-	"ironhollow/pkg/steady"
 	"ironhollow/pkg/storecalls"
 	"ironhollow/pkg/storeclock"
 	"ironhollow/pkg/storeview"
@@ -150,7 +150,7 @@
 }
 
 func newLeases(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
-	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, RenewInterval: s.Lease / renewals}, steady.Now)
+	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, RenewInterval: s.Lease / renewals}, boottime.Now)
 }
 
 func newDutyCloud(platform Platform, client storeClient, s Settings, leases *lease.Manager) *dutyCloud {
--- a/pkg/steady/steady.go
+++ b/pkg/boottime/steady.go
@@ -1,7 +1,7 @@
-// Package steady tells the time that has passed as others see it: the monotonic clock
+// Package boottime tells the time that has passed as others see it: the monotonic clock
 // stands still while the machine is suspended, and what was to end meanwhile would go on
 // after it, a lease that another holds by then too.
-package steady
+package boottime
 
 import (
 	"context"
--- a/pkg/steady/steady_internal_test.go
+++ b/pkg/boottime/steady_internal_test.go
@@ -1,4 +1,4 @@
-package steady
+package boottime
 
 import (
 	"testing"
--- a/pkg/rolloutsync/coordinator.go
+++ b/pkg/rolloutsync/coordinator.go
@@ -10,9 +10,9 @@
 
 	"github.com/phuslu/log"
 
+	"ironhollow/pkg/boottime"
 	"ironhollow/pkg/lease"
 	"ironhollow/pkg/rollout"
-	"ironhollow/pkg/steady"
 	"ironhollow/pkg/storeclock"
 	"ironhollow/pkg/storeversion"
 	"ironhollow/pkg/table"
@@ -87,7 +87,7 @@
 		c.dropAll()
 		return
 	}
-	ctx, cancel := steady.WithTimeout(ctx, left-minLeaseLeft/2)
+	ctx, cancel := boottime.WithTimeout(ctx, left-minLeaseLeft/2)
 	defer cancel()
 	open := c.splitter.OpenOrders()
 	c.prune(open, now)
--- a/pkg/storeclock/clock.go
+++ b/pkg/storeclock/clock.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ironhollow/pkg/steady"
+	"ironhollow/pkg/boottime"
 )
 
 // Clock is the process's clock with what is known of the store's. It is safe for
@@ -22,20 +22,20 @@
 }
 
 // New returns a clock that starts now.
-func New() *Clock { return &Clock{start: steady.Now()} }
+func New() *Clock { return &Clock{start: boottime.Now()} }
 
 // Running returns the time since the clock's start.
-func (c *Clock) Running() time.Duration { return steady.Since(c.start) }
+func (c *Clock) Running() time.Duration { return boottime.Since(c.start) }
 
 // Now returns the time of day at the start plus what has passed since: steps
 // of the time of day don't show.
-func (c *Clock) Now() time.Time { return c.start.Add(steady.Since(c.start)) }
+func (c *Clock) Now() time.Time { return c.start.Add(boottime.Since(c.start)) }
 
 // Heard applies the store's clock of an answer that has just come.
 func (c *Clock) Heard(store time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	start := store - steady.Since(c.start)
+	start := store - boottime.Since(c.start)
 	if !c.known || start > c.storeStart {
 		c.storeStart = start
 		c.known = true
@@ -46,7 +46,7 @@
 func (c *Clock) Store() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.storeStart + steady.Since(c.start), c.known
+	return c.storeStart + boottime.Since(c.start), c.known
 }
 
 // Offset returns this host's time of day less the store's clock.
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -16,7 +16,7 @@
 	"syscall"
 	"time"
 
-	"ironhollow/pkg/steady"
+	"ironhollow/pkg/boottime"
 )
 
 // Outcome is how a send ended: NotSent, Unclear or Answered.
@@ -142,7 +142,7 @@
 		return false
 	}
 	c := h.idle[len(h.idle)-1]
-	rested := steady.Since(c.idleSince)
+	rested := boottime.Since(c.idleSince)
 	return rested < c.idleTime && (maxIdle <= 0 || rested < maxIdle)
 }
 
@@ -270,7 +270,7 @@
 		return nil
 	}
 	c := h.idle[len(h.idle)-1]
-	rested := steady.Since(c.idleSince)
+	rested := boottime.Since(c.idleSince)
 	if maxIdle > 0 && rested > maxIdle && rested <= c.idleTime {
 		return nil
 	}
@@ -279,7 +279,7 @@
 }
 
 func (p *Pool) put(c *conn) {
-	c.idleSince = steady.Now()
+	c.idleSince = boottime.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h := p.hosts[c.address]; h != nil {
@@ -300,7 +300,7 @@
 	for address, h := range p.hosts {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if steady.Since(c.idleSince) <= c.idleTime && !unused[address] {
+			if boottime.Since(c.idleSince) <= c.idleTime && !unused[address] {
 				kept = append(kept, c)
 				continue
 			}
@@ -393,7 +393,7 @@
 // quiet reports whether a kept connection is still open, in time, and has
 // nothing to be read: bytes that come unasked belong to no request.
 func (c *conn) quiet() bool {
-	if c.reader.Buffered() > 0 || steady.Since(c.idleSince) > c.idleTime {
+	if c.reader.Buffered() > 0 || boottime.Since(c.idleSince) > c.idleTime {
 		return false
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
