--- a/pkg/app/cli/cli.go
+++ b/pkg/app/cli/cli.go
@@ -83,7 +83,7 @@
 
 func exitOfCode(number int) int {
 	switch number {
-	case code.RevisionRace.Number():
+	case code.RevisionConflict.Number():
 		return exitConflict
 	case code.ApplyUnknown.Number():
 		return exitUnknown
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	logger := process.NewLog(settings.logLevel, settings.id)
+	logger := process.NewLogger(settings.logLevel, settings.id)
 	tracer, err := process.NewTracer(context.WithoutCancel(ctx), settings.tracing, "ironhollow-control", settings.id)
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if config := a.tls.OuterServer(); config != nil {
+	if config := a.tls.ExternalServer(); config != nil {
 		operators = tls.NewListener(operators, config)
 	}
 	admin, err := process.Listen("[node] admin-address", a.settings.adminAddress)
@@ -90,7 +90,7 @@
 	}
 	const readTime = 30 * time.Second
 	process.Serve(process.NewServer(a.operatorMux(), readTime), operators, faults)
-	process.Serve(process.NewServer(process.Admin(a.registry, a.ready), readTime), admin, faults)
+	process.Serve(process.NewServer(process.AdminMux(a.registry, a.ready), readTime), admin, faults)
 	return nil
 }
 
--- a/pkg/app/control/settings.go
+++ b/pkg/app/control/settings.go
@@ -18,7 +18,7 @@
 	operatorAddress         string
 	adminAddress            string
 	entries                 []string
-	table                   process.Table
+	table                   process.TableConfig
 	cloudAddress            string
 	hostListAddress         string
 	platformTime            time.Duration
@@ -57,12 +57,12 @@
 		hostListPeriod: w.Shards.Hosts, reportPeriod: w.Shards.Reports,
 		peerFiles:    secure.Files{Cert: w.TLS.PeerCert, Key: w.TLS.PeerKey, CA: w.TLS.PeerCa},
 		operatorFile: secure.Files{Cert: w.TLS.OperatorCert, Key: w.TLS.OperatorKey},
-		tracing:      process.Tracing{Address: w.Trace.OtlpAddress, Sample: w.Trace.Sample},
+		tracing:      process.Tracing{Address: w.Trace.OtlpAddress, SampleRatio: w.Trace.Sample},
 		logLevel:     string(w.Log.Level),
 	}
 }
 
-func tableOf(w *controlschema.ControlPlatform) process.Table {
+func tableOf(w *controlschema.ControlPlatform) process.TableConfig {
 	budget := table.Budget{ReadsPerSecond: w.ReadsPerSecond, WritesPerSecond: w.WritesPerSecond}
-	return process.Table{Address: w.Table, Timeout: w.Timeout, Budget: budget}
+	return process.TableConfig{Address: w.Table, Timeout: w.Timeout, Budget: budget}
 }
--- a/pkg/app/entry/admin.go
+++ b/pkg/app/entry/admin.go
@@ -15,7 +15,7 @@
 
 // admin is the mux of the admin port.
 func (a *App) admin() *http.ServeMux {
-	mux := process.Admin(a.registry, a.ready)
+	mux := process.AdminMux(a.registry, a.ready)
 	mux.HandleFunc("GET /status", a.serveStatus)
 	mux.HandleFunc("GET /explain/requests", a.serveRequests)
 	mux.HandleFunc("GET /explain/services/{service}", a.serveCandidates)
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	logger := process.NewLog(settings.logLevel, settings.node.ID)
+	logger := process.NewLogger(settings.logLevel, settings.node.ID)
 	tracer, err := process.NewTracer(context.WithoutCancel(ctx), settings.tracing, "ironhollow-entry", settings.node.ID)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 		process.Serve(server, listener, faults)
 		return nil
 	}
-	if err := open("[node] caller-address", a.self.CallerAddress, a.api, a.settings.readTimeout, a.tls.OuterServer()); err != nil {
+	if err := open("[node] caller-address", a.self.CallerAddress, a.api, a.settings.readTimeout, a.tls.ExternalServer()); err != nil {
 		return nil, err
 	}
 	if err := open("[node] peer-address", a.self.PeerAddress, a.peerMux(), 0, a.tls.PeerServer()); err != nil {
--- a/pkg/app/entry/settings.go
+++ b/pkg/app/entry/settings.go
@@ -18,7 +18,7 @@
 	node          membership.Node
 	adminAddress  string
 	seeds         []string
-	table         process.Table
+	table         process.TableConfig
 	objectAddress string
 	platformTime  time.Duration
 	limits        callerapi.Limits
@@ -71,12 +71,12 @@
 		drainMost:    w.Drain.Most,
 		peerFiles:    secure.Files{Cert: w.TLS.PeerCert, Key: w.TLS.PeerKey, CA: w.TLS.PeerCa},
 		callerFiles:  secure.Files{Cert: w.TLS.CallerCert, Key: w.TLS.CallerKey},
-		tracing:      process.Tracing{Address: w.Trace.OtlpAddress, Sample: w.Trace.Sample},
+		tracing:      process.Tracing{Address: w.Trace.OtlpAddress, SampleRatio: w.Trace.Sample},
 		logLevel:     string(w.Log.Level),
 	}
 }
 
-func tableOf(w *entryschema.EntryPlatform) process.Table {
+func tableOf(w *entryschema.EntryPlatform) process.TableConfig {
 	budget := table.Budget{ReadsPerSecond: w.ReadsPerSecond, WritesPerSecond: w.WritesPerSecond}
-	return process.Table{Address: w.Table, Timeout: w.Timeout, Budget: budget}
+	return process.TableConfig{Address: w.Table, Timeout: w.Timeout, Budget: budget}
 }
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -38,7 +38,7 @@
 	go n.renew(ctx)
 	held := false
 	for ctx.Err() == nil {
-		pause.For(ctx, n.settings.Lease/renewals)
+		pause.For(ctx, n.settings.LeaseDuration/renewals)
 		_, has := n.leases.Held(dutyShard)
 		if has != held {
 			held = has
@@ -78,7 +78,7 @@
 		if held || n.standsBy() && n.mustLook() {
 			n.leases.Step(ctx, map[lease.Shard]lease.Intent{dutyShard: lease.Acquire})
 		}
-		pause.For(ctx, n.settings.Lease/renewals)
+		pause.For(ctx, n.settings.LeaseDuration/renewals)
 	}
 }
 
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -51,19 +51,19 @@
 	}
 	loop := n.watchdog.Watch("heartbeat")
 	for !n.writesRow() {
-		loop.Round()
+		loop.Kick()
 		// Digests have this host.
 		if !pause.For(ctx, rowCheck) {
 			return
 		}
 	}
 	for least := settling; ctx.Err() == nil; least = 0 {
-		loop.Round()
+		loop.Kick()
 		written := time.Now()
 		n.writeRow(ctx)
 		// Whether this host has callers changes meanwhile.
 		for pause.For(ctx, rowCheck); ctx.Err() == nil && (!n.writesRow() || time.Since(written) < n.rowPause(least)); {
-			loop.Round()
+			loop.Kick()
 			pause.For(ctx, rowCheck)
 		}
 	}
@@ -159,8 +159,8 @@
 		Incarnation:   string(n.incarnation),
 		Node:          n.settings.Node,
 		DataCenter:    n.settings.DataCenter,
-		CallerAddress: n.settings.Callers,
-		PeerAddress:   n.settings.Peers,
+		CallerAddress: n.settings.CallerAddress,
+		PeerAddress:   n.settings.PeerAddress,
 		StartedAt:     n.clock.Since(),
 		Millicores:    int(millicores * n.settings.Cores),
 		Leaving:       n.life.leaving(),
--- a/pkg/app/node/listen.go
+++ b/pkg/app/node/listen.go
@@ -36,11 +36,11 @@
 		name, address string
 		server        *http.Server
 	}{
-		{"callers", n.settings.Callers, callers},
-		{"ready", n.settings.Ready, &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
-		{"directory", n.settings.Directory, &http.Server{Handler: n.directoryHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
-		{"peers", n.settings.Peers, &http.Server{Handler: n.peersHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
-		{"metrics", n.settings.Admin, &http.Server{Handler: process.Admin(n.registry, n.isReady), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
+		{"callers", n.settings.CallerAddress, callers},
+		{"ready", n.settings.ReadyAddress, &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
+		{"directory", n.settings.DirectoryAddress, &http.Server{Handler: n.directoryHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
+		{"peers", n.settings.PeerAddress, &http.Server{Handler: n.peersHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
+		{"metrics", n.settings.AdminAddress, &http.Server{Handler: process.AdminMux(n.registry, n.isReady), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
 	}
 	config := net.ListenConfig{
 		Control:         upstream.ControlUserTimeout(deadPeer),
@@ -84,7 +84,7 @@
 	mux.HandleFunc("GET "+n.platform.DirectoryPath(), func(w http.ResponseWriter, _ *http.Request) {
 		entries := n.view.Roster().AdvertisedHosts()
 		if len(entries) == 0 && !n.life.leaving() {
-			entries = []roster.AdvertisedHost{{Node: n.settings.Node, DataCenter: n.settings.DataCenter, CallerAddress: n.settings.Callers}}
+			entries = []roster.AdvertisedHost{{Node: n.settings.Node, DataCenter: n.settings.DataCenter, CallerAddress: n.settings.CallerAddress}}
 		}
 		if err := n.platform.EncodeEntries(w, entries, entriesKept); err != nil {
 			n.log.Debug().Err(err).Msg("a caller left while it was told the entries")
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -109,7 +109,7 @@
 		RunE: func(*cobra.Command, []string) error {
 			settings, err := platform.ReadSettings()
 			if err != nil {
-				exit = process.ExitSettings
+				exit = process.ExitInvalidSettings
 				return err
 			}
 			if check {
@@ -122,7 +122,7 @@
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		if exit == process.ExitOK {
-			exit = process.ExitFault
+			exit = process.ExitFailure
 		}
 	}
 	return exit
@@ -140,8 +140,8 @@
 
 func tuneMemory(s Settings) {
 	debug.SetGCPercent(collectAt)
-	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryMB) * (1 << 20)))
+	if s.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimitMB) * (1 << 20)))
 	}
 }
 
@@ -185,12 +185,12 @@
 	}
 	started := time.Now()
 	n.life.leave()
-	n.log.Info().Dur("grace", n.settings.Grace).Msg("stopping")
+	n.log.Info().Dur("grace", n.settings.GracePeriod).Msg("stopping")
 	endDuties()
 	if n.writesRow() {
 		go n.writeRow(background)
 	}
-	pause.For(background, n.settings.Grace-stopMargin-closeTime-time.Since(started))
+	pause.For(background, n.settings.GracePeriod-stopMargin-closeTime-time.Since(started))
 	closing, done := context.WithTimeout(background, closeTime)
 	defer done()
 	for _, s := range servers {
@@ -230,14 +230,14 @@
 
 // exchange starts to tell the other hosts what is under way here.
 func (n *node) exchange(ctx context.Context) error {
-	e, err := gossip.Listen(n.settings.Peers, n.host(), n.view.Roster(), n.update, n.receive, n.clock.Now, n.log)
+	e, err := gossip.Listen(n.settings.PeerAddress, n.host(), n.view.Roster(), n.update, n.receive, n.clock.Now, n.log)
 	if err != nil {
 		return err
 	}
 	n.datagrams.set(e)
 	loop := n.watchdog.Watch("exchange")
 	go e.Run(ctx, func() {
-		loop.Round()
+		loop.Kick()
 		n.applyLoads()
 	})
 	go e.SendUrgent(ctx, n.router.Urgent(), n.updateOf)
@@ -263,7 +263,7 @@
 	loop := n.watchdog.Watch("sweep")
 	for ctx.Err() == nil {
 		pause.For(ctx, sweepPause)
-		loop.Round()
+		loop.Kick()
 		n.pool.Sweep(n.inUse())
 	}
 }
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -68,7 +68,7 @@
 
 func newPeerClient() peerClient { return peerClient{&http.Client{Transport: newTransport()}} }
 
-func newLog(s Settings) *log.Logger { return process.NewAsyncLog(os.Stdout, s.Node) }
+func newLog(s Settings) *log.Logger { return process.NewAsyncLogger(os.Stdout, s.Node) }
 
 func newPool() *upstream.Pool { return upstream.New(deadPeer) }
 
@@ -150,7 +150,7 @@
 }
 
 func newLeases(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
-	return lease.New(writer, string(self), lease.Timing{Duration: s.Lease, RenewInterval: s.Lease / renewals}, boottime.Now)
+	return lease.New(writer, string(self), lease.Timing{Duration: s.LeaseDuration, RenewInterval: s.LeaseDuration / renewals}, boottime.Now)
 }
 
 func newDutyCloud(platform Platform, client storeClient, s Settings, leases *lease.Manager) *dutyCloud {
--- a/pkg/app/node/settings.go
+++ b/pkg/app/node/settings.go
@@ -12,15 +12,15 @@
 	"ironhollow/pkg/rollout"
 )
 
-// RetryBounds bound what all nodes together send again.
-type RetryBounds struct {
+// RetryBudget bound what all nodes together send again.
+type RetryBudget struct {
 	// Share is of a service's requests in a window, Slack comes on top.
 	Share, Slack float64
 	Window       time.Duration
 }
 
-// LimitBounds say how far all nodes together may pass a team's limit.
-type LimitBounds struct {
+// LimitTolerance say how far all nodes together may pass a team's limit.
+type LimitTolerance struct {
 	Window time.Duration
 	// Overrun is a share of the limit, Slack comes on top, in its unit.
 	Overrun, Slack float64
@@ -30,24 +30,24 @@
 type Settings struct {
 	// Node names the host over all its processes.
 	Node, DataCenter string
-	// Callers, Ready and Directory are IP numbers and ports to listen at. Admin
+	// CallerAddress, ReadyAddress and DirectoryAddress are IP numbers and ports to listen at. AdminAddress
 	// serves metrics; it may be empty.
-	Callers, Ready, Directory, Admin string
-	// Peers is the address for datagrams of other hosts; it may be empty.
-	Peers        string
-	Store, Cloud string
-	// MemoryMB is the process's limit, 0 for none.
-	MemoryMB int
+	CallerAddress, ReadyAddress, DirectoryAddress, AdminAddress string
+	// PeerAddress is the address for datagrams of other hosts; it may be empty.
+	PeerAddress                string
+	StoreAddress, CloudAddress string
+	// MemoryLimitMB is the process's limit, 0 for none.
+	MemoryLimitMB int
 	// FirstStart says that the whole system starts for the first time.
 	FirstStart bool
 	// Cores is the process's share of the processor, in cores; 0 if unknown.
 	Cores float64
-	// Grace is the time from SIGTERM to SIGKILL.
-	Grace time.Duration
-	// Lease is how long a duty's lease lasts without renewal.
-	Lease  time.Duration
-	Retry  RetryBounds
-	Limits LimitBounds
+	// GracePeriod is the time from SIGTERM to SIGKILL.
+	GracePeriod time.Duration
+	// LeaseDuration is how long a duty's lease lasts without renewal.
+	LeaseDuration time.Duration
+	Retry         RetryBudget
+	Limits        LimitTolerance
 	// Rollouts bound what a version that turns out bad may get; no roll-outs are ordered
 	// where they are not set.
 	Rollouts rollout.Bounds
@@ -65,14 +65,14 @@
 		faults = append(faults, errors.New("the node's name is missing"))
 	}
 	addresses := []struct{ name, address string }{
-		{"callers", s.Callers}, {"ready", s.Ready}, {"directory", s.Directory}, {"store", s.Store},
+		{"callers", s.CallerAddress}, {"ready", s.ReadyAddress}, {"directory", s.DirectoryAddress}, {"store", s.StoreAddress},
 	}
 	for _, a := range addresses {
 		if err := httpx.CheckAddress(a.address); err != nil {
 			faults = append(faults, fmt.Errorf("address of %s: %w", a.name, err))
 		}
 	}
-	if s.Grace <= 0 || s.Lease <= 0 {
+	if s.GracePeriod <= 0 || s.LeaseDuration <= 0 {
 		faults = append(faults, errors.New("grace and lease must be above 0"))
 	}
 	if s.ReportsUsage && s.UsageWindow <= 0 {
--- a/pkg/app/process/log_test.go
+++ b/pkg/app/process/log_test.go
@@ -12,7 +12,7 @@
 func TestLogIsNotWaitedFor(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
-	logger := process.NewAsyncLog(writer, "node")
+	logger := process.NewAsyncLogger(writer, "node")
 	const lines = 20_000
 	done := make(chan time.Duration)
 	go func() {
@@ -31,7 +31,7 @@
 }
 
 func BenchmarkLogLine(b *testing.B) {
-	logger := process.NewAsyncLog(io.Discard, "node")
+	logger := process.NewAsyncLogger(io.Discard, "node")
 	for b.Loop() {
 		logger.Info().Str("request", "9c41d07be2a35f68").Str("outcome", "served").Dur("took", time.Millisecond).Msg("request")
 	}
--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -10,22 +10,22 @@
 	"ironhollow/pkg/table/tablehttp"
 )
 
-// Table says how the table service is reached and how much may be asked of it.
-type Table struct {
+// TableConfig says how the table service is reached and how much may be asked of it.
+type TableConfig struct {
 	Address string
 	Timeout time.Duration
 	Budget  table.Budget
 }
 
 // NewGuard returns the table service behind a guard.
-func NewGuard(t Table, client *http.Client) *table.Guard {
+func NewGuard(t TableConfig, client *http.Client) *table.Guard {
 	return table.NewGuard(tablehttp.New(t.Address, t.Timeout, client), t.Budget)
 }
 
 // TLS holds the keys between own processes and towards the others that connect
 // here, callers or operators; nil where TLS is off.
 type TLS struct {
-	Peer, Outer *secure.Loader
+	Peer, External *secure.Loader
 }
 
 // LoadTLS reads both sides' files.
@@ -38,7 +38,7 @@
 		}
 	}
 	if !outerFiles.Empty() {
-		t.Outer, err = secure.Load(outerFiles)
+		t.External, err = secure.Load(outerFiles)
 	}
 	return t, err
 }
@@ -59,12 +59,12 @@
 	return t.Peer.PeerServer()
 }
 
-// OuterServer returns the settings towards callers or operators, nil for no TLS.
-func (t TLS) OuterServer() *tls.Config {
-	if t.Outer == nil {
+// ExternalServer returns the settings towards callers or operators, nil for no TLS.
+func (t TLS) ExternalServer() *tls.Config {
+	if t.External == nil {
 		return nil
 	}
-	config := t.Outer.Server()
+	config := t.External.Server()
 	// The servers speak HTTP/1.1 alone on listeners of their own.
 	config.NextProtos = []string{"http/1.1"}
 	return config
--- a/pkg/app/process/process.go
+++ b/pkg/app/process/process.go
@@ -32,9 +32,9 @@
 
 // Exit codes of the processes.
 const (
-	ExitOK       = 0
-	ExitFault    = 1
-	ExitSettings = 2
+	ExitOK              = 0
+	ExitFailure         = 1
+	ExitInvalidSettings = 2
 )
 
 // Main runs a daemon's command line: --settings FILE, --check and
@@ -55,11 +55,11 @@
 			}
 			data, err := os.ReadFile(file)
 			if err != nil {
-				exit = ExitSettings
+				exit = ExitInvalidSettings
 				return fmt.Errorf("--settings: %w", err)
 			}
 			if err := read(file, data); err != nil {
-				exit = ExitSettings
+				exit = ExitInvalidSettings
 				return err
 			}
 			if check {
@@ -77,7 +77,7 @@
 	if err := command.ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		if exit == ExitOK {
-			exit = ExitFault
+			exit = ExitFailure
 		}
 	}
 	return exit
@@ -92,8 +92,8 @@
 	return err
 }
 
-// NewLog returns a logger of lines for changes of state.
-func NewLog(level, node string) *log.Logger {
+// NewLogger returns a logger of lines for changes of state.
+func NewLogger(level, node string) *log.Logger {
 	return &log.Logger{
 		Level:      log.ParseLevel(level),
 		TimeFormat: time.RFC3339Nano,
@@ -105,9 +105,9 @@
 // logQueue is how many lines wait for a slow reader.
 const logQueue = 1024
 
-// NewAsyncLog returns a logger that never waits for its reader: lines that find
+// NewAsyncLogger returns a logger that never waits for its reader: lines that find
 // the queue full are dropped. Close the logger's writer to write out the rest.
-func NewAsyncLog(w io.Writer, node string) *log.Logger {
+func NewAsyncLogger(w io.Writer, node string) *log.Logger {
 	return &log.Logger{
 		Level:      log.InfoLevel,
 		TimeFormat: time.RFC3339Nano,
@@ -131,8 +131,8 @@
 type Tracing struct {
 	// Address of an OTLP/HTTP collector; empty for off.
 	Address string
-	// Sample is the share of requests traced, 0 to 1.
-	Sample float64
+	// SampleRatio is the share of requests traced, 0 to 1.
+	SampleRatio float64
 }
 
 // NewTracer returns a provider of tracers and what ends it.
@@ -140,7 +140,7 @@
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	options := []trace.TracerProviderOption{
 		trace.WithResource(resource.NewWithAttributes(semconv.SchemaURL, semconv.ServiceName(name), semconv.ServiceInstanceID(node))),
-		trace.WithSampler(trace.ParentBased(trace.TraceIDRatioBased(t.Sample))),
+		trace.WithSampler(trace.ParentBased(trace.TraceIDRatioBased(t.SampleRatio))),
 	}
 	if t.Address == "" {
 		return trace.NewTracerProvider(trace.WithSampler(trace.NeverSample())), nil
@@ -153,8 +153,8 @@
 	return trace.NewTracerProvider(options...), nil
 }
 
-// Admin is the mux of the admin port: /metrics, /healthz, /readyz, profiles.
-func Admin(registry *prometheus.Registry, ready func() error) *http.ServeMux {
+// AdminMux is the mux of the admin port: /metrics, /healthz, /readyz, profiles.
+func AdminMux(registry *prometheus.Registry, ready func() error) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
--- a/pkg/app/soak/soak.go
+++ b/pkg/app/soak/soak.go
@@ -45,7 +45,7 @@
 	flags.BoolVar(&keep, "keep", false, "keep the logs of all seeds")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return process.ExitFault
+		return process.ExitFailure
 	}
 	return process.ExitOK
 }
--- a/pkg/app/standin/standin.go
+++ b/pkg/app/standin/standin.go
@@ -53,7 +53,7 @@
 		Use:   "passthrough",
 		Short: "A naive hop that checks nothing, to measure against",
 		RunE: func(command *cobra.Command, _ []string) error {
-			mux := process.Admin(process.NewRegistry(), func() error { return nil })
+			mux := process.AdminMux(process.NewRegistry(), func() error { return nil })
 			mux.Handle("/", services.Passthrough(to, httpx.NewClient(hopConns)))
 			return serveUntil(command.Context(), address, mux, make(chan struct{}))
 		},
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -85,7 +85,7 @@
 	mux.HandleFunc("/v1/services/{service}/{path...}", a.authenticated(a.servePlain))
 	mux.HandleFunc("GET /v1/entries", a.authenticated(a.serveEntries))
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		writeError(w, code.New(code.UnknownEndpoint, r.Method+" "+r.URL.Path))
+		writeError(w, code.New(code.UnknownPath, r.Method+" "+r.URL.Path))
 	})
 	chain := negroni.New(negroni.HandlerFunc(a.recover), negroni.HandlerFunc(a.count))
 	chain.UseHandler(mux)
--- a/pkg/callerapi/callerapi_test.go
+++ b/pkg/callerapi/callerapi_test.go
@@ -78,7 +78,7 @@
 		want                          code.Code
 	}{
 		{"no key", "POST", "/v1/chat/completions", "wrong", chat, code.UnknownKey},
-		{"a path that is not", "GET", "/v2", "secret", "", code.UnknownEndpoint},
+		{"a path that is not", "GET", "/v2", "secret", "", code.UnknownPath},
 		{"a body too long", "POST", "/v1/chat/completions", "secret", `{"model":"` + strings.Repeat("x", 5000) + `"}`, code.BodyTooLong},
 		{"a body that is no JSON", "POST", "/v1/chat/completions", "secret", "{", code.BadBody},
 		{"a plain service as a model", "POST", "/v1/chat/completions", "secret", strings.Replace(chat, "talk", "ledger", 1), code.WrongKind},
--- a/pkg/callerapi/chat.go
+++ b/pkg/callerapi/chat.go
@@ -122,7 +122,7 @@
 	took := time.Since(call.begun)
 	record := explain.Record{
 		Request: call.request.Prompt.Request, Team: call.team.Name(), Service: call.service.Name(),
-		Begun: call.begun, Took: took, Tokens: result.Usage.CompletionTokens, Hops: result.Hops,
+		StartedAt: call.begun, Duration: took, Tokens: result.Usage.CompletionTokens, Hops: result.Hops,
 	}
 	if err != nil {
 		record.Failure = err.Error()
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -97,7 +97,7 @@
 				switch {
 				case err == nil:
 					won++
-				case code.Of(err).Number() == code.RevisionRace.Number():
+				case code.Of(err).Number() == code.RevisionConflict.Number():
 					lost++
 				default:
 					t.Errorf("operator %d: got %v", operator, err)
@@ -247,7 +247,7 @@
 						revision, err := store.Publish(ctx, seen, fmt.Sprintf("%d/%d", operator, try), sections(t, 1+operator*10+try))
 						cancel()
 						number := code.Of(err).Number()
-						out := result{revision, err == nil, err != nil && number != code.RevisionRace.Number()}
+						out := result{revision, err == nil, err != nil && number != code.RevisionConflict.Number()}
 						if err != nil && number == code.StoreDown.Number() {
 							continue // Refused before it was written: no effect.
 						}
--- a/pkg/config/publisher.go
+++ b/pkg/config/publisher.go
@@ -160,7 +160,7 @@
 
 // Publish writes the sections as the revision after seen. It is done at most
 // once for one request name: a repeated request finds its own change and gets
-// that revision again. Errors carry RevisionRace, ApplyUnknown or StoreDown.
+// that revision again. Errors carry RevisionConflict, ApplyUnknown or StoreDown.
 func (s *Store) Publish(ctx context.Context, seen int64, request string, next []fleet.Section) (int64, error) {
 	if _, err := fleet.Build(seen+1, next); err != nil {
 		return 0, code.New(code.BadConfig, err.Error())
@@ -210,7 +210,7 @@
 			return stored.Revision, nil
 		}
 	}
-	return 0, code.New(code.RevisionRace, fmt.Sprintf("revision %d was seen, but %d is in force", seen, head))
+	return 0, code.New(code.RevisionConflict, fmt.Sprintf("revision %d was seen, but %d is in force", seen, head))
 }
 
 // revisionWrites puts the change row first: its insert is what decides an
--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -15,8 +15,8 @@
 // Record is one request as served.
 type Record struct {
 	Request, Team, Service string
-	Begun                  time.Time
-	Took                   time.Duration
+	StartedAt              time.Time
+	Duration               time.Duration
 	Tokens                 int
 	Hops                   []stream.Hop
 	// Failure and Code are empty for a request that was answered whole.
--- a/pkg/explain/logs.go
+++ b/pkg/explain/logs.go
@@ -14,7 +14,7 @@
 
 // Line is one structured log line.
 type Line struct {
-	At      time.Time
+	Time    time.Time
 	Node    string
 	Message string
 	fields  map[string]any
@@ -65,7 +65,7 @@
 		if err != nil {
 			continue
 		}
-		l.At = at
+		l.Time = at
 		lines = append(lines, l)
 	}
 	return lines, scanner.Err()
@@ -73,7 +73,7 @@
 
 // Step is one step of a request's way.
 type Step struct {
-	At   time.Time
+	Time time.Time
 	Node string
 	Text string
 }
@@ -82,27 +82,27 @@
 // believed when it took the request, each send, and the end. It is empty where
 // no line names the request.
 func Timeline(lines []Line, request string) []Step {
-	sort.SliceStable(lines, func(i, j int) bool { return lines[i].At.Before(lines[j].At) })
+	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 	var steps []Step
 	for i, l := range lines {
 		if l.Message == "request" && l.Text("request") == request {
 			steps = append(steps, wayOf(lines[:i], l)...)
 		}
 	}
-	sort.SliceStable(steps, func(i, j int) bool { return steps[i].At.Before(steps[j].At) })
+	sort.SliceStable(steps, func(i, j int) bool { return steps[i].Time.Before(steps[j].Time) })
 	return steps
 }
 
 // wayOf tells one host's part. before is all earlier lines.
 func wayOf(before []Line, l Line) []Step {
-	begun := l.At.Add(-l.millis("took"))
+	begun := l.Time.Add(-l.millis("took"))
 	var steps []Step
 	add := func(at time.Time, format string, args ...any) {
 		steps = append(steps, Step{at, l.Node, fmt.Sprintf(format, args...)})
 	}
 	add(begun, "taken: team %s, route %s, service %s, configuration %s", l.Text("team"), l.Text("route"), l.Text("service"), l.Text("config"))
 	for _, belief := range beliefs(before, l) {
-		add(belief.At, "believed since then: %s", describe(belief))
+		add(belief.Time, "believed since then: %s", describe(belief))
 	}
 	sent := begun
 	for i := 1; l.Text(hopField(i, "")) != ""; i++ {
@@ -122,7 +122,7 @@
 	if notes, ok := l.fields["notes"].([]any); ok && len(notes) > 0 {
 		end += fmt.Sprintf(" %v", notes)
 	}
-	add(l.At, "%s, %s bytes passed on", end, l.Text("bytes"))
+	add(l.Time, "%s, %s bytes passed on", end, l.Text("bytes"))
 	return steps
 }
 
@@ -159,7 +159,7 @@
 	for _, b := range latest {
 		list = append(list, b)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].At.Before(list[j].At) })
+	sort.Slice(list, func(i, j int) bool { return list[i].Time.Before(list[j].Time) })
 	return list
 }
 
--- a/pkg/forward/intake.go
+++ b/pkg/forward/intake.go
@@ -27,7 +27,7 @@
 		return code.New(code.NotReady, "no such route in a configuration that may be old")
 	}
 	if !ok {
-		return code.New(code.UnknownEndpoint, "no route")
+		return code.New(code.UnknownPath, "no route")
 	}
 	c.route = found
 	name := found.Pick(rand.Float64())
--- a/pkg/operatorapi/operatorwire/wire.go
+++ b/pkg/operatorapi/operatorwire/wire.go
@@ -152,8 +152,8 @@
 // FromRecord maps a request as remembered.
 func FromRecord(r explain.Record) ServedRequest {
 	s := ServedRequest{
-		Request: r.Request, Team: r.Team, Service: r.Service, Begun: r.Begun.Format(time.RFC3339Nano),
-		TookMS: ms(r.Took), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Hops: []Hop{},
+		Request: r.Request, Team: r.Team, Service: r.Service, Begun: r.StartedAt.Format(time.RFC3339Nano),
+		TookMS: ms(r.Duration), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Hops: []Hop{},
 	}
 	for _, h := range r.Hops {
 		s.Hops = append(s.Hops, Hop{h.Endpoint, ms(h.Expected), ms(h.Wait), h.CachedTokens, h.Tokens, h.Ending})
--- a/pkg/watchdog/watchdog.go
+++ b/pkg/watchdog/watchdog.go
@@ -71,8 +71,8 @@
 	return l
 }
 
-// Round notes that the loop has come round.
-func (l *Loop) Round() { l.rounds.Add(1) }
+// Kick notes that the loop has come round.
+func (l *Loop) Kick() { l.rounds.Add(1) }
 
 // Stalled returns an error that names a stalled loop, nil where there is none.
 func (w *Watchdog) Stalled() error {
--- a/pkg/watchdog/watchdog_test.go
+++ b/pkg/watchdog/watchdog_test.go
@@ -31,9 +31,9 @@
 		began := time.Now()
 		loops.Go(func() {
 			for ctx.Err() == nil {
-				sound.Round()
+				sound.Kick()
 				if time.Since(began) < hangsAt {
-					hangs.Round()
+					hangs.Kick()
 				}
 				time.Sleep(4 * time.Second)
 			}
@@ -69,7 +69,7 @@
 		ended := make(chan error, 1)
 		go func() { ended <- w.Run(ctx) }()
 		for range 20 {
-			loop.Round()
+			loop.Kick()
 			time.Sleep(9 * time.Second)
 		}
 		cancel()
