--- a/pkg/boottime/steady.go
+++ b/pkg/boottime/steady.go
@@ -1,6 +1,6 @@
-// Package boottime tells the time that has passed as others see it: the monotonic clock
-// stands still while the machine is suspended, and what was to end meanwhile would go on
-// after it, a lease that another holds by then too.
+// Package boottime provides a clock that counts the time for which the machine is suspended.
+// The monotonic clock stops during a suspension: by that clock, a lease that has expired
+// meanwhile would still be valid, although another process may hold it by then.
 package boottime
 
 import (
@@ -14,62 +14,64 @@
 )
 
 const (
-	// checkEvery bounds how long a suspension stays unseen, counted without it. A check
-	// takes three calls of the kernel.
-	checkEvery = 10 * time.Millisecond
-	// leastSuspension is told from the noise of reading two clocks one after the other.
-	leastSuspension = 5 * time.Millisecond
-	// mostBetween is how long reading them may take, checkTries how often it is tried.
-	mostBetween = time.Millisecond
-	checkTries  = 3
+	// checkInterval bounds the time, not counting the suspension itself, until a suspension is
+	// detected. A check makes three system calls.
+	checkInterval = 10 * time.Millisecond
+	// minSuspension is the shortest suspension that is counted. Smaller differences may come
+	// from reading the two clocks one after the other.
+	minSuspension = 5 * time.Millisecond
+	// maxReadTime is the longest that reading the clocks may take, maxReadAttempts the number of
+	// attempts.
+	maxReadTime     = time.Millisecond
+	maxReadAttempts = 3
 )
 
-// suspension is how long the machine has been suspended since the process started. It
-// never falls. It is safe for concurrent use.
-type suspension struct {
-	// read returns how much the clock that counts suspensions is before the one that
-	// does not; ok is false where that could not be read well.
-	read func() (ahead time.Duration, ok bool)
-
-	mu      sync.Mutex
-	base    time.Duration
-	total   time.Duration
-	checked time.Time
+// suspendCounter measures how long the machine has been suspended since the process started.
+// The total never decreases. It is safe for concurrent use.
+type suspendCounter struct {
+	// read returns how far the clock that counts suspensions is ahead of the one that does not;
+	// ok is false if the clocks could not be read accurately.
+	read func() (offset time.Duration, ok bool)
+
+	mu            sync.Mutex
+	initialOffset time.Duration
+	total         time.Duration
+	lastCheck     time.Time
 }
 
-func newSuspension(read func() (time.Duration, bool)) *suspension {
-	s := &suspension{read: read}
-	s.base, _ = read()
+func newSuspendCounter(read func() (time.Duration, bool)) *suspendCounter {
+	s := &suspendCounter{read: read}
+	s.initialOffset, _ = read()
 	return s
 }
 
-var machine = newSuspension(readClocks)
+var machine = newSuspendCounter(readClocks)
 
-func (s *suspension) get() time.Duration {
+func (s *suspendCounter) get() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if since := now.Sub(s.checked); since >= 0 && since < checkEvery {
+	if elapsed := now.Sub(s.lastCheck); elapsed >= 0 && elapsed < checkInterval {
 		return s.total
 	}
-	s.checked = now
-	if ahead, ok := s.read(); ok && ahead-s.base > s.total+leastSuspension {
-		s.total = ahead - s.base
+	s.lastCheck = now
+	if offset, ok := s.read(); ok && offset-s.initialOffset > s.total+minSuspension {
+		s.total = offset - s.initialOffset
 	}
 	return s.total
 }
 
-// readClocks reads the machine's clocks. Where the process is stopped between two of the
-// readings they are taken again.
-func readClocks() (ahead time.Duration, ok bool) {
-	for range checkTries {
+// readClocks returns how far CLOCK_BOOTTIME is ahead of CLOCK_MONOTONIC. It reads the clocks
+// again if the process was paused between two readings.
+func readClocks() (offset time.Duration, ok bool) {
+	for range maxReadAttempts {
 		var before, boot, after unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil ||
 			unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil ||
 			unix.ClockGettime(unix.CLOCK_MONOTONIC, &after) != nil {
 			return 0, false
 		}
-		if time.Duration(after.Nano()-before.Nano()) <= mostBetween {
+		if time.Duration(after.Nano()-before.Nano()) <= maxReadTime {
 			return time.Duration(boot.Nano() - before.Nano()), true
 		}
 	}
@@ -79,26 +81,28 @@
 // Suspended returns how long the machine has been suspended since the process started.
 func Suspended() time.Duration { return machine.get() }
 
-// Now returns the time as it has passed, for comparison with other times of this
-// package: a time of day it is not.
+// Now returns the current time on a clock that counts suspensions. It is to be compared only
+// with other times of this package and is not the time of day.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since returns the time that has passed since t, which is of this package.
+// Since returns the time elapsed since t, a time of this package.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until t, which is of this package.
+// Until returns the time until t, a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// wakePause is how soon after a suspension a context of WithTimeout ends: well within
-// what a machine is given after one.
-const wakePause = 50 * time.Millisecond
+// deadlineCheckInterval bounds how long after a suspension a context of WithTimeout that has
+// expired meanwhile is cancelled. It is well below the time that a machine has to react after
+// a suspension.
+const deadlineCheckInterval = 50 * time.Millisecond
 
-// WithTimeout returns a context that ends after a time, suspensions counted.
+// WithTimeout returns a context that is cancelled after d, including the time for which the
+// machine is suspended.
 func WithTimeout(parent context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, d)
 	deadline := Now().Add(d)
 	go func() {
-		for pause.For(ctx, wakePause) {
+		for pause.For(ctx, deadlineCheckInterval) {
 			if !Now().Before(deadline) {
 				cancel()
 			}
--- a/pkg/boottime/steady_internal_test.go
+++ b/pkg/boottime/steady_internal_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// clocks are a machine's, of which one counts suspensions.
-type clocks struct {
-	ahead time.Duration
-	ok    bool
+// fakeClocks simulates the clocks of a machine, one of which counts suspensions.
+type fakeClocks struct {
+	offset time.Duration
+	ok     bool
 }
 
-func (c *clocks) read() (time.Duration, bool) { return c.ahead, c.ok }
+func (c *fakeClocks) read() (time.Duration, bool) { return c.offset, c.ok }
 
-// Time that the machine was suspended for counts as passed once it is awake; what was so
-// before the process started does not count, nor the noise of reading clocks, and no
-// reading sets the time back.
-func TestSuspensionsCount(t *testing.T) {
+// Time for which the machine was suspended counts as elapsed once the machine is awake.
+// Suspensions before the start of the process and differences from reading the clocks one after
+// the other do not count, and no reading decreases the total.
+func TestSuspendedTimeCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machine := &clocks{ahead: time.Hour, ok: true}
-		s := newSuspension(machine.read)
+		machine := &fakeClocks{offset: time.Hour, ok: true}
+		s := newSuspendCounter(machine.read)
 		steps := []struct {
-			ahead time.Duration
-			ok    bool
-			want  time.Duration
+			offset time.Duration
+			ok     bool
+			want   time.Duration
 		}{
 			{time.Hour, true, 0},
 			{time.Hour + 2*time.Millisecond, true, 0},
@@ -34,29 +34,30 @@
 			{time.Hour + 9*time.Second, true, 9 * time.Second},
 		}
 		for i, step := range steps {
-			time.Sleep(checkEvery)
-			machine.ahead, machine.ok = step.ahead, step.ok
+			time.Sleep(checkInterval)
+			machine.offset, machine.ok = step.offset, step.ok
 			if got := s.get(); got != step.want {
-				t.Errorf("step %d: got suspended for %v, want %v", i, got, step.want)
+				t.Errorf("step %d: suspended time: got %v, want %v", i, got, step.want)
 			}
 		}
 	})
 }
 
-// A machine that is awake counts no suspension, and a context ends after its time.
-func TestAwake(t *testing.T) {
-	ahead, ok := readClocks()
-	if !ok || ahead < -mostBetween {
-		t.Fatalf("clocks of this machine: got %v, %v, want the one that counts suspensions not behind", ahead, ok)
+// On a machine that is not suspended, no suspension is counted and a context expires after its
+// timeout.
+func TestMachineNotSuspended(t *testing.T) {
+	offset, ok := readClocks()
+	if !ok || offset < -maxReadTime {
+		t.Fatalf("clock offset of this machine: got %v, %v, want CLOCK_BOOTTIME not behind CLOCK_MONOTONIC", offset, ok)
 	}
 	began := Now()
 	ctx, cancel := WithTimeout(t.Context(), 80*time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
 	if took := Since(began); took < 80*time.Millisecond || Until(began) > 0 {
-		t.Errorf("context of 80 ms: got an end after %v", took)
+		t.Errorf("context of 80 ms: expired after %v", took)
 	}
 	if got := Suspended(); got != 0 {
-		t.Errorf("suspended: got %v, want 0", got)
+		t.Errorf("suspended time: got %v, want 0", got)
 	}
 }
