--- a/pkg/watchdog/watchdog.go
+++ b/pkg/watchdog/watchdog.go
@@ -1,6 +1,6 @@
-// Package watchdog finds goroutines that do not come round their loop any more, as after a
-// deadlock. It counts its own ticks and not the clock: a process that was suspended or gets
-// no processor makes no ticks either.
+// Package watchdog detects goroutines whose loops have stalled, as after a deadlock. It counts
+// its own ticks rather than elapsed time, because a process that is suspended or gets no
+// processor time makes no ticks either.
 package watchdog
 
 import (
@@ -18,20 +18,21 @@
 	"ironhollow/pkg/metrics"
 )
 
-// Parameters of the watch.
+// Parameters of the checks.
 const (
-	// tick is the time between two looks. One that is later than lateTick is not counted.
-	tick     = time.Second
-	lateTick = 3 * tick / 2
-	// stalledAfter is after how many ticks without a round a loop is stalled, endAfter after
-	// how many the process is to end.
-	stalledAfter = 10
-	endAfter     = 20
-	// mostStacks bounds what is logged of the goroutines' stacks, in bytes.
-	mostStacks = 256 << 10
+	// checkInterval is the time between checks. A check that comes more than maxCheckInterval
+	// after the previous one is skipped.
+	checkInterval    = time.Second
+	maxCheckInterval = 3 * checkInterval / 2
+	// stallTicks is the number of ticks without a kick after which a loop is stalled, exitTicks
+	// the number after which the process must exit.
+	stallTicks = 10
+	exitTicks  = 20
+	// maxStackBytes bounds the size of the goroutine stacks in the log.
+	maxStackBytes = 256 << 10
 )
 
-// ErrStalled says that a loop did not come round for so long that the process must end.
+// ErrStalled is wrapped by the errors that name a stalled loop.
 var ErrStalled = errors.New("watchdog: a loop is stalled")
 
 // Watchdog watches loops. It is safe for concurrent use.
@@ -43,15 +44,15 @@
 	stalled atomic.Pointer[Loop]
 }
 
-// Loop is one goroutine that is watched.
+// Loop is a watched loop of a goroutine.
 type Loop struct {
 	name string
-	// rounds counts the rounds.
-	rounds atomic.Int64
-	// seen is rounds at the last look, ticks how many looks found no other since. The
-	// goroutine that watches uses them.
-	seen  int64
-	ticks int
+	// kicks counts the calls of Kick.
+	kicks atomic.Int64
+	// lastKicks is the value of kicks at the last check, idleTicks the number of checks since
+	// it changed. Only the goroutine of Run uses them.
+	lastKicks int64
+	idleTicks int
 }
 
 // New returns a watchdog without loops.
@@ -62,7 +63,7 @@
 	}
 }
 
-// Watch adds a loop, which must come round every few seconds from then on.
+// Watch adds a loop. From then on, the loop must call Kick every few seconds.
 func (w *Watchdog) Watch(name string) *Loop {
 	l := &Loop{name: name}
 	w.mu.Lock()
@@ -71,10 +72,10 @@
 	return l
 }
 
-// Kick notes that the loop has come round.
-func (l *Loop) Kick() { l.rounds.Add(1) }
+// Kick records an iteration of the loop.
+func (l *Loop) Kick() { l.kicks.Add(1) }
 
-// Stalled returns an error that names a stalled loop, nil where there is none.
+// Stalled returns an error that names a stalled loop, or nil if no loop is stalled.
 func (w *Watchdog) Stalled() error {
 	if l := w.stalled.Load(); l != nil {
 		return fmt.Errorf("%w: %s", ErrStalled, l.name)
@@ -82,12 +83,12 @@
 	return nil
 }
 
-// Run watches until ctx ends, or until a loop is stalled for so long that the process must
-// end; then it returns an error that names the loop.
+// Run checks the loops until ctx is done. If a loop is stalled for so long that the process must
+// exit, it returns an error that names the loop.
 func (w *Watchdog) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	last := time.Now()
+	lastTick := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,37 +96,37 @@
 		case <-ticker.C:
 		}
 		now := time.Now()
-		late := now.Sub(last) > lateTick
-		last = now
+		late := now.Sub(lastTick) > maxCheckInterval
+		lastTick = now
 		if late {
 			continue
 		}
-		if err := w.look(); err != nil {
+		if err := w.check(); err != nil {
 			return err
 		}
 	}
 }
 
-// look looks at all loops once.
-func (w *Watchdog) look() error {
+// check checks all loops once.
+func (w *Watchdog) check() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var stalled *Loop
 	for _, l := range w.loops {
-		if rounds := l.rounds.Load(); rounds != l.seen {
-			l.seen, l.ticks = rounds, 0
+		if kicks := l.kicks.Load(); kicks != l.lastKicks {
+			l.lastKicks, l.idleTicks = kicks, 0
 			continue
 		}
-		l.ticks++
-		if l.ticks == stalledAfter {
+		l.idleTicks++
+		if l.idleTicks == stallTicks {
 			w.report(l)
 		}
-		if l.ticks >= stalledAfter && (stalled == nil || l.ticks > stalled.ticks) {
+		if l.idleTicks >= stallTicks && (stalled == nil || l.idleTicks > stalled.idleTicks) {
 			stalled = l
 		}
 	}
 	w.stalled.Store(stalled)
-	if stalled != nil && stalled.ticks >= endAfter {
+	if stalled != nil && stalled.idleTicks >= exitTicks {
 		return fmt.Errorf("%w: %s", ErrStalled, stalled.name)
 	}
 	return nil
@@ -133,7 +134,7 @@
 
 func (w *Watchdog) report(l *Loop) {
 	w.stalls.WithLabelValues(l.name).Inc()
-	stacks := make([]byte, mostStacks)
+	stacks := make([]byte, maxStackBytes)
 	stacks = stacks[:runtime.Stack(stacks, true)]
-	w.log.Error().Str("loop", l.name).Int("ticks", l.ticks).Bytes("stacks", stacks).Msg("loop is stalled")
+	w.log.Error().Str("loop", l.name).Int("ticks", l.idleTicks).Bytes("stacks", stacks).Msg("loop is stalled")
 }
