--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain keeps how the latest requests were served, so that an
-// operator can ask why a request went where it went.
+// Package explain records how the latest requests were served and reads the hosts' logs, so that
+// an operator can find out why a request was routed as it was.
 package explain
 
 import (
@@ -9,25 +9,25 @@
 	"ironhollow/pkg/stream"
 )
 
-// kept is how many requests are remembered.
-const kept = 512
+// capacity is the number of requests that a history keeps.
+const capacity = 512
 
-// Record is one request as served.
+// Record describes how a request was served.
 type Record struct {
 	Request, Team, Service string
 	StartedAt              time.Time
 	Duration               time.Duration
 	Tokens                 int
 	Hops                   []stream.Hop
-	// Failure and Code are empty for a request that was answered whole.
+	// Failure and Code are empty for a request that was answered completely.
 	Failure string
 	Code    int
 }
 
-// History is the latest requests. It is safe for concurrent use.
+// History contains the latest requests. It is safe for concurrent use.
 type History struct {
 	mu      sync.Mutex
-	records [kept]Record
+	records [capacity]Record
 	next    int
 	count   int
 }
@@ -35,18 +35,18 @@
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{} }
 
-// Add remembers a request and forgets the oldest.
+// Add adds a request. It replaces the oldest one if the history is full.
 func (h *History) Add(r Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.records[h.next] = r
-	h.next = (h.next + 1) % kept
-	h.count = min(h.count+1, kept)
+	h.next = (h.next + 1) % capacity
+	h.count = min(h.count+1, capacity)
 }
 
-// Find returns a remembered request.
+// Find returns the record of a request if the history still has it.
 func (h *History) Find(request string) (Record, bool) {
-	for _, r := range h.Latest(kept) {
+	for _, r := range h.Latest(capacity) {
 		if r.Request == request {
 			return r, true
 		}
@@ -54,13 +54,13 @@
 	return Record{}, false
 }
 
-// Latest returns the latest requests, newest first.
+// Latest returns up to count of the latest requests, newest first.
 func (h *History) Latest(count int) []Record {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	list := make([]Record, 0, min(count, h.count))
 	for i := 1; i <= h.count && len(list) < count; i++ {
-		list = append(list, h.records[(h.next-i+kept)%kept])
+		list = append(list, h.records[(h.next-i+capacity)%capacity])
 	}
 	return list
 }
--- a/pkg/explain/logs.go
+++ b/pkg/explain/logs.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Line is one structured log line.
+// Line is a structured log line.
 type Line struct {
 	Time    time.Time
 	Node    string
@@ -20,7 +20,7 @@
 	fields  map[string]any
 }
 
-// Text returns a field as text, empty if it is not there.
+// Text returns a field as text, or "" if the line does not have it.
 func (l Line) Text(name string) string {
 	switch v := l.fields[name].(type) {
 	case string:
@@ -34,20 +34,20 @@
 	}
 }
 
-// millis returns a field that holds milliseconds.
+// millis returns the value of a field in milliseconds.
 func (l Line) millis(name string) time.Duration {
 	v, _ := l.fields[name].(float64)
 	return time.Duration(v * float64(time.Millisecond))
 }
 
-// mostLine bounds a log line.
-const mostLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// ReadLogs reads the structured lines of a log; what stands before a line's
-// brace, and lines without one, are left out.
+// ReadLogs reads the structured lines of a log. It ignores any text before the first brace of a
+// line, and lines without a brace.
 func ReadLogs(r io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, mostLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		_, text, ok := bytes.Cut(scanner.Bytes(), []byte("{"))
@@ -71,46 +71,47 @@
 	return lines, scanner.Err()
 }
 
-// Step is one step of a request's way.
+// Step is a step in the handling of a request.
 type Step struct {
 	Time time.Time
 	Node string
 	Text string
 }
 
-// Timeline tells a request's way over all hosts from their logs: what each host
-// believed when it took the request, each send, and the end. It is empty where
-// no line names the request.
+// Timeline reconstructs from the logs of all hosts how a request was handled: the state that each
+// host knew when it accepted the request, each attempt, and the outcome. It is empty if no line
+// names the request.
 func Timeline(lines []Line, request string) []Step {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 	var steps []Step
 	for i, l := range lines {
 		if l.Message == "request" && l.Text("request") == request {
-			steps = append(steps, wayOf(lines[:i], l)...)
+			steps = append(steps, hostSteps(lines[:i], l)...)
 		}
 	}
 	sort.SliceStable(steps, func(i, j int) bool { return steps[i].Time.Before(steps[j].Time) })
 	return steps
 }
 
-// wayOf tells one host's part. before is all earlier lines.
-func wayOf(before []Line, l Line) []Step {
-	begun := l.Time.Add(-l.millis("took"))
+// hostSteps returns the steps of one host, whose line about the request is l; earlier are all
+// lines before it.
+func hostSteps(earlier []Line, l Line) []Step {
+	startedAt := l.Time.Add(-l.millis("took"))
 	var steps []Step
 	add := func(at time.Time, format string, args ...any) {
 		steps = append(steps, Step{at, l.Node, fmt.Sprintf(format, args...)})
 	}
-	add(begun, "taken: team %s, route %s, service %s, configuration %s", l.Text("team"), l.Text("route"), l.Text("service"), l.Text("config"))
-	for _, belief := range beliefs(before, l) {
-		add(belief.Time, "believed since then: %s", describe(belief))
+	add(startedAt, "taken: team %s, route %s, service %s, configuration %s", l.Text("team"), l.Text("route"), l.Text("service"), l.Text("config"))
+	for _, state := range stateLines(earlier, l) {
+		add(state.Time, "believed since then: %s", describe(state))
 	}
-	sent := begun
+	sentAt := startedAt
 	for i := 1; l.Text(hopField(i, "")) != ""; i++ {
 		took := l.millis(hopField(i, "-took"))
-		add(sent, "sent to %s (row %s): expected %s ms, %s ms behind others, %s tokens cached", l.Text(hopField(i, "")), l.Text(hopField(i, "-row")),
+		add(sentAt, "sent to %s (row %s): expected %s ms, %s ms behind others, %s tokens cached", l.Text(hopField(i, "")), l.Text(hopField(i, "-row")),
 			l.Text(hopField(i, "-expected")), l.Text(hopField(i, "-queued")), l.Text(hopField(i, "-cached")))
-		sent = sent.Add(took)
-		add(sent, "%s after %v: %s", l.Text(hopField(i, "")), took, l.Text(hopField(i, "-end")))
+		sentAt = sentAt.Add(took)
+		add(sentAt, "%s after %v: %s", l.Text(hopField(i, "")), took, l.Text(hopField(i, "-end")))
 	}
 	end := "ended: " + l.Text("outcome")
 	if status := l.Text("status"); status != "" {
@@ -128,36 +129,37 @@
 
 func hopField(i int, suffix string) string { return "hop" + strconv.Itoa(i) + suffix }
 
-// beliefs are the latest lines on what decided: the configuration, the endpoints
-// asked, dependencies that are lost, and whether the host stops.
-func beliefs(before []Line, l Line) []Line {
-	hops := map[string]bool{}
+// stateLines returns the latest lines about the state that decided how the request was handled:
+// the configuration, the endpoints it was sent to, dependencies that were lost, and whether the
+// host was stopping.
+func stateLines(earlier []Line, l Line) []Line {
+	endpoints := map[string]bool{}
 	for i := 1; l.Text(hopField(i, "")) != ""; i++ {
-		hops[l.Text(hopField(i, ""))] = true
+		endpoints[l.Text(hopField(i, ""))] = true
 	}
 	latest := map[string]Line{}
-	for _, b := range before {
-		if b.Node != l.Node {
+	for _, line := range earlier {
+		if line.Node != l.Node {
 			continue
 		}
-		switch b.Message {
+		switch line.Message {
 		case "configuration in force", "stopping", "lease of the duties", "part in the fleet":
-			latest[b.Message] = b
+			latest[line.Message] = line
 		case "endpoint", "endpoint gone", "endpoint's row lapsed while the store was away":
-			if hops[b.Text("endpoint")] {
-				latest["endpoint "+b.Text("endpoint")] = b
+			if endpoints[line.Text("endpoint")] {
+				latest["endpoint "+line.Text("endpoint")] = line
 			}
 		case "store lost":
-			latest["store "+b.Text("feed")] = b
+			latest["store "+line.Text("feed")] = line
 		case "store back":
-			delete(latest, "store "+b.Text("feed"))
+			delete(latest, "store "+line.Text("feed"))
 		case "start":
 			clear(latest)
 		}
 	}
 	list := make([]Line, 0, len(latest))
-	for _, b := range latest {
-		list = append(list, b)
+	for _, line := range latest {
+		list = append(list, line)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Time.Before(list[j].Time) })
 	return list
--- a/pkg/explain/logs_test.go
+++ b/pkg/explain/logs_test.go
@@ -7,7 +7,7 @@
 	"ironhollow/pkg/explain"
 )
 
-// Lines of two hosts as processes write them, one with a prefix of a collector.
+// logs has lines of two hosts as the processes write them, one with the prefix of a log collector.
 const logs = `
   -9.9 host {"time":"2026-02-04T06:00:00Z","level":"info","node":"a","message":"start"}
 {"time":"2026-02-04T06:00:01Z","level":"info","node":"a","version":7,"routes":17,"message":"configuration in force"}
@@ -47,6 +47,6 @@
 		}
 	}
 	if steps := explain.Timeline(lines, "never seen"); len(steps) != 0 {
-		t.Errorf("a request nobody logged: got %v, want nothing", steps)
+		t.Errorf("a request that no line names: got %v, want no steps", steps)
 	}
 }
