--- a/pkg/code/code.go
+++ b/pkg/code/code.go
@@ -1,6 +1,6 @@
-// Package code holds the numbered result codes that callers and operators see.
-// Every code has a number, a name, an HTTP status and one of three outcomes,
-// and docs/ERRORS.md lists them all (a test holds the page to this table).
+// Package code defines the numbered result codes that callers and operators see. Each code has a
+// number, a name, an HTTP status and one of three outcomes. docs/ERRORS.md lists all codes, and a
+// test checks that the list matches the table in this package.
 package code
 
 import (
@@ -10,24 +10,24 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Outcome says what a code tells the caller about its request.
+// Outcome is what a code says about the execution of a request.
 type Outcome string
 
-// The outcomes a caller can tell apart.
+// The outcomes.
 const (
-	// Done means that the request ran to its end.
+	// Done means that the request ran to completion.
 	Done Outcome = "done"
-	// NotRun means that the request provably did not run and never will.
+	// NotRun means that the request is known not to have run and never will.
 	NotRun Outcome = "not-run"
-	// Unknown means that the request may have run, once at most.
+	// Unknown means that the request may have run, but at most once.
 	Unknown Outcome = "unknown"
 )
 
-// Code is one numbered result.
+// Code is a result code.
 type Code struct {
 	// number is unique in the table and never reused.
 	number int
-	// name is the stable word used in bodies.
+	// name is the stable name that is sent in bodies.
 	name    string
 	status  int
 	outcome Outcome
@@ -43,14 +43,14 @@
 // Status returns the HTTP status the code is sent with.
 func (c Code) Status() int { return c.status }
 
-// Outcome returns what the code tells about the request.
+// Outcome returns the outcome of the request.
 func (c Code) Outcome() Outcome { return c.outcome }
 
-// Meaning returns one sentence for the reader.
+// Meaning returns one sentence that explains the code to the reader.
 func (c Code) Meaning() string { return c.meaning }
 
-// The result codes. 1xxx: the request; 2xxx: the service; 3xxx: calls and
-// jobs; 4xxx: operators; 5xxx: the system itself.
+// The result codes: 1xxx for requests, 2xxx for services, 3xxx for calls and jobs, 4xxx for
+// operators, 5xxx for the system itself.
 var (
 	BadBody          = Code{1001, "bad-body", http.StatusBadRequest, NotRun, "The body is not what this call takes; the message says where."}
 	BodyTooLong      = Code{1002, "body-too-long", http.StatusRequestEntityTooLarge, NotRun, "The body is longer than the limit."}
@@ -82,7 +82,7 @@
 	UnknownPath      = Code{5004, "no-such-path", http.StatusNotFound, NotRun, "No such path."}
 )
 
-// All returns every code in the order of its number.
+// All returns all codes, ordered by number.
 func All() []Code {
 	return []Code{
 		BadBody, BodyTooLong, UnknownKey, BadHeader, UnknownService, UnknownJob, WrongKind,
@@ -103,16 +103,16 @@
 	return Code{}, false
 }
 
-type valueKey struct{}
+type codeKey struct{}
 
-// New returns an error that carries the code and a message for the reader.
+// New returns an error with a code and a message for the reader.
 func New(c Code, message string) error {
-	return merry.Wrap(errors.New(message), merry.WithValue(valueKey{}, c), merry.WithHTTPCode(c.status), merry.NoCaptureStack())
+	return merry.Wrap(errors.New(message), merry.WithValue(codeKey{}, c), merry.WithHTTPCode(c.status), merry.NoCaptureStack())
 }
 
-// Of returns the code an error carries, Internal if it carries none.
+// Of returns the code of an error, or Internal if it has none.
 func Of(err error) Code {
-	c, ok := merry.Value(err, valueKey{}).(Code)
+	c, ok := merry.Value(err, codeKey{}).(Code)
 	if !ok {
 		return Internal
 	}
--- a/pkg/code/code_test.go
+++ b/pkg/code/code_test.go
@@ -9,7 +9,7 @@
 	"ironhollow/pkg/code"
 )
 
-// TestPageListsAllCodes holds docs/ERRORS.md to the table in the code.
+// TestPageListsAllCodes checks that docs/ERRORS.md matches the table of codes.
 func TestPageListsAllCodes(t *testing.T) {
 	page, err := os.ReadFile("../../docs/ERRORS.md")
 	if err != nil {
@@ -18,7 +18,7 @@
 	seen := map[int]bool{}
 	for _, c := range code.All() {
 		if seen[c.Number()] {
-			t.Errorf("number %d stands twice", c.Number())
+			t.Errorf("number %d is used twice", c.Number())
 		}
 		seen[c.Number()] = true
 		row := fmt.Sprintf("| %d | %s | %d | %s | %s |", c.Number(), c.Name(), c.Status(), c.Outcome(), c.Meaning())
@@ -27,6 +27,6 @@
 		}
 	}
 	if got, want := strings.Count(string(page), "\n| "), len(code.All())+1; got != want {
-		t.Errorf("docs/ERRORS.md: got %d rows with its head, want %d", got, want)
+		t.Errorf("docs/ERRORS.md: got %d rows including the header, want %d", got, want)
 	}
 }
