--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -10,26 +10,27 @@
 	"ironhollow/pkg/table/tablehttp"
 )
 
-// TableConfig says how the table service is reached and how much may be asked of it.
+// TableConfig configures the client of the table service: its address, the timeout of a call, and
+// the budget of calls.
 type TableConfig struct {
 	Address string
 	Timeout time.Duration
 	Budget  table.Budget
 }
 
-// NewGuard returns the table service behind a guard.
+// NewGuard returns a client of the table service that is limited by a guard.
 func NewGuard(t TableConfig, client *http.Client) *table.Guard {
 	return table.NewGuard(tablehttp.New(t.Address, t.Timeout, client), t.Budget)
 }
 
-// TLS holds the keys between own processes and towards the others that connect
-// here, callers or operators; nil where TLS is off.
+// TLS has the keys for connections between own processes (Peer) and for connections from callers
+// or operators (External). A nil loader turns TLS off.
 type TLS struct {
 	Peer, External *secure.Loader
 }
 
-// LoadTLS reads both sides' files.
-func LoadTLS(peerFiles, outerFiles secure.Files) (TLS, error) {
+// LoadTLS loads the files for peers and for external connections. It skips those that are not set.
+func LoadTLS(peerFiles, externalFiles secure.Files) (TLS, error) {
 	var t TLS
 	var err error
 	if !peerFiles.Empty() {
@@ -37,13 +38,13 @@
 			return t, err
 		}
 	}
-	if !outerFiles.Empty() {
-		t.External, err = secure.Load(outerFiles)
+	if !externalFiles.Empty() {
+		t.External, err = secure.Load(externalFiles)
 	}
 	return t, err
 }
 
-// PeerClient returns the settings for links to own processes, nil for no TLS.
+// PeerClient returns the configuration for connections to own processes, nil without TLS.
 func (t TLS) PeerClient() *tls.Config {
 	if t.Peer == nil {
 		return nil
@@ -51,7 +52,7 @@
 	return t.Peer.PeerClient()
 }
 
-// PeerServer returns the settings for links from own processes, nil for no TLS.
+// PeerServer returns the configuration for connections from own processes, nil without TLS.
 func (t TLS) PeerServer() *tls.Config {
 	if t.Peer == nil {
 		return nil
@@ -59,13 +60,14 @@
 	return t.Peer.PeerServer()
 }
 
-// ExternalServer returns the settings towards callers or operators, nil for no TLS.
+// ExternalServer returns the configuration for connections from callers or operators, nil without
+// TLS.
 func (t TLS) ExternalServer() *tls.Config {
 	if t.External == nil {
 		return nil
 	}
 	config := t.External.Server()
-	// The servers speak HTTP/1.1 alone on listeners of their own.
+	// The servers speak only HTTP/1.1, on separate listeners.
 	config.NextProtos = []string{"http/1.1"}
 	return config
 }
--- a/pkg/app/process/process.go
+++ b/pkg/app/process/process.go
@@ -1,5 +1,5 @@
-// Package process holds what all ironhollow processes share: reading and
-// checking settings, logs, the admin port, traces and signals.
+// Package process contains what all ironhollow processes share: the command line, checking of
+// settings, logging, the admin port, tracing and signal handling.
 package process
 
 import (
@@ -37,9 +37,9 @@
 	ExitInvalidSettings = 2
 )
 
-// Main runs a daemon's command line: --settings FILE, --check and
-// --print-defaults. read checks a settings file; run serves until ctx ends.
-func Main(name string, schemaText []byte, read func(file string, data []byte) error, run func(ctx context.Context, file string, data []byte) error) int {
+// Main runs the command line of a daemon: --settings FILE, --check and --print-defaults. validate
+// checks a settings file; run serves until ctx is done.
+func Main(name string, schemaText []byte, validate func(file string, data []byte) error, run func(ctx context.Context, file string, data []byte) error) int {
 	var file string
 	var check, defaults bool
 	exit := ExitOK
@@ -58,7 +58,7 @@
 				exit = ExitInvalidSettings
 				return fmt.Errorf("--settings: %w", err)
 			}
-			if err := read(file, data); err != nil {
+			if err := validate(file, data); err != nil {
 				exit = ExitInvalidSettings
 				return err
 			}
@@ -84,15 +84,15 @@
 }
 
 func printDefaults(out io.Writer, schemaText []byte) error {
-	shape, err := settings.ParseSchema(schemaText)
+	schema, err := settings.ParseSchema(schemaText)
 	if err != nil {
 		return err
 	}
-	_, err = io.WriteString(out, shape.Defaults())
+	_, err = io.WriteString(out, schema.Defaults())
 	return err
 }
 
-// NewLogger returns a logger of lines for changes of state.
+// NewLogger returns a logger for changes of state. It writes to standard error.
 func NewLogger(level, node string) *log.Logger {
 	return &log.Logger{
 		Level:      log.ParseLevel(level),
@@ -102,40 +102,40 @@
 	}
 }
 
-// logQueue is how many lines wait for a slow reader.
-const logQueue = 1024
+// logQueueSize is the number of lines that are queued for a slow reader.
+const logQueueSize = 1024
 
-// NewAsyncLogger returns a logger that never waits for its reader: lines that find
-// the queue full are dropped. Close the logger's writer to write out the rest.
+// NewAsyncLogger returns a logger that never blocks on the reader of w: lines are dropped while the
+// queue is full. Closing the logger's writer writes out the queued lines.
 func NewAsyncLogger(w io.Writer, node string) *log.Logger {
 	return &log.Logger{
 		Level:      log.InfoLevel,
 		TimeFormat: time.RFC3339Nano,
 		Context:    log.NewContext(nil).Str("node", node).Value(),
 		Writer: &log.AsyncWriter{
-			ChannelSize:   logQueue,
+			ChannelSize:   logQueueSize,
 			DiscardOnFull: true,
 			Writer:        &log.IOWriter{Writer: w},
 		},
 	}
 }
 
-// NewRegistry returns a registry with the process's own figures.
+// NewRegistry returns a registry with the metrics of the process and of the Go runtime.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}), collectors.NewGoCollector())
 	return registry
 }
 
-// Tracing is where spans go.
+// Tracing configures the export of spans.
 type Tracing struct {
-	// Address of an OTLP/HTTP collector; empty for off.
+	// Address is the address of an OTLP/HTTP collector; tracing is off if it is empty.
 	Address string
-	// SampleRatio is the share of requests traced, 0 to 1.
+	// SampleRatio is the fraction of requests that are traced, from 0 to 1.
 	SampleRatio float64
 }
 
-// NewTracer returns a provider of tracers and what ends it.
+// NewTracer returns a tracer provider. The caller must shut it down.
 func NewTracer(ctx context.Context, t Tracing, name, node string) (*trace.TracerProvider, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	options := []trace.TracerProviderOption{
@@ -153,7 +153,7 @@
 	return trace.NewTracerProvider(options...), nil
 }
 
-// AdminMux is the mux of the admin port: /metrics, /healthz, /readyz, profiles.
+// AdminMux returns the mux of the admin port: /metrics, /healthz, /readyz and profiles.
 func AdminMux(registry *prometheus.Registry, ready func() error) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
@@ -172,26 +172,27 @@
 	return mux
 }
 
-// headerTime bounds how long a client may take over its headers, and bytes
-// how long they may be.
+// Limits for a client: the time to send its headers, the size of the headers, and the time for
+// which a connection may be idle.
 const (
-	headerTime  = 10 * time.Second
-	headerBytes = 64 << 10
-	idleTime    = 2 * time.Minute
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	idleTimeout    = 2 * time.Minute
 )
 
-// NewServer returns an HTTP server with bounds on slow and endless clients.
+// NewServer returns an HTTP server with limits for slow clients and large headers.
 func NewServer(handler http.Handler, readTimeout time.Duration) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerTime,
+		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       readTimeout,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    headerBytes,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
 
-// Serve serves on a listener until the server is closed, and reports a fault.
+// Serve serves on a listener until the server is closed. It does not block; if serving fails, the
+// error is sent to faults.
 func Serve(server *http.Server, listener net.Listener, faults chan<- error) {
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -200,7 +201,7 @@
 	}()
 }
 
-// Listen opens a port; the error names the setting at fault.
+// Listen listens on a TCP address; key is the setting that an error names.
 func Listen(key, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
