--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -17,83 +17,82 @@
 	"ironhollow/pkg/usage"
 )
 
-// dutyShard is the one shard of control work: all duties go together.
+// dutyShard is the only shard of control work: one lease covers all duties.
 const dutyShard = lease.Shard(0)
 
 // Timing of the duties.
 const (
-	// renewals of the lease within its duration.
-	renewals = 4
-	// dutyCall bounds one call to the platform.
-	dutyCall = time.Second
-	// rowKept is how long the row of a dead process is kept: its usage counts
-	// until the window is reported, also by a new holder of the lease.
-	rowKept = 18 * time.Second
+	// renewalsPerLease is the number of renewals within the duration of the lease.
+	renewalsPerLease = 4
+	// dutyCallTimeout bounds one call to the platform.
+	dutyCallTimeout = time.Second
+	// deadRowRetention is how long the row of a dead process is kept: its usage counts until the
+	// window has been reported, possibly by a new holder of the lease.
+	deadRowRetention = 18 * time.Second
 )
 
-// duties renews the lease and does the duties while it is held.
-func (n *node) duties(ctx context.Context) {
-	// The lease is never given back: the next holder waits until it has lapsed,
-	// so that no two holders act by turns within one lease.
-	go n.renew(ctx)
+// runDuties renews the lease and performs the duties while the lease is held.
+func (n *node) runDuties(ctx context.Context) {
+	// The lease is never released: the next holder waits until it has expired, so that two holders
+	// never act alternately within the duration of one lease.
+	go n.renewLease(ctx)
 	held := false
 	for ctx.Err() == nil {
-		pause.For(ctx, n.settings.LeaseDuration/renewals)
-		_, has := n.leases.Held(dutyShard)
-		if has != held {
-			held = has
+		pause.For(ctx, n.settings.LeaseDuration/renewalsPerLease)
+		_, nowHeld := n.leases.Held(dutyShard)
+		if nowHeld != held {
+			held = nowHeld
 			n.log.Info().Bool("held", held).Msg("lease of the duties")
 			n.orderer.Forget()
 		}
 		if held {
-			n.doDuties(ctx)
+			n.performDuties(ctx)
 		}
 	}
 }
 
-// holderHeard is how long ago the holder of the lease may have told that it holds
-// it for standbys not to look: three datagrams between hosts near each other.
-const holderHeard = 600 * time.Millisecond
+// holderReportMaxAge is how recently another host must have reported that it holds the lease for
+// standbys not to read it. It allows for three datagrams between near hosts.
+const holderReportMaxAge = 600 * time.Millisecond
 
-// standbysKnown is how long hosts that all start for the first time take to know who
-// stands by: where all looked at the lease at once, 195 hosts made 613 calls for it.
-// The large ones look at once: every second without duties is paid for endpoints that
-// are not needed.
-const standbysKnown = 2 * time.Second
+// standbyDiscoveryTime is how long it takes hosts that all start for the first time to know the
+// standbys: when all of them read the lease at once, 195 hosts made 613 calls. Large hosts read it
+// at once, because each second without duties costs money for endpoints that are not needed.
+const standbyDiscoveryTime = 2 * time.Second
 
-// awaitStandbys waits until it is known who stands by for the lease.
+// awaitStandbys waits until the standbys for the lease are known.
 func (n *node) awaitStandbys(ctx context.Context) {
 	n.awaitStore(ctx)
-	if n.startsLater() {
-		pause.For(ctx, standbysKnown)
+	if n.delaysStart() {
+		pause.For(ctx, standbyDiscoveryTime)
 	}
 }
 
-// renew renews the lease, or looks whether it has lapsed. Only a few hosts stand
-// by for it: each look is a call.
-func (n *node) renew(ctx context.Context) {
+// renewLease renews the lease, or acquires it if it has expired. Only a few hosts watch the lease,
+// because each read is a call to the store.
+func (n *node) renewLease(ctx context.Context) {
 	n.awaitStandbys(ctx)
 	for ctx.Err() == nil {
 		_, held := n.leases.Held(dutyShard)
-		if held || n.standsBy() && n.mustLook() {
+		if held || n.isStandby() && n.mustReadLease() {
 			n.leases.Step(ctx, map[lease.Shard]lease.Intent{dutyShard: lease.Acquire})
 		}
-		pause.For(ctx, n.settings.LeaseDuration/renewals)
+		pause.For(ctx, n.settings.LeaseDuration/renewalsPerLease)
 	}
 }
 
-// mustLook reports whether the holder of the lease is not heard, or has not
-// renewed it for its duration: it may have lost the store.
-func (n *node) mustLook() bool {
-	return n.leases.MayHaveExpired(dutyShard) || !n.view.Roster().DutiesHeld(string(n.incarnation), holderHeard, n.clock.Now())
+// mustReadLease reports whether the holder of the lease has been silent, or has not renewed the
+// lease for its duration: it may have lost its connection to the store.
+func (n *node) mustReadLease() bool {
+	return n.leases.MayHaveExpired(dutyShard) || !n.view.Roster().DutiesHeld(string(n.incarnation), holderReportMaxAge, n.clock.Now())
 }
 
-// standsBy reports whether this host is among those that watch the lease.
-func (n *node) standsBy() bool {
+// isStandby reports whether this host is one of those that watch the lease.
+func (n *node) isStandby() bool {
 	return slices.ContainsFunc(n.view.Roster().Standbys(), func(h roster.Host) bool { return h.Node == n.settings.Node })
 }
 
-func (n *node) doDuties(ctx context.Context) {
+func (n *node) performDuties(ctx context.Context) {
 	held := func() (lease.Grant, bool) { return n.leases.Held(dutyShard) }
 	if n.settings.ReportsUsage {
 		n.reporter.Step(ctx, held)
@@ -101,33 +100,33 @@
 	if n.settings.OrdersEndpoints {
 		n.orderEndpoints(ctx, held)
 	}
-	n.sweepRows(ctx)
+	n.removeDeadRows(ctx)
 }
 
-// dutyCloud ends each call with the lease under which it is made: a call that
-// is still on its way then is thrown away with its connection.
+// dutyCloud bounds each call by the remaining time of the lease under which it is made: a call that
+// is still in flight then is abandoned and its connection closed.
 type dutyCloud struct {
 	cloud  Cloud
 	leases *lease.Manager
 }
 
-// leastLeft is how much of the lease must be left for a call.
-const leastLeft = 100 * time.Millisecond
+// minLeaseRemaining is the least remaining time of the lease with which a call is made.
+const minLeaseRemaining = 100 * time.Millisecond
 
-var errLeaseEnds = errors.New("too little is left of the lease")
+var errLeaseExpiring = errors.New("the lease expires too soon for a call")
 
-func (d *dutyCloud) within(ctx context.Context) (context.Context, context.CancelFunc, error) {
-	left := d.leases.Remaining(dutyShard)
-	if left < leastLeft {
-		return nil, nil, errLeaseEnds
+func (d *dutyCloud) withLeaseDeadline(ctx context.Context) (context.Context, context.CancelFunc, error) {
+	remaining := d.leases.Remaining(dutyShard)
+	if remaining < minLeaseRemaining {
+		return nil, nil, errLeaseExpiring
 	}
-	ctx, cancel := boottime.WithTimeout(ctx, min(left, dutyCall))
+	ctx, cancel := boottime.WithTimeout(ctx, min(remaining, dutyCallTimeout))
 	return ctx, cancel, nil
 }
 
-// Report sends a window's usage.
+// Report sends the usage of a window.
 func (d *dutyCloud) Report(ctx context.Context, grant lease.Grant, report usage.Report) error {
-	ctx, cancel, err := d.within(ctx)
+	ctx, cancel, err := d.withLeaseDeadline(ctx)
 	if err != nil {
 		return err
 	}
@@ -137,7 +136,7 @@
 
 // Order orders endpoints.
 func (d *dutyCloud) Order(ctx context.Context, grant lease.Grant, order autoscale.Order) error {
-	ctx, cancel, err := d.within(ctx)
+	ctx, cancel, err := d.withLeaseDeadline(ctx)
 	if err != nil {
 		return err
 	}
@@ -157,10 +156,10 @@
 			serving[autoscale.Place{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
 		}
 	}
-	works := n.view.Roster().Demands(now)
-	most := 0.0
+	demands := n.view.Roster().Demands(now)
+	maxDemand := 0.0
 	if rate, ok := current.TokenRate(); ok {
-		most = rate * engineFigures.Prefill.Seconds()
+		maxDemand = rate * initialEngineSpeed.Prefill.Seconds()
 	}
 	for _, service := range current.Services() {
 		if service.Scaling == nil {
@@ -170,43 +169,43 @@
 			place := autoscale.Place{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
 			return serving[place], n.orderer.Soon(place, serving[place], service.Scaling.Boot, now)
 		}
-		demand := n.traffic.Demand(service.Name, works[service.Name], now)
-		demand.Most = most
+		demand := n.traffic.Demand(service.Name, demands[service.Name], now)
+		demand.Most = maxDemand
 		orders, _ := autoscale.Plan(service, demand, supply)
-		n.noteReplaced(service.Name)
+		n.resetAfterRollout(service.Name)
 		if n.rollouts.InProgress(service.Name) {
-			keepAll(orders, service.Scaling.Most)
+			preventScaleDown(orders, service.Scaling.Most)
 		}
 		count := func(p autoscale.Place) int { return serving[p] }
 		n.orderer.Step(ctx, orders, count, service.Scaling.Boot, now, held)
 	}
 }
 
-// noteReplaced forgets what was ordered for a service whose endpoints a roll-out has
-// replaced: those of the new version are as many as the operator started.
-func (n *node) noteReplaced(service string) {
-	if order := n.rollouts.CompletedOrder(service); order != n.replaced[service] {
-		n.replaced[service] = order
+// resetAfterRollout makes the orderer forget its orders for a service whose endpoints a roll-out has
+// replaced: the number of endpoints of the new version is the number that the operator started.
+func (n *node) resetAfterRollout(service string) {
+	if order := n.rollouts.CompletedOrder(service); order != n.appliedOrders[service] {
+		n.appliedOrders[service] = order
 		n.orderer.ForgetService(service)
 	}
 }
 
-// keepAll keeps orders from giving up endpoints while a version is rolled out: those of
-// the version before must carry all requests until it is decided.
-func keepAll(orders []autoscale.Order, most int) {
+// preventScaleDown changes orders to give up no endpoints while a version is rolled out: those of
+// the previous version must be able to serve all requests until the roll-out is decided.
+func preventScaleDown(orders []autoscale.Order, maxEndpoints int) {
 	for i := range orders {
-		orders[i].Keep = most
+		orders[i].Keep = maxEndpoints
 	}
 }
 
-// sweepRows removes rows of processes that are long dead.
-func (n *node) sweepRows(ctx context.Context) {
-	for _, incarnation := range n.view.Roster().SilentIncarnations(rowKept) {
+// removeDeadRows removes the rows of processes that have been dead for deadRowRetention.
+func (n *node) removeDeadRows(ctx context.Context) {
+	for _, incarnation := range n.view.Roster().SilentIncarnations(deadRowRetention) {
 		write := table.Write{Key: storeview.RosterTable + "/" + incarnation, Delete: true, If: table.Always{}}
 		if _, ok := n.store.Commit(ctx, table.Commit{Writes: []table.Write{write}}).(table.Done); !ok {
 			return
 		}
-		n.log.Info().Str("incarnation", incarnation).Msg("row of a dead process removed")
+		n.log.Info().Str("incarnation", incarnation).Msg("removed the row of a dead process")
 		n.view.Roster().Remove(incarnation)
 	}
 }
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -14,72 +14,71 @@
 
 // Timing of heartbeats.
 const (
-	// heartbeat bounds what of the usage a killed process takes with it.
-	heartbeat = 1500 * time.Millisecond
-	// silence is how long a host may go unseen before callers are no longer sent there; see
-	// roster.New. Its row may be one heartbeat and one pause of the feed old, so that two lost
-	// datagrams in a row show nothing.
-	silence = 3200 * time.Millisecond
-	// rowCheck is the time between two looks whether the row is due.
-	rowCheck = 300 * time.Millisecond
-	// firstRow is the pause between looks whether the store has answered.
-	firstRow = 50 * time.Millisecond
-	// rowSpread is the time over which the first rows of hosts without callers are
-	// spread where many start at once: the store writes 150 rows a second, and 195
+	// heartbeatInterval bounds how much usage is lost when a process is killed.
+	heartbeatInterval = 1500 * time.Millisecond
+	// silenceTimeout is how long a host may be silent before callers are no longer sent there; see
+	// roster.New. Its row may be as old as one heartbeat and one pause of the feed, so the loss of
+	// two datagrams in a row has no effect.
+	silenceTimeout = 3200 * time.Millisecond
+	// rowCheckInterval is the time between checks whether a write of the row is due.
+	rowCheckInterval = 300 * time.Millisecond
+	// storeCheckInterval is the time between checks whether the store has answered.
+	storeCheckInterval = 50 * time.Millisecond
+	// firstRowJitter is the time over which the first rows of hosts without callers are spread
+	// when many hosts start at once: the store accepts 150 writes of rows per second, and 195
 	// hosts that wrote at once were refused 44 times.
-	rowSpread = 1500 * time.Millisecond
-	// settling is how long after its first row a host without requests writes no
-	// other: until the others are known it takes itself for one that has callers.
-	settling = 5 * time.Second
+	firstRowJitter = 1500 * time.Millisecond
+	// settleTime is how long after its first row a host without requests does not write another
+	// one: until it knows the other hosts, it considers itself to have callers.
+	settleTime = 5 * time.Second
 )
 
-// millicores are in a core.
-const millicores = 1000
+const millicoresPerCore = 1000
 
-// ownRow is this process's row in the store. Writes of it go one by one.
-type ownRow struct {
+// rowState is the state of this process's row in the store. Writes of the row are serialized.
+type rowState struct {
 	mu sync.Mutex
-	// sequence is of the last write.
+	// sequence is the sequence number of the last write.
 	sequence int64
 }
 
-// beat writes this process's row until ctx ends.
-func (n *node) beat(ctx context.Context) {
+// runHeartbeat writes this process's row periodically until ctx is done.
+func (n *node) runHeartbeat(ctx context.Context) {
 	n.awaitStore(ctx)
 	if n.view.UsesRelays() && !n.view.Roster().IsAdvertised(n.settings.Node) {
-		pause.For(ctx, rand.N(n.rowSpread()))
+		pause.For(ctx, rand.N(n.firstRowMaxDelay()))
 	}
 	loop := n.watchdog.Watch("heartbeat")
 	for !n.writesRow() {
 		loop.Kick()
-		// Digests have this host.
-		if !pause.For(ctx, rowCheck) {
+		// Other hosts know this host from digests.
+		if !pause.For(ctx, rowCheckInterval) {
 			return
 		}
 	}
-	for least := settling; ctx.Err() == nil; least = 0 {
+	for minInterval := settleTime; ctx.Err() == nil; minInterval = 0 {
 		loop.Kick()
-		written := time.Now()
+		writtenAt := time.Now()
 		n.writeRow(ctx)
-		// Whether this host has callers changes meanwhile.
-		for pause.For(ctx, rowCheck); ctx.Err() == nil && (!n.writesRow() || time.Since(written) < n.rowPause(least)); {
+		// The interval changes meanwhile if this host gets callers or loses them.
+		for pause.For(ctx, rowCheckInterval); ctx.Err() == nil && (!n.writesRow() || time.Since(writtenAt) < n.rowInterval(minInterval)); {
 			loop.Kick()
-			pause.For(ctx, rowCheck)
+			pause.For(ctx, rowCheckInterval)
 		}
 	}
 }
 
-// writesRow reports whether this host writes its row: in a fleet with levels only those of
-// the core do, so that rows, calls for them and their bytes do not grow with the fleet.
+// writesRow reports whether this host writes its row. In a hierarchical fleet only hosts of the core
+// do, so that the rows, the calls to write them and their bytes do not grow with the fleet.
 func (n *node) writesRow() bool {
 	members := n.view.Roster()
 	return !members.IsHierarchical() || members.InCore(n.settings.Node)
 }
 
-// rowSpread is the time over which rows of hosts without callers are spread, by how many
-// are known.
-func (n *node) rowSpread() time.Duration {
-	return roster.ScaleInterval(rowSpread, n.view.Roster().Sharing())
+// firstRowMaxDelay returns the time over which first rows of hosts without callers are spread,
+// scaled to the number of known hosts.
+func (n *node) firstRowMaxDelay() time.Duration {
+	return roster.ScaleInterval(firstRowJitter, n.view.Roster().Sharing())
 }
 
 // awaitStore waits until the store has answered.
@@ -88,52 +87,52 @@
 		if _, known := n.clock.Offset(); known {
 			return
 		}
-		pause.For(ctx, firstRow)
+		pause.For(ctx, storeCheckInterval)
 	}
 }
 
-// rowPause is the time between two writes of the row, by how many hosts write as
-// often: those with callers keep what they counted, the others show that they live.
-// A host that has served nobody yet waits for least, whatever its rank.
-func (n *node) rowPause(least time.Duration) time.Duration {
+// rowInterval returns the time between two writes of the row, scaled to the number of hosts that
+// write as often: those with callers preserve their counts, the others only show that they are alive.
+// A host that has not served any request yet waits at least minInterval, even if it is advertised.
+func (n *node) rowInterval(minInterval time.Duration) time.Duration {
 	members := n.view.Roster()
 	if members.IsHierarchical() {
-		return roster.ScaleInterval(heartbeat, members.CoreSize())
+		return roster.ScaleInterval(heartbeatInterval, members.CoreSize())
 	}
 	serving := n.router.HasInFlight() || len(n.counter.Recent()) > 0
 	if serving || members.IsAdvertised(n.settings.Node) {
-		pace := roster.ScaleInterval(heartbeat, members.Advertised())
+		interval := roster.ScaleInterval(heartbeatInterval, members.Advertised())
 		if serving || !n.view.UsesRelays() {
-			return pace
+			return interval
 		}
-		return max(pace, least)
+		return max(interval, minInterval)
 	}
-	return roster.ScaleInterval(idleHeartbeats*heartbeat, members.Sharing())
+	return roster.ScaleInterval(idleHeartbeatFactor*heartbeatInterval, members.Sharing())
 }
 
-// idleHeartbeats is how many times less often a host without callers writes its row: its
+// idleHeartbeatFactor is how many times less often a host without callers writes its row: its
 // datagrams show that it is alive.
-const idleHeartbeats = 8
+const idleHeartbeatFactor = 8
 
 func (n *node) writeRow(ctx context.Context) {
 	n.row.mu.Lock()
 	defer n.row.mu.Unlock()
 	n.row.sequence++
 	now := n.clock.Now()
-	offset, known := n.clock.Offset()
-	if !known {
+	offset, ok := n.clock.Offset()
+	if !ok {
 		return
 	}
-	written, _ := n.clock.Store()
+	writtenAt, _ := n.clock.Store()
 	row := roster.Row{
 		Host:        n.host(),
 		Sequence:    n.row.sequence,
-		WrittenAt:   written,
+		WrittenAt:   writtenAt,
 		ClockOffset: offset,
 		Counts:      n.counter.Recent(),
 	}
-	row.Loads = n.loads.Own()
-	row.Demands = n.ownWorks(now)
+	row.Loads = n.loadSync.Own()
+	row.Demands = n.localDemands(now)
 	value, err := row.Encode()
 	if err != nil {
 		n.log.Error().Err(err).Msg("own row not encoded")
@@ -162,26 +161,25 @@
 		CallerAddress: n.settings.CallerAddress,
 		PeerAddress:   n.settings.PeerAddress,
 		StartedAt:     n.clock.Since(),
-		Millicores:    int(millicores * n.settings.Cores),
-		Leaving:       n.life.leaving(),
+		Millicores:    int(millicoresPerCore * n.settings.Cores),
+		Leaving:       n.lifecycle.leaving(),
 	}
 }
 
-// fleetRole is what this host does for the fleet, as last logged. One goroutine
-// uses it.
+// fleetRole is the role of this host in the fleet as last logged. Only one goroutine uses it.
 type fleetRole struct {
 	advertised, relay, standby bool
-	// hosts is how many hosts are advertised.
+	// hosts is the number of advertised hosts.
 	hosts int
 }
 
-// noteRole writes a line when this host's part in the fleet changes.
-func (n *node) noteRole() {
+// logRole logs the role of this host in the fleet if it has changed.
+func (n *node) logRole() {
 	members := n.view.Roster()
 	now := fleetRole{
 		advertised: members.IsAdvertised(n.settings.Node),
 		relay:      n.view.IsRelay(),
-		standby:    n.standsBy(),
+		standby:    n.isStandby(),
 		hosts:      members.Advertised(),
 	}
 	if now == *n.role {
--- a/pkg/app/node/life.go
+++ b/pkg/app/node/life.go
@@ -9,47 +9,48 @@
 	"ironhollow/pkg/storeclock"
 )
 
-// streamsTaken is how long after the stop began new streams are taken: callers
-// have been told the other hosts by then, and a stream takes seconds.
-const streamsTaken = 2500 * time.Millisecond
+// streamAcceptTime is how long new streams are accepted after the shutdown has begun: by then
+// callers have received the list of the other hosts, and a stream takes seconds.
+const streamAcceptTime = 2500 * time.Millisecond
 
-// life is how far a process is on its way to its end. It is safe for concurrent use.
-type life struct {
+// lifecycle records how far the shutdown of a process has got. It is safe for concurrent use.
+type lifecycle struct {
 	clock *storeclock.Clock
-	// leavingSince is when it began to leave, counted from the start; 0 before.
+	// leavingSince is the time from the start of the process to the start of its shutdown, 0
+	// before the shutdown.
 	leavingSince atomic.Int64
 }
 
-func newLife(clock *storeclock.Clock) *life { return &life{clock: clock} }
+func newLifecycle(clock *storeclock.Clock) *lifecycle { return &lifecycle{clock: clock} }
 
-// leave begins the end.
-func (l *life) leave() { l.leavingSince.Store(max(int64(l.clock.Running()), 1)) }
+// startLeaving begins the shutdown.
+func (l *lifecycle) startLeaving() { l.leavingSince.Store(max(int64(l.clock.Running()), 1)) }
 
-// leaving reports whether the process has begun to leave.
-func (l *life) leaving() bool { return l.leavingSince.Load() != 0 }
+// leaving reports whether the shutdown has begun.
+func (l *lifecycle) leaving() bool { return l.leavingSince.Load() != 0 }
 
-// phase tells the forwarder how far the process is.
-func (l *life) phase() forward.Phase {
+// phase returns the phase for the forwarder.
+func (l *lifecycle) phase() forward.Phase {
 	switch {
 	case !l.leaving():
 		return forward.Serving
-	case l.clock.Running()-time.Duration(l.leavingSince.Load()) < streamsTaken:
+	case l.clock.Running()-time.Duration(l.leavingSince.Load()) < streamAcceptTime:
 		return forward.Draining
 	default:
 		return forward.Stopping
 	}
 }
 
-// suspensions is how long the machine was suspended, as last logged. One goroutine uses
-// it.
-type suspensions struct{ logged time.Duration }
+// suspendLog is the total suspended time of the machine when it was last logged. Only one goroutine
+// uses it.
+type suspendLog struct{ logged time.Duration }
 
-// noteSuspension writes a line when the machine was suspended.
-func (n *node) noteSuspension() {
+// logSuspension logs suspensions of the machine since the last call.
+func (n *node) logSuspension() {
 	total := boottime.Suspended()
-	if total == n.suspensions.logged {
+	if total == n.suspendLog.logged {
 		return
 	}
-	n.log.Warn().Dur("suspended", total-n.suspensions.logged).Msg("the machine was suspended")
-	n.suspensions.logged = total
+	n.log.Warn().Dur("suspended", total-n.suspendLog.logged).Msg("the machine was suspended")
+	n.suspendLog.logged = total
 }
--- a/pkg/app/node/listen.go
+++ b/pkg/app/node/listen.go
@@ -15,35 +15,35 @@
 	"ironhollow/pkg/upstream"
 )
 
-// Bounds of what others ask.
+// Limits for the clients of all ports.
 const (
-	// entriesKept is how long callers keep the answer of which entries to use.
-	entriesKept = 2 * time.Second
-	// headerTime bounds how long a caller may take over its headers.
-	headerTime = 10 * time.Second
-	// idleTime is how long a caller's connection may rest.
-	idleTime = 30 * time.Second
-	// headerBytes bounds a caller's headers.
-	headerBytes = 64 << 10
+	// entriesMaxAge is how long callers may use a list of entries.
+	entriesMaxAge = 2 * time.Second
+	// headerTimeout bounds the time that a client may take to send its headers.
+	headerTimeout = 10 * time.Second
+	// idleTimeout is how long a client's connection may be idle.
+	idleTimeout = 30 * time.Second
+	// maxHeaderBytes bounds the size of a caller's headers.
+	maxHeaderBytes = 64 << 10
 )
 
-// listen opens the ports.
+// listen starts the servers of all ports. It returns those to shut down at the end.
 func (n *node) listen(faults chan<- error) ([]*http.Server, error) {
 	callers := &http.Server{
-		Handler: n.forwarder, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes,
+		Handler: n.forwarder, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 	ports := []struct {
 		name, address string
 		server        *http.Server
 	}{
 		{"callers", n.settings.CallerAddress, callers},
-		{"ready", n.settings.ReadyAddress, &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
-		{"directory", n.settings.DirectoryAddress, &http.Server{Handler: n.directoryHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
-		{"peers", n.settings.PeerAddress, &http.Server{Handler: n.peersHandler(), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
-		{"metrics", n.settings.AdminAddress, &http.Server{Handler: process.AdminMux(n.registry, n.isReady), ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}},
+		{"ready", n.settings.ReadyAddress, &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
+		{"directory", n.settings.DirectoryAddress, &http.Server{Handler: n.directoryHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
+		{"peers", n.settings.PeerAddress, &http.Server{Handler: n.peersHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
+		{"metrics", n.settings.AdminAddress, &http.Server{Handler: process.AdminMux(n.registry, n.isReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
 	}
 	config := net.ListenConfig{
-		Control:         upstream.ControlUserTimeout(deadPeer),
+		Control:         upstream.ControlUserTimeout(unackedTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3},
 	}
 	var servers []*http.Server
@@ -75,7 +75,7 @@
 
 func (n *node) peersHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+relay.Path, n.copy)
+	mux.Handle("GET "+relay.Path, n.storeCopy)
 	return negroni.New(negroni.NewRecovery(), negroni.Wrap(mux))
 }
 
@@ -83,11 +83,11 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.platform.DirectoryPath(), func(w http.ResponseWriter, _ *http.Request) {
 		entries := n.view.Roster().AdvertisedHosts()
-		if len(entries) == 0 && !n.life.leaving() {
+		if len(entries) == 0 && !n.lifecycle.leaving() {
 			entries = []roster.AdvertisedHost{{Node: n.settings.Node, DataCenter: n.settings.DataCenter, CallerAddress: n.settings.CallerAddress}}
 		}
-		if err := n.platform.EncodeEntries(w, entries, entriesKept); err != nil {
-			n.log.Debug().Err(err).Msg("a caller left while it was told the entries")
+		if err := n.platform.EncodeEntries(w, entries, entriesMaxAge); err != nil {
+			n.log.Debug().Err(err).Msg("failed to send the list of entries to a caller")
 		}
 	})
 	return negroni.New(negroni.NewRecovery(), negroni.Wrap(mux))
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -8,37 +8,38 @@
 	"ironhollow/pkg/route"
 )
 
-// ownWorks is the engine time asked for here, of services whose size follows it.
-func (n *node) ownWorks(now time.Time) []roster.Demand {
+// localDemands returns the engine time per second that requests of this host need, for each service
+// whose number of endpoints is scaled.
+func (n *node) localDemands(now time.Time) []roster.Demand {
 	current, _ := n.view.RouteTables().Current()
 	if current == nil {
 		return nil
 	}
-	var works []roster.Demand
+	var demands []roster.Demand
 	for _, service := range current.Services() {
 		if rate := n.router.EngineDemand(route.Target{Service: service.Name}, now); service.Scaling != nil && rate > 0 {
-			works = append(works, roster.Demand{Service: service.Name, Rate: rate})
+			demands = append(demands, roster.Demand{Service: service.Name, Rate: rate})
 		}
 	}
-	return works
+	return demands
 }
 
-// update is what this host sends the others.
-func (n *node) update() gossip.Update {
+// statusUpdate returns the update that this host sends to the others periodically.
+func (n *node) statusUpdate() gossip.Update {
 	now := n.clock.Now()
 	return gossip.Update{
 		Status: roster.Status{
-			Host: n.host(), Loads: n.loads.Own(), Demands: n.ownWorks(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.StoreReachableFor(),
+			Host: n.host(), Loads: n.loadSync.Own(), Demands: n.localDemands(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.StoreReachableFor(),
 			LeaseVersion: n.leases.RowVersion(dutyShard),
 		},
-		Spent:   n.limits.LocalUsage(now),
+		Spent:   n.limiter.LocalUsage(now),
 		Placed:  n.router.DrainPlacements(),
-		Cases:   n.crashes.Reports(now),
-		Notices: n.notices.Reports(now),
+		Cases:   n.quarantineWatch.Reports(now),
+		Notices: n.noticeBoard.Reports(now),
 	}
 }
 
-// receive applies what another process sends.
+// receive applies an update from another process.
 func (n *node) receive(update gossip.Update) {
 	if update.Incarnation == string(n.incarnation) {
 		return
@@ -49,8 +50,8 @@
 		return
 	}
 	if len(update.Cases)+len(update.Notices) > 0 {
-		n.crashes.ApplyReports(update.Cases, update.Incarnation, now)
-		n.notices.ApplyReports(update.Notices, now)
+		n.quarantineWatch.ApplyReports(update.Cases, update.Incarnation, now)
+		n.noticeBoard.ApplyReports(update.Notices, now)
 		return
 	}
 	if update.Subscribes {
@@ -62,33 +63,33 @@
 		return
 	}
 	if len(update.Spent)+len(update.Counts) > 0 && update.Brief {
-		n.limits.ApplyPeer(update.Incarnation, update.Spent, now)
+		n.limiter.ApplyPeer(update.Incarnation, update.Spent, now)
 		n.view.Roster().ApplyCounts(update.Incarnation, update.Counts)
 		return
 	}
 	if update.Brief {
-		n.loads.ApplyBrief(update.Incarnation, update.Sequence, update.Loads, update.Placed, now)
+		n.loadSync.ApplyBrief(update.Incarnation, update.Sequence, update.Loads, update.Placed, now)
 		return
 	}
 	n.view.Roster().ApplyStatus(update.Status, now)
-	n.limits.ApplyPeer(update.Incarnation, update.Spent, now)
-	n.loads.ApplyPlacements(update.Placed)
+	n.limiter.ApplyPeer(update.Incarnation, update.Spent, now)
+	n.loadSync.ApplyPlacements(update.Placed)
 	if update.LeaseVersion > 0 {
 		n.leases.ObserveVersion(dutyShard, update.LeaseVersion)
 	}
 }
 
-// updateOf is what this host sends at once about single endpoints.
-func (n *node) updateOf(endpoints []string) gossip.Update {
+// urgentUpdate returns the update about single endpoints that this host sends immediately.
+func (n *node) urgentUpdate(endpoints []string) gossip.Update {
 	return gossip.Update{
-		Status:  roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loads.OwnAt(endpoints)},
+		Status:  roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loadSync.OwnAt(endpoints)},
 		Placed:  n.router.DrainPlacements(),
-		Notices: n.notices.ReportsOf(endpoints, n.clock.Now()),
+		Notices: n.noticeBoard.ReportsOf(endpoints, n.clock.Now()),
 	}
 }
 
-// sharers returns the hosts that take callers, by name.
-func (n *node) sharers() []string {
+// advertisedNames returns the names of the hosts that are advertised to callers, in order.
+func (n *node) advertisedNames() []string {
 	entries := n.view.Roster().AdvertisedHosts()
 	names := make([]string, len(entries))
 	for i, e := range entries {
@@ -97,35 +98,35 @@
 	return names
 }
 
-// countRequests sets how many requests a second began in the last whole window, over all hosts,
-// in the roster. Only the core receives all counts; others learn it from digests.
-func (n *node) countRequests() {
+// updateRequestRate sets, in the roster, the rate at which requests started on all hosts in the
+// last complete window. Only the core receives all counts; other hosts get the rate from digests.
+func (n *node) updateRequestRate() {
 	members := n.view.Roster()
 	if n.settings.UsageWindow <= 0 || !members.IsHierarchical() || !members.InCore(n.settings.Node) {
 		return
 	}
 	sum := 0
-	for _, begun := range members.StartedRequests(n.counter.CurrentWindow() - 1) {
-		sum += begun
+	for _, started := range members.StartedRequests(n.counter.CurrentWindow() - 1) {
+		sum += started
 	}
 	members.SetRequestRate(float64(sum) / n.settings.UsageWindow.Seconds())
 }
 
-// applyLoads hands what the other processes have sent to the decisions.
-func (n *node) applyLoads() {
+// applyPeerState passes what other processes have sent to the components that decide with it.
+func (n *node) applyPeerState() {
 	now := n.clock.Now()
 	n.view.Roster().MergeSelf(n.host(), now)
 	if members := n.view.Roster(); !members.IsHierarchical() || members.InCore(n.settings.Node) || n.router.HasInFlight() {
-		// Others receive no loads.
-		n.loads.Apply(now)
+		// Other hosts do not receive loads.
+		n.loadSync.Apply(now)
 	}
-	n.countRequests()
-	n.view.Roster().Prune(rowKept)
+	n.updateRequestRate()
+	n.view.Roster().Prune(deadRowRetention)
 	n.view.EndpointSyncer().Expire()
-	n.surveySuspects(now)
-	n.noteSuspension()
-	n.noteRole()
-	n.surveyRollouts(now)
-	n.router.SetHosts(n.sharers(), now)
-	n.limits.SetFleet(n.view.Roster().CountHosts(string(n.incarnation), now))
+	n.recordCrashedSuspects(now)
+	n.logSuspension()
+	n.logRole()
+	n.refreshRollouts(now)
+	n.router.SetHosts(n.advertisedNames(), now)
+	n.limiter.SetFleet(n.view.Roster().CountHosts(string(n.incarnation), now))
 }
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -41,21 +41,22 @@
 	"ironhollow/pkg/watchdog"
 )
 
-// Times of a node.
+// Parameters of a node.
 const (
-	// stopMargin is kept of the grace: the process must be gone before its end.
+	// stopMargin is the part of the grace period that is not used: the process must have exited
+	// before the period ends.
 	stopMargin = 300 * time.Millisecond
-	// closeTime is how long the close of idle connections may take at the end.
-	closeTime = 400 * time.Millisecond
-	// mostFaults is how many faults of the ports and the watchdog may wait to be read.
-	mostFaults = 8
-	// sweepPause is the time between looks for connections idle for too long.
-	sweepPause = 500 * time.Millisecond
-	// memoryShare of the process's limit is the collector's soft limit; unread
-	// bytes in sockets count towards the limit too.
-	memoryShare = 0.6
-	// collectAt is the growth in percent at which garbage is collected.
-	collectAt = 60
+	// closeTimeout bounds the time for closing idle connections at the end.
+	closeTimeout = 400 * time.Millisecond
+	// maxPendingFaults is how many faults of the ports and the watchdog can be pending.
+	maxPendingFaults = 8
+	// sweepInterval is the time between searches for connections that have been idle for too long.
+	sweepInterval = 500 * time.Millisecond
+	// softMemoryRatio is the fraction of the process's memory limit that is the garbage
+	// collector's soft limit; unread bytes in sockets count towards the process's limit too.
+	softMemoryRatio = 0.6
+	// gcPercent is the heap growth, in percent, that starts a garbage collection.
+	gcPercent = 60
 )
 
 // node is a running process.
@@ -65,35 +66,35 @@
 	incarnation Incarnation
 	log         *log.Logger
 	clock       *storeclock.Clock
-	life        *life
+	lifecycle   *lifecycle
 	store       *storecalls.Counted
-	// copy is what others follow through this host, by peers.
-	copy      *relay.Copy
-	peers     peerClient
-	view      *storeview.View
-	router    *route.Router
-	loads     *loadsync.Sync
-	limits    *limit.CostLimiter
-	pool      *upstream.Pool
-	counter   *usage.Counter
-	reporter  *usage.Reporter
-	orderer   *autoscale.Orderer
-	leases    *lease.Manager
-	traffic   *autoscale.Traffic
-	forwarder *forward.Forwarder
-	registry  *prometheus.Registry
-	row       *ownRow
-	role      *fleetRole
-	rollouts  *rollout.Splitter
-	desk      *rolloutsync.Coordinator
-	datagrams *datagrams
-	replaced  replacedBy
-	crashes   *quarantine.Watch
-	keeper    *quarantinesync.Syncer
-	notices   *notice.Board
-	watchdog  *watchdog.Watchdog
+	// storeCopy is the copy of the store that peers follow through this host.
+	storeCopy          *relay.Copy
+	relayClient        peerClient
+	view               *storeview.View
+	router             *route.Router
+	loadSync           *loadsync.Sync
+	limiter            *limit.CostLimiter
+	pool               *upstream.Pool
+	counter            *usage.Counter
+	reporter           *usage.Reporter
+	orderer            *autoscale.Orderer
+	leases             *lease.Manager
+	traffic            *autoscale.Traffic
+	forwarder          *forward.Forwarder
+	registry           *prometheus.Registry
+	row                *rowState
+	role               *fleetRole
+	rollouts           *rollout.Splitter
+	rolloutCoordinator *rolloutsync.Coordinator
+	rolloutSender      *rolloutSender
+	appliedOrders      completedOrders
+	quarantineWatch    *quarantine.Watch
+	quarantineSyncer   *quarantinesync.Syncer
+	noticeBoard        *notice.Board
+	watchdog           *watchdog.Watchdog
 
-	suspensions *suspensions
+	suspendLog *suspendLog
 }
 
 // Main runs a node's command line and returns the exit code.
@@ -139,34 +140,34 @@
 }
 
 func tuneMemory(s Settings) {
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if s.MemoryLimitMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryLimitMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(softMemoryRatio * float64(s.MemoryLimitMB) * (1 << 20)))
 	}
 }
 
-// serve runs until ctx ends, and then until callers have left or the grace is
-// nearly over.
+// serve runs until ctx is done, and then until the grace period is nearly over, so that callers can
+// leave.
 func (n *node) serve(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := relay.NewSource(n.store, n.copy, n.peers.Client, n.view.Relays, n.view.MaxRelayLag, n.view.IsAdvertised, n.log)
+	source := relay.NewSource(n.store, n.storeCopy, n.relayClient.Client, n.view.Relays, n.view.MaxRelayLag, n.view.IsAdvertised, n.log)
 	go n.follow(background, source)
-	go n.beat(background)
-	go n.sweep(background)
+	go n.runHeartbeat(background)
+	go n.sweepConnections(background)
 	go n.logCalls(background)
 	go n.followRollouts(background, source)
-	go n.keepQuarantine(background)
-	if err := n.exchange(background); err != nil {
+	go n.syncQuarantine(background)
+	if err := n.startGossip(background); err != nil {
 		return err
 	}
 	var duties sync.WaitGroup
-	dutiesCtx, endDuties := context.WithCancel(background)
-	duties.Go(func() { n.duties(dutiesCtx) })
-	duties.Go(func() { n.ownRollouts(dutiesCtx) })
+	dutiesCtx, stopDuties := context.WithCancel(background)
+	duties.Go(func() { n.runDuties(dutiesCtx) })
+	duties.Go(func() { n.coordinateRollouts(dutiesCtx) })
 	go n.sendRollouts(dutiesCtx)
 
-	faults := make(chan error, mostFaults)
+	faults := make(chan error, maxPendingFaults)
 	go func() {
 		if err := n.watchdog.Run(background); err != nil {
 			faults <- err
@@ -174,28 +175,28 @@
 	}()
 	servers, err := n.listen(faults)
 	if err != nil {
-		endDuties()
+		stopDuties()
 		return err
 	}
 	select {
 	case <-ctx.Done():
 	case err := <-faults:
-		endDuties()
+		stopDuties()
 		return err
 	}
 	started := time.Now()
-	n.life.leave()
+	n.lifecycle.startLeaving()
 	n.log.Info().Dur("grace", n.settings.GracePeriod).Msg("stopping")
-	endDuties()
+	stopDuties()
 	if n.writesRow() {
 		go n.writeRow(background)
 	}
-	pause.For(background, n.settings.GracePeriod-stopMargin-closeTime-time.Since(started))
-	closing, done := context.WithTimeout(background, closeTime)
-	defer done()
+	pause.For(background, n.settings.GracePeriod-stopMargin-closeTimeout-time.Since(started))
+	closeCtx, cancelClose := context.WithTimeout(background, closeTimeout)
+	defer cancelClose()
 	for _, s := range servers {
-		if err := s.Shutdown(closing); err != nil {
-			n.log.Warn().Err(err).Msg("requests were still running at the end of the grace")
+		if err := s.Shutdown(closeCtx); err != nil {
+			n.log.Warn().Err(err).Msg("requests were still running at the end of the grace period")
 		}
 	}
 	n.log.Info().Msg("stopped")
@@ -207,47 +208,47 @@
 
 // Parameters of the first start of all hosts.
 const (
-	// largeHost is the processor share, in cores, from which on a host starts at once.
-	largeHost = 0.3
-	// smallStart and smallSpread are when the others do: they find the rows of the
-	// large ones, which are their relays, in place of an empty table.
-	smallStart  = 800 * time.Millisecond
-	smallSpread = 700 * time.Millisecond
+	// largeHostCores is the processor share, in cores, from which on a host starts without delay.
+	largeHostCores = 0.3
+	// smallHostDelay is the least delay of the other hosts, smallHostJitter its random part. They
+	// then find the rows of the large hosts, which are their relays, and not an empty table.
+	smallHostDelay  = 800 * time.Millisecond
+	smallHostJitter = 700 * time.Millisecond
 )
 
-// startsLater reports whether this host lets the larger ones start first.
-func (n *node) startsLater() bool {
-	return n.settings.FirstStart && n.settings.Cores > 0 && n.settings.Cores < largeHost
+// delaysStart reports whether this host starts after the larger ones.
+func (n *node) delaysStart() bool {
+	return n.settings.FirstStart && n.settings.Cores > 0 && n.settings.Cores < largeHostCores
 }
 
 // follow starts the feeds of the store's tables.
 func (n *node) follow(ctx context.Context, source feed.Source) {
-	if n.startsLater() {
-		pause.For(ctx, smallStart+rand.N(smallSpread))
+	if n.delaysStart() {
+		pause.For(ctx, smallHostDelay+rand.N(smallHostJitter))
 	}
 	n.view.Follow(ctx, source, n.settings.FirstStart)
 }
 
-// exchange starts to tell the other hosts what is under way here.
-func (n *node) exchange(ctx context.Context) error {
-	e, err := gossip.Listen(n.settings.PeerAddress, n.host(), n.view.Roster(), n.update, n.receive, n.clock.Now, n.log)
+// startGossip starts the exchange of state with the other hosts.
+func (n *node) startGossip(ctx context.Context) error {
+	e, err := gossip.Listen(n.settings.PeerAddress, n.host(), n.view.Roster(), n.statusUpdate, n.receive, n.clock.Now, n.log)
 	if err != nil {
 		return err
 	}
-	n.datagrams.set(e)
+	n.rolloutSender.set(e)
 	loop := n.watchdog.Watch("exchange")
 	go e.Run(ctx, func() {
 		loop.Kick()
-		n.applyLoads()
+		n.applyPeerState()
 	})
-	go e.SendUrgent(ctx, n.router.Urgent(), n.updateOf)
+	go e.SendUrgent(ctx, n.router.Urgent(), n.urgentUpdate)
 	return nil
 }
 
-// isReady returns why the process does not take callers, nil if it does.
+// isReady returns nil if the process accepts callers, otherwise the reason why it does not.
 func (n *node) isReady() error {
 	switch {
-	case n.life.leaving():
+	case n.lifecycle.leaving():
 		return errors.New("stopping")
 	case n.watchdog.Stalled() != nil:
 		return n.watchdog.Stalled()
@@ -258,18 +259,18 @@
 	}
 }
 
-// sweep closes connections to endpoints that are no longer used.
-func (n *node) sweep(ctx context.Context) {
+// sweepConnections closes connections to endpoints that are no longer used.
+func (n *node) sweepConnections(ctx context.Context) {
 	loop := n.watchdog.Watch("sweep")
 	for ctx.Err() == nil {
-		pause.For(ctx, sweepPause)
+		pause.For(ctx, sweepInterval)
 		loop.Kick()
 		n.pool.Sweep(n.inUse())
 	}
 }
 
-// inUse returns a check whether an address is of an endpoint in use. It looks at them at
-// the first question: a host without connections asks none.
+// inUse returns a function that reports whether an address belongs to an endpoint in use. The
+// function lists the endpoints on its first call, so that a host without connections does not.
 func (n *node) inUse() func(address string) bool {
 	var used map[string]bool
 	return func(address string) bool {
@@ -283,27 +284,27 @@
 	}
 }
 
-// callsTold is the time between two lines on this host's calls to the store.
-const callsLogged = 10 * time.Second
+// callLogInterval is the time between log lines about this host's calls to the store.
+const callLogInterval = 10 * time.Second
 
-// tellCalls writes what this host has asked of the store, if anything.
+// logCalls logs the calls that this host has made to the store, if there were any.
 func (n *node) logCalls(ctx context.Context) {
-	for pause.For(ctx, callsLogged) {
+	for pause.For(ctx, callLogInterval) {
 		if calls := n.store.Summary(); calls != "" {
 			n.log.Info().Str("calls", calls).Msg("calls to the store")
 		}
 	}
 }
 
-// watchReloads notes SIGHUP: all settings in use hold for a process's life.
+// watchReloads checks the settings on SIGHUP. Changes take effect only when the process restarts.
 func (n *node) watchReloads() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	for range signals {
 		if _, err := n.platform.ReadSettings(); err != nil {
-			n.log.Error().Err(err).Msg("changed settings have faults")
+			n.log.Error().Err(err).Msg("settings are invalid")
 			continue
 		}
-		n.log.Info().Msg("settings read again")
+		n.log.Info().Msg("settings checked; changes take effect after a restart")
 	}
 }
--- a/pkg/app/node/platform.go
+++ b/pkg/app/node/platform.go
@@ -14,19 +14,19 @@
 	"ironhollow/pkg/usage"
 )
 
-// Store is the platform's store: rows under conditions, and feeds of tables.
+// Store is the platform's store: conditional writes of rows, and feeds of tables.
 type Store interface {
 	table.Store
 	feed.Source
 }
 
-// Cloud takes what the duties send.
+// Cloud receives the usage reports and the orders for endpoints.
 type Cloud interface {
 	usage.Sink
 	autoscale.Sink
 }
 
-// Platform is what a node runs on. It decides nothing.
+// Platform adapts a node to the platform that it runs on. It makes no decisions.
 type Platform interface {
 	storeview.Decoder
 	rolloutsync.StatusEncoder
@@ -34,8 +34,8 @@
 	Store(client *http.Client, s Settings) Store
 	Cloud(client *http.Client, s Settings) Cloud
 	Protocol() forward.Protocol
-	// DirectoryPath and ReadyPath are what callers and the platform ask for.
+	// DirectoryPath is the path that callers request, ReadyPath the one that the platform requests.
 	DirectoryPath() string
 	ReadyPath() string
-	EncodeEntries(w http.ResponseWriter, entries []roster.AdvertisedHost, keep time.Duration) error
+	EncodeEntries(w http.ResponseWriter, entries []roster.AdvertisedHost, maxAge time.Duration) error
 }
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -40,25 +40,25 @@
 	"ironhollow/pkg/watchdog"
 )
 
-// Times of calls.
+// Timeouts of calls.
 const (
-	// storeCall bounds one call to the store; it answers within 4 ms as a rule.
-	storeCall = time.Second
-	// deadPeer is how long sent bytes may stay unacknowledged.
-	deadPeer = 3 * time.Second
+	// storeCallTimeout bounds one call to the store, which usually answers within 4 ms.
+	storeCallTimeout = time.Second
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the connection fails.
+	unackedTimeout = 3 * time.Second
 )
 
-// engineFigures are used until answers have shown an engine's speed: a large
-// model on a current accelerator reads some 50 tokens a millisecond and makes
-// one in about 7 ms.
-var engineFigures = route.EngineSpeed{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanRequestTime: time.Second}
+// initialEngineSpeed is used until an engine's speed has been measured from its answers: a large
+// model on a current accelerator reads some 50 tokens per millisecond and generates one in about
+// 7 ms.
+var initialEngineSpeed = route.EngineSpeed{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanRequestTime: time.Second}
 
-// Incarnation names one life of a process on a host.
+// Incarnation identifies one run of the process on a host.
 type Incarnation string
 
 func newIncarnation(s Settings) Incarnation { return Incarnation(s.Node + "." + rand.Text()[:10]) }
 
-// storeClient is for calls to the platform, peerClient for those to other hosts.
+// storeClient is for calls to the platform, peerClient for calls to other hosts.
 type (
 	storeClient struct{ *http.Client }
 	peerClient  struct{ *http.Client }
@@ -68,41 +68,41 @@
 
 func newPeerClient() peerClient { return peerClient{&http.Client{Transport: newTransport()}} }
 
-func newLog(s Settings) *log.Logger { return process.NewAsyncLogger(os.Stdout, s.Node) }
+func newLogger(s Settings) *log.Logger { return process.NewAsyncLogger(os.Stdout, s.Node) }
 
-func newPool() *upstream.Pool { return upstream.New(deadPeer) }
+func newPool() *upstream.Pool { return upstream.New(unackedTimeout) }
 
 func newStore(platform Platform, client storeClient, s Settings, registry *prometheus.Registry) *storecalls.Counted {
 	return storecalls.New(platform.Store(client.Client, s), registry)
 }
 
-// newCopy passes on rows of endpoints only where something of them has changed that
-// is decoded: their heartbeats tell nothing but that they live, and a row that is not
-// renewed is removed by the store.
-func newCopy(platform Platform, clock *storeclock.Clock) *relay.Copy {
+// newRelayCopy returns a copy that passes on a row of an endpoint only if its decoded content has
+// changed: a heartbeat only shows that the endpoint is alive, and the store removes a row that is
+// not renewed.
+func newRelayCopy(platform Platform, clock *storeclock.Clock) *relay.Copy {
 	endpoints := platform.Tables().Endpoints
-	says := func(table string, before, now []byte) bool {
+	changed := func(table string, previous, current []byte) bool {
 		if table != endpoints {
 			return true
 		}
-		held, errHeld := platform.DecodeEndpoint("", before)
-		heard, errHeard := platform.DecodeEndpoint("", now)
-		if errHeld != nil || errHeard != nil {
-			// A row that names no endpoint is no news while it goes on naming none.
-			return (errHeld == nil) != (errHeard == nil)
+		previousInfo, previousErr := platform.DecodeEndpoint("", previous)
+		currentInfo, currentErr := platform.DecodeEndpoint("", current)
+		if previousErr != nil || currentErr != nil {
+			// A row without a valid endpoint is not a change if the previous one had none either.
+			return (previousErr == nil) != (currentErr == nil)
 		}
-		return held != heard
+		return previousInfo != currentInfo
 	}
-	return relay.NewCopy(clock.Now, says)
+	return relay.NewCopy(clock.Now, changed)
 }
 
-func newHome(s Settings) route.Location {
+func newLocation(s Settings) route.Location {
 	return route.Location{Node: s.Node, DataCenter: s.DataCenter}
 }
 
-func newRollouts(s Settings) *rollout.Splitter { return rollout.New(s.Rollouts) }
+func newSplitter(s Settings) *rollout.Splitter { return rollout.New(s.Rollouts) }
 
-func newDesk(platform Platform, rollouts *rollout.Splitter, view *storeview.View, writer *table.Writer, clock *storeclock.Clock,
+func newCoordinator(platform Platform, rollouts *rollout.Splitter, view *storeview.View, writer *table.Writer, clock *storeclock.Clock,
 	leases *lease.Manager, logger *log.Logger,
 ) *rolloutsync.Coordinator {
 	held := func() (lease.Grant, time.Duration, bool) {
@@ -113,28 +113,28 @@
 	return rolloutsync.NewCoordinator(rollouts, rollout.DefaultBayesTest(), writer, platform, fleet, clock, held, logger)
 }
 
-func newView(platform Platform, s Settings, clock *storeclock.Clock, home route.Location, self Incarnation, rollouts *rollout.Splitter, logger *log.Logger) *storeview.View {
-	members := roster.New(silence, gossip.Interval)
-	return storeview.New(platform, s.EndpointHeartbeat, clock, members, home, string(self), rollouts, logger)
+func newView(platform Platform, s Settings, clock *storeclock.Clock, location route.Location, self Incarnation, rollouts *rollout.Splitter, logger *log.Logger) *storeview.View {
+	members := roster.New(silenceTimeout, gossip.Interval)
+	return storeview.New(platform, s.EndpointHeartbeat, clock, members, location, string(self), rollouts, logger)
 }
 
-func newRouter(view *storeview.View, home route.Location, clock *storeclock.Clock) *route.Router {
+func newRouter(view *storeview.View, location route.Location, clock *storeclock.Clock) *route.Router {
 	seed := uint64(clock.Now().UnixNano())
-	return route.NewWithEngineSpeed(view.Directory(), hazard.New(), home, seed, engineFigures)
+	return route.NewWithEngineSpeed(view.Directory(), hazard.New(), location, seed, initialEngineSpeed)
 }
 
-func newLoads(router *route.Router, view *storeview.View, self Incarnation) *loadsync.Sync {
+func newLoadSync(router *route.Router, view *storeview.View, self Incarnation) *loadsync.Sync {
 	return loadsync.New(router, view.Roster(), string(self))
 }
 
-func newLimits(s Settings, clock *storeclock.Clock) *limit.CostLimiter {
+func newLimiter(s Settings, clock *storeclock.Clock) *limit.CostLimiter {
 	return limit.NewCostLimiter(limit.Tolerance(s.Limits), clock.Now())
 }
 
-// newCounter counts by the store's clock plus what the hosts agree it differs by
-// from the time of day; by this host's own time of day while that is not known.
+// newCounter returns a counter that uses the store's clock plus the offset from the time of day that
+// the hosts agree on. While that is unknown, it uses this host's own time of day.
 func newCounter(s Settings, clock *storeclock.Clock, view *storeview.View) *usage.Counter {
-	trueTime := func() time.Time {
+	fleetTime := func() time.Time {
 		storeNow, known := clock.Store()
 		offset, agreed := view.Roster().ClockOffset()
 		if !known || !agreed {
@@ -142,7 +142,7 @@
 		}
 		return time.Unix(0, int64(storeNow+offset))
 	}
-	return usage.NewCounter(s.UsageWindow, trueTime)
+	return usage.NewCounter(s.UsageWindow, fleetTime)
 }
 
 func newWriter(store *storecalls.Counted, self Incarnation) *table.Writer {
@@ -150,7 +150,7 @@
 }
 
 func newLeases(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
-	return lease.New(writer, string(self), lease.Timing{Duration: s.LeaseDuration, RenewInterval: s.LeaseDuration / renewals}, boottime.Now)
+	return lease.New(writer, string(self), lease.Timing{Duration: s.LeaseDuration, RenewInterval: s.LeaseDuration / renewalsPerLease}, boottime.Now)
 }
 
 func newDutyCloud(platform Platform, client storeClient, s Settings, leases *lease.Manager) *dutyCloud {
@@ -165,15 +165,15 @@
 	return autoscale.NewOrderer(cloud, logger)
 }
 
-func newBudget(s Settings) *retry.WindowBudget {
+func newRetryBudget(s Settings) *retry.WindowBudget {
 	return retry.NewWindowBudget(s.Retry.Share, s.Retry.Slack, s.Retry.Window)
 }
 
-func newWatch(registry *prometheus.Registry, logger *log.Logger) *quarantine.Watch {
+func newQuarantineWatch(registry *prometheus.Registry, logger *log.Logger) *quarantine.Watch {
 	return quarantine.NewWatch(registry, logger)
 }
 
-func newKeeper(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *quarantinesync.Syncer {
+func newQuarantineSyncer(watch *quarantine.Watch, writer *table.Writer, clock *storeclock.Clock, view *storeview.View, logger *log.Logger) *quarantinesync.Syncer {
 	return quarantinesync.NewSyncer(watch, writer, clock, view.StoreEra, logger)
 }
 
@@ -181,27 +181,27 @@
 	return watchdog.New(registry, logger)
 }
 
-func newNotices(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Board {
+func newNoticeBoard(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Board {
 	return notice.New(view.Directory(), router, logger)
 }
 
-func newForwarder(platform Platform, view *storeview.View, home route.Location, router *route.Router, limits *limit.CostLimiter, budget *retry.WindowBudget,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, notices *notice.Board, life *life, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+func newForwarder(platform Platform, view *storeview.View, location route.Location, router *route.Router, limiter *limit.CostLimiter, budget *retry.WindowBudget,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, noticeBoard *notice.Board, lifecycle *lifecycle, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
-	// What is known once stays known.
+	// Once the view is ready, it stays ready.
 	var ready atomic.Bool
 	phase := func() forward.Phase {
 		if !ready.Load() {
 			if !view.Ready() {
 				return forward.Starting
 			}
-			limits.FleetRestarted(view.IdleBeforeStart())
+			limiter.FleetRestarted(view.IdleBeforeStart())
 			ready.Store(true)
 		}
-		return life.phase()
+		return lifecycle.phase()
 	}
-	return forward.New(platform.Protocol(), view.RouteTables(), router, limits, budget, pool, counter,
-		fleet{view.Roster(), home.Node}, rollouts, watch, notices, phase, clock.Now, forward.NewMetrics(registry), logger)
+	return forward.New(platform.Protocol(), view.RouteTables(), router, limiter, budget, pool, counter,
+		fleet{view.Roster(), location.Node}, rollouts, watch, noticeBoard, phase, clock.Now, forward.NewMetrics(registry), logger)
 }
 
 // fleet is the roster as one host sees it.
@@ -210,16 +210,17 @@
 	node string
 }
 
-// Share returns the part of a bound on all hosts together that this one may use.
+// Share returns the fraction of a fleet-wide limit that this host may use.
 func (f fleet) Share() float64 { return f.Roster.LimitShare(f.node) }
 
-// newTransport is for calls to the platform. A close that gives up on a call
-// throws away what the network still holds, so that it can't arrive later.
+// newTransport returns a transport for calls to the platform and to other hosts. Closing the
+// connection of an abandoned call discards the bytes that are still to be sent, so that the call
+// cannot arrive later.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{
-		Timeout:         storeCall,
+		Timeout:         storeCallTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3},
-		Control:         upstream.ControlUserTimeout(deadPeer),
+		Control:         upstream.ControlUserTimeout(unackedTimeout),
 	}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/pkg/app/node/quarantine.go
+++ b/pkg/app/node/quarantine.go
@@ -8,36 +8,38 @@
 	"ironhollow/pkg/pause"
 )
 
-// surveySuspects counts endpoints as ended whose rows have gone since runs broke off
-// there: one that is cut off or silent refuses no connection.
-func (n *node) surveySuspects(now time.Time) {
-	for _, id := range n.crashes.SuspectedEndpoints(now) {
+// recordCrashedSuspects records a crash of each suspected endpoint whose row has been removed since
+// its runs were interrupted. Probes do not show such a crash: an endpoint that is cut off or silent
+// does not refuse connections.
+func (n *node) recordCrashedSuspects(now time.Time) {
+	for _, id := range n.quarantineWatch.SuspectedEndpoints(now) {
 		if info, ok := n.view.Directory().Get(id); !ok || info.State == endpoint.Gone {
-			n.crashes.EndpointCrashed(id, "row removed", now)
+			n.quarantineWatch.EndpointCrashed(id, "row removed", now)
 		}
 	}
 }
 
-// Times of a start, for what is held back.
+// Timing of the quarantine after a start.
 const (
-	// callersLook is the pause between two looks whether callers are told of this host.
-	callersLook = 200 * time.Millisecond
-	// othersTell is how long after its start a host has heard from others what is held
-	// back, of some hundred requests two a datagram.
-	othersTell = 15 * time.Second
+	// advertisedCheckInterval is the time between checks whether this host is advertised to
+	// callers.
+	advertisedCheckInterval = 200 * time.Millisecond
+	// peerReportTime is how long after its start a host has received the quarantined requests
+	// from other hosts: some hundred requests, two per datagram.
+	peerReportTime = 15 * time.Second
 )
 
-// keepQuarantine keeps requests that are held back in the store, and reads those there if
-// callers are told of this host soon after its start: others may have begun anew too.
-func (n *node) keepQuarantine(ctx context.Context) {
-	go n.keeper.Run(ctx)
+// syncQuarantine writes quarantined requests to the store. It also loads those in the store if this
+// host is advertised to callers soon after its start: other hosts may have restarted too.
+func (n *node) syncQuarantine(ctx context.Context) {
+	go n.quarantineSyncer.Run(ctx)
 	n.awaitStore(ctx)
-	for n.clock.Running() < othersTell {
+	for n.clock.Running() < peerReportTime {
 		if n.view.Roster().Loaded() && n.view.Roster().IsAdvertised(n.settings.Node) {
-			n.keeper.Load(ctx)
+			n.quarantineSyncer.Load(ctx)
 			return
 		}
-		if !pause.For(ctx, callersLook) {
+		if !pause.For(ctx, advertisedCheckInterval) {
 			return
 		}
 	}
--- a/pkg/app/node/rollouts.go
+++ b/pkg/app/node/rollouts.go
@@ -16,62 +16,63 @@
 
 // Timing of roll-outs.
 const (
-	// decidePause is the time between two decisions of the owner of an order, idlePause
-	// between two looks whether there is one.
-	decidePause = 100 * time.Millisecond
-	idlePause   = 400 * time.Millisecond
-	// directivePause is the time between two directives to each host, in fleets of up to
-	// directiveHosts; longer in larger ones, so that the owner's work does not grow.
-	directivePause = 250 * time.Millisecond
-	directiveHosts = 250
-	// rowsFollowed is how long the orders' rows are followed after the last has ended.
-	rowsFollowed = 5 * time.Second
+	// decisionInterval is the time between two decisions of the owner of an order, idleInterval
+	// the time between checks whether there is an order.
+	decisionInterval = 100 * time.Millisecond
+	idleInterval     = 400 * time.Millisecond
+	// directiveInterval is the time between two directives to each host in fleets of up to
+	// unscaledFleet hosts. It is longer in larger fleets, so that the owner's work does not grow.
+	directiveInterval = 250 * time.Millisecond
+	unscaledFleet     = 250
+	// rowFollowTime is how long the rows of orders are still followed after the last open order
+	// has ended.
+	rowFollowTime = 5 * time.Second
 )
 
-// datagrams is the exchange with other hosts, once it is there.
-type datagrams struct {
+// rolloutSender sends roll-out datagrams once the exchange with other hosts has been set.
+type rolloutSender struct {
 	exchange atomic.Pointer[gossip.Exchange]
 }
 
-func (d *datagrams) set(e *gossip.Exchange) { d.exchange.Store(e) }
+func (s *rolloutSender) set(e *gossip.Exchange) { s.exchange.Store(e) }
 
-// send sends directives or reports to one host, or to all where to is empty.
-func (d *datagrams) send(data []byte, to string) {
-	if e := d.exchange.Load(); e != nil {
+// send sends directives or reports to one host, or to all hosts if to is empty.
+func (s *rolloutSender) send(data []byte, to string) {
+	if e := s.exchange.Load(); e != nil {
 		e.SendRollouts(data, to)
 	}
 }
 
-// replacedBy is the last completed order of each service of which the orderer of
-// endpoints knows. One goroutine uses it.
-type replacedBy map[string]int64
+// completedOrders is, by service, the last completed order that has been applied to the orderer of
+// endpoints. Only one goroutine uses it.
+type completedOrders map[string]int64
 
-func newReplacedBy() replacedBy { return replacedBy{} }
+func newCompletedOrders() completedOrders { return completedOrders{} }
 
-// ownRollouts decides on open orders while this host holds the lease of the duties.
-func (n *node) ownRollouts(ctx context.Context) {
+// coordinateRollouts decides on open orders while this host holds the lease of the duties.
+func (n *node) coordinateRollouts(ctx context.Context) {
 	if !n.rollouts.Bounds().Enabled() {
 		return
 	}
 	for ctx.Err() == nil {
-		n.desk.Step(ctx)
+		n.rolloutCoordinator.Step(ctx)
 		if len(n.rollouts.OpenOrders()) > 0 {
-			pause.For(ctx, decidePause)
+			pause.For(ctx, decisionInterval)
 		} else {
-			pause.For(ctx, idlePause)
+			pause.For(ctx, idleInterval)
 		}
 	}
 }
 
-// sendRollouts sends all hosts what this one has decided.
+// sendRollouts sends this host's directives to all hosts.
 func (n *node) sendRollouts(ctx context.Context) {
 	if !n.rollouts.Bounds().Enabled() {
 		return
 	}
 	for ctx.Err() == nil {
-		directives := n.desk.Directives()
+		directives := n.rolloutCoordinator.Directives()
 		if len(directives) == 0 {
-			pause.For(ctx, directivePause)
+			pause.For(ctx, directiveInterval)
 			continue
 		}
 		data, err := rolloutsync.EncodeDirectives(directives)
@@ -79,21 +80,21 @@
 			n.log.Error().Err(err).Msg("failed to encode roll-out directives")
 			return
 		}
-		n.datagrams.send(data, "")
+		n.rolloutSender.send(data, "")
 		n.applyDirectives(directives, n.clock.Now())
 		for _, r := range n.reports(directives) {
-			n.desk.ApplyReport(string(n.incarnation), r)
+			n.rolloutCoordinator.ApplyReport(string(n.incarnation), r)
 		}
-		pause.For(ctx, directivePause*time.Duration(max(n.view.Roster().Sharing(), directiveHosts))/directiveHosts)
+		pause.For(ctx, directiveInterval*time.Duration(max(n.view.Roster().Sharing(), unscaledFleet))/unscaledFleet)
 	}
 }
 
-// applyDirectives applies an owner's directives.
+// applyDirectives applies the directives of an owner.
 func (n *node) applyDirectives(directives []rollout.Directive, now time.Time) {
-	for _, w := range directives {
-		if n.rollouts.ApplyDirective(w, now) {
-			n.log.Info().Str("service", w.Service).Int64("order", w.Order).Str("phase", w.Phase.String()).Float64("share", w.Share).
-				Int64("epoch", w.Epoch).Int64("directive", w.Number).Msg("share of a roll-out")
+	for _, directive := range directives {
+		if n.rollouts.ApplyDirective(directive, now) {
+			n.log.Info().Str("service", directive.Service).Int64("order", directive.Order).Str("phase", directive.Phase.String()).Float64("share", directive.Share).
+				Int64("epoch", directive.Epoch).Int64("directive", directive.Number).Msg("share of a roll-out")
 		}
 	}
 }
@@ -101,15 +102,15 @@
 // reports returns this host's reports on the orders of directives.
 func (n *node) reports(directives []rollout.Directive) []rollout.Report {
 	var reports []rollout.Report
-	for _, w := range directives {
-		if r, ok := n.rollouts.Report(w.Service, w.Order, n.clock.Now()); ok {
+	for _, directive := range directives {
+		if r, ok := n.rollouts.Report(directive.Service, directive.Order, n.clock.Now()); ok {
 			reports = append(reports, r)
 		}
 	}
 	return reports
 }
 
-// receiveRollouts applies directives and answers them with reports, or applies reports.
+// receiveRollouts applies reports or directives, and replies to directives with reports.
 func (n *node) receiveRollouts(update gossip.Update, now time.Time) {
 	directives, reports, err := rolloutsync.Decode(update.Rollouts)
 	if err != nil {
@@ -117,7 +118,7 @@
 		return
 	}
 	for _, r := range reports {
-		n.desk.ApplyReport(update.Incarnation, r)
+		n.rolloutCoordinator.ApplyReport(update.Incarnation, r)
 	}
 	if len(directives) == 0 {
 		return
@@ -132,11 +133,11 @@
 		n.log.Error().Err(err).Msg("reports of roll-outs not encoded")
 		return
 	}
-	n.datagrams.send(data, update.PeerAddress)
+	n.rolloutSender.send(data, update.PeerAddress)
 }
 
-// surveyRollouts brings the split of requests up to date with the endpoints.
-func (n *node) surveyRollouts(now time.Time) {
+// refreshRollouts updates the split of requests to the current endpoints.
+func (n *node) refreshRollouts(now time.Time) {
 	if !n.rollouts.Bounds().Enabled() || !n.view.EndpointSyncer().Loaded() {
 		return
 	}
@@ -148,38 +149,38 @@
 	}
 }
 
-// followRollouts follows the orders' rows while there are open ones: hosts that do not
-// hear the owner learn from them how an order ended. Without orders it makes no call.
+// followRollouts follows the rows of orders while orders are open: hosts that do not receive the
+// owner's directives read there how an order ended. Without open orders it makes no call.
 func (n *node) followRollouts(ctx context.Context, source feed.Source) {
 	if !n.rollouts.Bounds().Enabled() {
 		return
 	}
 	for ctx.Err() == nil {
-		pause.For(ctx, idlePause)
+		pause.For(ctx, idleInterval)
 		if len(n.rollouts.OpenOrders()) == 0 {
 			continue
 		}
-		following, stop := context.WithCancel(ctx)
-		go n.view.FollowTable(following, source, rolloutsync.Table, n.takeRolloutRows)
-		openAt := time.Now()
-		for ctx.Err() == nil && time.Since(openAt) < rowsFollowed {
-			pause.For(ctx, idlePause)
+		followCtx, stop := context.WithCancel(ctx)
+		go n.view.FollowTable(followCtx, source, rolloutsync.Table, n.applyRolloutRows)
+		lastOpenAt := time.Now()
+		for ctx.Err() == nil && time.Since(lastOpenAt) < rowFollowTime {
+			pause.For(ctx, idleInterval)
 			if len(n.rollouts.OpenOrders()) > 0 {
-				openAt = time.Now()
+				lastOpenAt = time.Now()
 			}
 		}
 		stop()
 	}
 }
 
-func (n *node) takeRolloutRows(batch feed.Batch) {
+func (n *node) applyRolloutRows(batch feed.Batch) {
 	for _, stored := range batch.Rows {
 		if stored.Deleted {
 			continue
 		}
 		state, err := rolloutsync.DecodeState(stored.Value)
 		if err != nil {
-			n.log.Error().Err(err).Str("row", stored.Key).Msg("state of a roll-out not taken")
+			n.log.Error().Err(err).Str("row", stored.Key).Msg("failed to decode the state of a roll-out")
 			continue
 		}
 		if n.rollouts.ApplyState(state, n.clock.Now()) {
@@ -189,7 +190,7 @@
 	}
 }
 
-// rolloutFleet is what an owner needs to know of hosts and endpoints.
+// rolloutFleet returns what the owner of an order needs to know of hosts and endpoints.
 func rolloutFleet(view *storeview.View, order rollout.Order) rollout.Fleet {
 	f := rollout.Fleet{Live: view.Roster().LiveIncarnations(), Advertised: view.Roster().Advertised()}
 	for _, info := range view.Directory().View().Infos() {
--- a/pkg/app/node/settings.go
+++ b/pkg/app/node/settings.go
@@ -1,6 +1,6 @@
-// Package node is the one process of a host on a platform that gives a store:
-// it serves callers, tells them which hosts to use, and takes its turn at the
-// duties that one node has at a time.
+// Package node is the process that runs once on each host of a platform with a store. It serves
+// callers, sends them the list of hosts to use, and takes its turn at the duties that only one node
+// performs at a time.
 package node
 
 import (
@@ -12,53 +12,54 @@
 	"ironhollow/pkg/rollout"
 )
 
-// RetryBudget bound what all nodes together send again.
+// RetryBudget bounds how many requests all nodes together retry.
 type RetryBudget struct {
-	// Share is of a service's requests in a window, Slack comes on top.
+	// Share is a fraction of the requests of a service in a window; Slack is added to it.
 	Share, Slack float64
 	Window       time.Duration
 }
 
-// LimitTolerance say how far all nodes together may pass a team's limit.
+// LimitTolerance bounds by how much all nodes together may exceed a team's limit.
 type LimitTolerance struct {
 	Window time.Duration
-	// Overrun is a share of the limit, Slack comes on top, in its unit.
+	// Overrun is a fraction of the limit; Slack is added to it, in the unit of the limit.
 	Overrun, Slack float64
 }
 
-// Settings are what a node is told at its start.
+// Settings are the settings with which a node starts.
 type Settings struct {
-	// Node names the host over all its processes.
+	// Node is the name of the host. It is the same for all processes that run there in turn.
 	Node, DataCenter string
-	// CallerAddress, ReadyAddress and DirectoryAddress are IP numbers and ports to listen at. AdminAddress
-	// serves metrics; it may be empty.
+	// CallerAddress, ReadyAddress and DirectoryAddress are the IP addresses and ports to listen
+	// on. AdminAddress is the one for metrics; it may be empty.
 	CallerAddress, ReadyAddress, DirectoryAddress, AdminAddress string
-	// PeerAddress is the address for datagrams of other hosts; it may be empty.
+	// PeerAddress is the address for datagrams and relay connections from other hosts; it may be
+	// empty.
 	PeerAddress                string
 	StoreAddress, CloudAddress string
-	// MemoryLimitMB is the process's limit, 0 for none.
+	// MemoryLimitMB is the memory limit of the process, 0 for none.
 	MemoryLimitMB int
-	// FirstStart says that the whole system starts for the first time.
+	// FirstStart is set if the whole system is starting for the first time.
 	FirstStart bool
 	// Cores is the process's share of the processor, in cores; 0 if unknown.
 	Cores float64
 	// GracePeriod is the time from SIGTERM to SIGKILL.
 	GracePeriod time.Duration
-	// LeaseDuration is how long a duty's lease lasts without renewal.
+	// LeaseDuration is how long the lease of the duties is valid without renewal.
 	LeaseDuration time.Duration
 	Retry         RetryBudget
 	Limits        LimitTolerance
-	// Rollouts bound what a version that turns out bad may get; no roll-outs are ordered
-	// where they are not set.
+	// Rollouts bounds the requests that a version that turns out to be bad may get. Roll-outs are
+	// disabled if it is not set.
 	Rollouts rollout.Bounds
-	// UsageWindow is the length of a window of usage.
+	// UsageWindow is the length of a window in which usage is counted.
 	UsageWindow                   time.Duration
 	ReportsUsage, OrdersEndpoints bool
-	// EndpointHeartbeat is how often an endpoint writes its row.
+	// EndpointHeartbeat is the interval at which an endpoint writes its row.
 	EndpointHeartbeat time.Duration
 }
 
-// Check returns every fault of the settings at once.
+// Check returns all faults of the settings in one error.
 func (s Settings) Check() error {
 	var faults []error
 	if s.Node == "" {
@@ -76,7 +77,7 @@
 		faults = append(faults, errors.New("grace and lease must be above 0"))
 	}
 	if s.ReportsUsage && s.UsageWindow <= 0 {
-		faults = append(faults, errors.New("the window of usage must be above 0"))
+		faults = append(faults, errors.New("the usage window must be above 0"))
 	}
 	if s.Rollouts.Share < 0 || s.Rollouts.Share >= 1 || s.Rollouts.Slack < 0 {
 		faults = append(faults, fmt.Errorf("the share of a bad version must be in [0, 1) and its slack 0 or more, got %v and %v", s.Rollouts.Share, s.Rollouts.Slack))
--- a/pkg/app/node/wire.go
+++ b/pkg/app/node/wire.go
@@ -12,10 +12,10 @@
 
 func build(platform Platform, settings Settings, incarnation Incarnation) *node {
 	wire.Build(
-		newLog, newLife, newPool, newStoreClient, newPeerClient, newStore, newCopy, newHome, newView, newRouter, newRollouts, newDesk, newLoads, newLimits,
-		newCounter, newWriter, newLeases, newDutyCloud, newReplacedBy, newReporter, newOrderer, newBudget, newForwarder, newWatch, newNotices, newWatchdog, newKeeper,
+		newLogger, newLifecycle, newPool, newStoreClient, newPeerClient, newStore, newRelayCopy, newLocation, newView, newRouter, newSplitter, newCoordinator, newLoadSync, newLimiter,
+		newCounter, newWriter, newLeases, newDutyCloud, newCompletedOrders, newReporter, newOrderer, newRetryBudget, newForwarder, newQuarantineWatch, newNoticeBoard, newWatchdog, newQuarantineSyncer,
 		storeclock.New, autoscale.NewTraffic, process.NewRegistry,
-		wire.Struct(new(ownRow)), wire.Struct(new(datagrams)), wire.Struct(new(fleetRole)), wire.Struct(new(suspensions)), wire.Struct(new(node), "*"),
+		wire.Struct(new(rowState)), wire.Struct(new(rolloutSender)), wire.Struct(new(fleetRole)), wire.Struct(new(suspendLog)), wire.Struct(new(node), "*"),
 	)
 	return nil
 }
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -15,20 +15,20 @@
 // Injectors from wire.go:
 
 func build(platform Platform, settings Settings, incarnation Incarnation) *node {
-	logger := newLog(settings)
+	logger := newLogger(settings)
 	clock := storeclock.New()
-	nodeLife := newLife(clock)
+	nodeLifecycle := newLifecycle(clock)
 	nodeStoreClient := newStoreClient()
 	registry := process.NewRegistry()
 	counted := newStore(platform, nodeStoreClient, settings, registry)
-	relayCopy := newCopy(platform, clock)
+	relayCopy := newRelayCopy(platform, clock)
 	nodePeerClient := newPeerClient()
-	location := newHome(settings)
-	splitter := newRollouts(settings)
+	location := newLocation(settings)
+	splitter := newSplitter(settings)
 	view := newView(platform, settings, clock, location, incarnation, splitter, logger)
 	router := newRouter(view, location, clock)
-	sync := newLoads(router, view, incarnation)
-	costLimiter := newLimits(settings, clock)
+	sync := newLoadSync(router, view, incarnation)
+	costLimiter := newLimiter(settings, clock)
 	pool := newPool()
 	counter := newCounter(settings, clock, view)
 	writer := newWriter(counted, incarnation)
@@ -37,51 +37,51 @@
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
 	orderer := newOrderer(nodeDutyCloud, logger)
 	traffic := autoscale.NewTraffic()
-	windowBudget := newBudget(settings)
-	watch := newWatch(registry, logger)
-	board := newNotices(view, router, logger)
-	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, board, nodeLife, clock, registry, logger)
-	nodeOwnRow := &ownRow{}
+	windowBudget := newRetryBudget(settings)
+	watch := newQuarantineWatch(registry, logger)
+	board := newNoticeBoard(view, router, logger)
+	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, board, nodeLifecycle, clock, registry, logger)
+	nodeRowState := &rowState{}
 	nodeFleetRole := &fleetRole{}
-	coordinator := newDesk(platform, splitter, view, writer, clock, manager, logger)
-	nodeDatagrams := &datagrams{}
-	nodeReplacedBy := newReplacedBy()
-	syncer := newKeeper(watch, writer, clock, view, logger)
+	coordinator := newCoordinator(platform, splitter, view, writer, clock, manager, logger)
+	nodeRolloutSender := &rolloutSender{}
+	nodeCompletedOrders := newCompletedOrders()
+	syncer := newQuarantineSyncer(watch, writer, clock, view, logger)
 	watchdog := newWatchdog(registry, logger)
-	nodeSuspensions := &suspensions{}
+	nodeSuspendLog := &suspendLog{}
 	nodeNode := &node{
-		settings:    settings,
-		platform:    platform,
-		incarnation: incarnation,
-		log:         logger,
-		clock:       clock,
-		life:        nodeLife,
-		store:       counted,
-		copy:        relayCopy,
-		peers:       nodePeerClient,
-		view:        view,
-		router:      router,
-		loads:       sync,
-		limits:      costLimiter,
-		pool:        pool,
-		counter:     counter,
-		reporter:    reporter,
-		orderer:     orderer,
-		leases:      manager,
-		traffic:     traffic,
-		forwarder:   forwarder,
-		registry:    registry,
-		row:         nodeOwnRow,
-		role:        nodeFleetRole,
-		rollouts:    splitter,
-		desk:        coordinator,
-		datagrams:   nodeDatagrams,
-		replaced:    nodeReplacedBy,
-		crashes:     watch,
-		keeper:      syncer,
-		notices:     board,
-		watchdog:    watchdog,
-		suspensions: nodeSuspensions,
+		settings:           settings,
+		platform:           platform,
+		incarnation:        incarnation,
+		log:                logger,
+		clock:              clock,
+		lifecycle:          nodeLifecycle,
+		store:              counted,
+		storeCopy:          relayCopy,
+		relayClient:        nodePeerClient,
+		view:               view,
+		router:             router,
+		loadSync:           sync,
+		limiter:            costLimiter,
+		pool:               pool,
+		counter:            counter,
+		reporter:           reporter,
+		orderer:            orderer,
+		leases:             manager,
+		traffic:            traffic,
+		forwarder:          forwarder,
+		registry:           registry,
+		row:                nodeRowState,
+		role:               nodeFleetRole,
+		rollouts:           splitter,
+		rolloutCoordinator: coordinator,
+		rolloutSender:      nodeRolloutSender,
+		appliedOrders:      nodeCompletedOrders,
+		quarantineWatch:    watch,
+		quarantineSyncer:   syncer,
+		noticeBoard:        board,
+		watchdog:           watchdog,
+		suspendLog:         nodeSuspendLog,
 	}
 	return nodeNode
 }
