--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -43,7 +43,7 @@
 		if nowHeld != held {
 			held = nowHeld
 			n.log.Info().Bool("held", held).Msg("lease of the duties")
-			n.orderer.Forget()
+			n.orderer.Reset()
 		}
 		if held {
 			n.performDuties(ctx)
@@ -149,11 +149,11 @@
 	if current == nil || !n.view.EndpointSyncer().Loaded() {
 		return
 	}
-	serving := map[autoscale.Place]int{}
+	serving := map[autoscale.Pool]int{}
 	now := n.clock.Now()
 	for _, info := range n.view.Directory().View().Infos() {
 		if info.State == endpoint.Live && n.rollouts.CountsTowardCapacity(&info, now) {
-			serving[autoscale.Place{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
+			serving[autoscale.Pool{Service: info.Service, DataCenter: info.DataCenter, Reclaimable: info.Reclaimable}]++
 		}
 	}
 	demands := n.view.Roster().Demands(now)
@@ -166,18 +166,18 @@
 			continue
 		}
 		supply := func(dataCenter string, reclaimable bool) (int, int) {
-			place := autoscale.Place{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
-			return serving[place], n.orderer.Soon(place, serving[place], service.Scaling.Boot, now)
+			place := autoscale.Pool{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
+			return serving[place], n.orderer.Booting(place, serving[place], service.Scaling.Boot, now)
 		}
-		demand := n.traffic.Demand(service.Name, demands[service.Name], now)
-		demand.Most = maxDemand
+		demand := n.traffic.Observe(service.Name, demands[service.Name], now)
+		demand.MaxLoad = maxDemand
 		orders, _ := autoscale.Plan(service, demand, supply)
 		n.resetAfterRollout(service.Name)
 		if n.rollouts.InProgress(service.Name) {
 			preventScaleDown(orders, service.Scaling.Most)
 		}
-		count := func(p autoscale.Place) int { return serving[p] }
-		n.orderer.Step(ctx, orders, count, service.Scaling.Boot, now, held)
+		count := func(p autoscale.Pool) int { return serving[p] }
+		n.orderer.Reconcile(ctx, orders, count, service.Scaling.Boot, now, held)
 	}
 }
 
@@ -186,7 +186,7 @@
 func (n *node) resetAfterRollout(service string) {
 	if order := n.rollouts.CompletedOrder(service); order != n.appliedOrders[service] {
 		n.appliedOrders[service] = order
-		n.orderer.ForgetService(service)
+		n.orderer.ResetService(service)
 	}
 }
 
@@ -194,7 +194,7 @@
 // the previous version must be able to serve all requests until the roll-out is decided.
 func preventScaleDown(orders []autoscale.Order, maxEndpoints int) {
 	for i := range orders {
-		orders[i].Keep = maxEndpoints
+		orders[i].Retain = maxEndpoints
 	}
 }
 
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -131,7 +131,7 @@
 		ClockOffset: offset,
 		Counts:      n.counter.Recent(),
 	}
-	row.Loads = n.loadSync.Own()
+	row.Loads = n.loadSync.LocalLoads()
 	row.Demands = n.localDemands(now)
 	value, err := row.Encode()
 	if err != nil {
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -29,13 +29,13 @@
 	now := n.clock.Now()
 	return gossip.Update{
 		Status: roster.Status{
-			Host: n.host(), Loads: n.loadSync.Own(), Demands: n.localDemands(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.StoreReachableFor(),
+			Host: n.host(), Loads: n.loadSync.LocalLoads(), Demands: n.localDemands(now), Counts: n.counter.Latest(), StoreReachableFor: n.view.StoreReachableFor(),
 			LeaseVersion: n.leases.RowVersion(dutyShard),
 		},
-		Spent:   n.limiter.LocalUsage(now),
-		Placed:  n.router.DrainPlacements(),
-		Cases:   n.quarantineWatch.Reports(now),
-		Notices: n.noticeBoard.Reports(now),
+		TeamUsage:  n.limiter.LocalUsage(now),
+		Placements: n.router.DrainPlacements(),
+		Cases:      n.quarantineWatch.Reports(now),
+		Notices:    n.noticeBoard.Reports(now),
 	}
 }
 
@@ -62,18 +62,18 @@
 		n.view.Roster().ApplyDigest(update.Incarnation, update.Digest, now)
 		return
 	}
-	if len(update.Spent)+len(update.Counts) > 0 && update.Brief {
-		n.limiter.ApplyPeer(update.Incarnation, update.Spent, now)
+	if len(update.TeamUsage)+len(update.Counts) > 0 && update.Brief {
+		n.limiter.ApplyPeer(update.Incarnation, update.TeamUsage, now)
 		n.view.Roster().ApplyCounts(update.Incarnation, update.Counts)
 		return
 	}
 	if update.Brief {
-		n.loadSync.ApplyBrief(update.Incarnation, update.Sequence, update.Loads, update.Placed, now)
+		n.loadSync.ApplyBrief(update.Incarnation, update.Sequence, update.Loads, update.Placements, now)
 		return
 	}
 	n.view.Roster().ApplyStatus(update.Status, now)
-	n.limiter.ApplyPeer(update.Incarnation, update.Spent, now)
-	n.loadSync.ApplyPlacements(update.Placed)
+	n.limiter.ApplyPeer(update.Incarnation, update.TeamUsage, now)
+	n.loadSync.ApplyPlacements(update.Placements)
 	if update.LeaseVersion > 0 {
 		n.leases.ObserveVersion(dutyShard, update.LeaseVersion)
 	}
@@ -82,9 +82,9 @@
 // urgentUpdate returns the update about single endpoints that this host sends immediately.
 func (n *node) urgentUpdate(endpoints []string) gossip.Update {
 	return gossip.Update{
-		Status:  roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loadSync.OwnAt(endpoints)},
-		Placed:  n.router.DrainPlacements(),
-		Notices: n.noticeBoard.ReportsOf(endpoints, n.clock.Now()),
+		Status:     roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loadSync.LocalLoadsAt(endpoints)},
+		Placements: n.router.DrainPlacements(),
+		Notices:    n.noticeBoard.ReportsFor(endpoints, n.clock.Now()),
 	}
 }
 
@@ -118,7 +118,7 @@
 	n.view.Roster().MergeSelf(n.host(), now)
 	if members := n.view.Roster(); !members.IsHierarchical() || members.InCore(n.settings.Node) || n.router.HasInFlight() {
 		// Other hosts do not receive loads.
-		n.loadSync.Apply(now)
+		n.loadSync.UpdateRouter(now)
 	}
 	n.updateRequestRate()
 	n.view.Roster().Prune(deadRowRetention)
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -69,7 +69,7 @@
 	lifecycle   *lifecycle
 	store       *storecalls.Counted
 	// storeCopy is the copy of the store that peers follow through this host.
-	storeCopy          *relay.Copy
+	storeCopy          *relay.Replica
 	relayClient        peerClient
 	view               *storeview.View
 	router             *route.Router
@@ -78,9 +78,9 @@
 	pool               *upstream.Pool
 	counter            *usage.Counter
 	reporter           *usage.Reporter
-	orderer            *autoscale.Orderer
+	orderer            *autoscale.Reconciler
 	leases             *lease.Manager
-	traffic            *autoscale.Traffic
+	traffic            *autoscale.DemandTracker
 	forwarder          *forward.Forwarder
 	registry           *prometheus.Registry
 	row                *rowState
@@ -91,7 +91,7 @@
 	appliedOrders      completedOrders
 	quarantineWatch    *quarantine.Watch
 	quarantineSyncer   *quarantinesync.Syncer
-	noticeBoard        *notice.Board
+	noticeBoard        *notice.Tracker
 	watchdog           *watchdog.Watchdog
 
 	suspendLog *suspendLog
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -79,7 +79,7 @@
 // newRelayCopy returns a copy that passes on a row of an endpoint only if its decoded content has
 // changed: a heartbeat only shows that the endpoint is alive, and the store removes a row that is
 // not renewed.
-func newRelayCopy(platform Platform, clock *storeclock.Clock) *relay.Copy {
+func newRelayCopy(platform Platform, clock *storeclock.Clock) *relay.Replica {
 	endpoints := platform.Tables().Endpoints
 	changed := func(table string, previous, current []byte) bool {
 		if table != endpoints {
@@ -93,7 +93,7 @@
 		}
 		return previousInfo != currentInfo
 	}
-	return relay.NewCopy(clock.Now, changed)
+	return relay.NewReplica(clock.Now, changed)
 }
 
 func newLocation(s Settings) route.Location {
@@ -161,8 +161,8 @@
 	return usage.NewReporter(counter, view.Roster(), writer, cloud, view.StoreEra, logger)
 }
 
-func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Orderer {
-	return autoscale.NewOrderer(cloud, logger)
+func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Reconciler {
+	return autoscale.NewReconciler(cloud, logger)
 }
 
 func newRetryBudget(s Settings) *retry.WindowBudget {
@@ -181,12 +181,12 @@
 	return watchdog.New(registry, logger)
 }
 
-func newNoticeBoard(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Board {
+func newNoticeBoard(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Tracker {
 	return notice.New(view.Directory(), router, logger)
 }
 
 func newForwarder(platform Platform, view *storeview.View, location route.Location, router *route.Router, limiter *limit.CostLimiter, budget *retry.WindowBudget,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, noticeBoard *notice.Board, lifecycle *lifecycle, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, noticeBoard *notice.Tracker, lifecycle *lifecycle, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// Once the view is ready, it stays ready.
 	var ready atomic.Bool
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -21,7 +21,7 @@
 	nodeStoreClient := newStoreClient()
 	registry := process.NewRegistry()
 	counted := newStore(platform, nodeStoreClient, settings, registry)
-	relayCopy := newRelayCopy(platform, clock)
+	replica := newRelayCopy(platform, clock)
 	nodePeerClient := newPeerClient()
 	location := newLocation(settings)
 	splitter := newSplitter(settings)
@@ -35,12 +35,12 @@
 	manager := newLeases(writer, incarnation, settings)
 	nodeDutyCloud := newDutyCloud(platform, nodeStoreClient, settings, manager)
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
-	orderer := newOrderer(nodeDutyCloud, logger)
-	traffic := autoscale.NewTraffic()
+	reconciler := newOrderer(nodeDutyCloud, logger)
+	demandTracker := autoscale.NewDemandTracker()
 	windowBudget := newRetryBudget(settings)
 	watch := newQuarantineWatch(registry, logger)
-	board := newNoticeBoard(view, router, logger)
-	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, board, nodeLifecycle, clock, registry, logger)
+	tracker := newNoticeBoard(view, router, logger)
+	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, tracker, nodeLifecycle, clock, registry, logger)
 	nodeRowState := &rowState{}
 	nodeFleetRole := &fleetRole{}
 	coordinator := newCoordinator(platform, splitter, view, writer, clock, manager, logger)
@@ -57,7 +57,7 @@
 		clock:              clock,
 		lifecycle:          nodeLifecycle,
 		store:              counted,
-		storeCopy:          relayCopy,
+		storeCopy:          replica,
 		relayClient:        nodePeerClient,
 		view:               view,
 		router:             router,
@@ -66,9 +66,9 @@
 		pool:               pool,
 		counter:            counter,
 		reporter:           reporter,
-		orderer:            orderer,
+		orderer:            reconciler,
 		leases:             manager,
-		traffic:            traffic,
+		traffic:            demandTracker,
 		forwarder:          forwarder,
 		registry:           registry,
 		row:                nodeRowState,
@@ -79,7 +79,7 @@
 		appliedOrders:      nodeCompletedOrders,
 		quarantineWatch:    watch,
 		quarantineSyncer:   syncer,
-		noticeBoard:        board,
+		noticeBoard:        tracker,
 		watchdog:           watchdog,
 		suspendLog:         nodeSuspendLog,
 	}
--- a/pkg/route/route.go
+++ b/pkg/route/route.go
@@ -164,7 +164,7 @@
 	return &group{
 		prefixes: newPrefixIndex(maxIndexSize),
 		random:   rand.New(rand.NewPCG(r.seed, uint64(len(r.groups)))),
-		speed:    enginemodel.NewService(enginemodel.Figures{Prefill: r.initialSpeed.Prefill, TokenGap: r.initialSpeed.TokenGap}),
+		speed:    enginemodel.NewEstimator(enginemodel.Timings{PrefillPerToken: r.initialSpeed.Prefill, TokenGap: r.initialSpeed.TokenGap}),
 	}
 }
 
@@ -277,7 +277,7 @@
 	s.load.localPrefillTokens += c.uncachedTokens
 	g.prefixes.record(q.PrefixHashes, s.info.ID)
 	g.recordPlacement(q, s.info.ID)
-	if time.Duration(c.uncachedTokens)*g.speed.Figures().Prefill >= urgentPrefill {
+	if time.Duration(c.uncachedTokens)*g.speed.Timings().PrefillPerToken >= urgentPrefill {
 		r.MarkUrgent(s.info.ID)
 	}
 }
--- a/pkg/route/slot.go
+++ b/pkg/route/slot.go
@@ -26,7 +26,7 @@
 	backoffsUntil, penaltiesUntil time.Time
 	demand                        demand
 	// speed is the common speed estimate of the endpoints.
-	speed *enginemodel.Service
+	speed *enginemodel.Estimator
 	// placements are those that were not sent to the other entries yet.
 	placements []Placement
 	// choicesSinceExplored is the number of choices since an idle endpoint was last explored.
--- a/pkg/route/work.go
+++ b/pkg/route/work.go
@@ -32,8 +32,8 @@
 
 // engineTime returns the engine time that a request needs. The group's lock must be held.
 func (g *group) engineTime(uncached, answer int) time.Duration {
-	f := g.speed.Figures()
-	return time.Duration(uncached)*f.Prefill + time.Duration(answer)*f.TokenGap/batchSize
+	f := g.speed.Timings()
+	return time.Duration(uncached)*f.PrefillPerToken + time.Duration(answer)*f.TokenGap/batchSize
 }
 
 // EngineDemand returns the engine time per second that this entry's requests for a target need,
