--- a/pkg/app/control/work.go
+++ b/pkg/app/control/work.go
@@ -208,7 +208,7 @@
 		Epoch: grant.Epoch, Model: assignment.Target.Model, Version: assignment.Target.Version, Adapter: assignment.Target.Adapter,
 	})
 	switch {
-	case errors.Is(err, engine.ErrStale):
+	case errors.Is(err, engine.ErrStaleEpoch):
 		a.counters.OrdersStale.Inc()
 	case err != nil:
 		a.counters.OrdersFailed.Inc()
--- a/pkg/app/entry/generator.go
+++ b/pkg/app/entry/generator.go
@@ -32,7 +32,7 @@
 	}
 	target := route.Target{Model: s.Model(), Version: s.Version(), Adapter: s.Adapter()}
 	return limit.NewPermitHolder(g.gates.For(target), limit.PermitRequest{
-		Team: j.Team, Weight: weight, Priority: s.Priority(), MayWait: true, Yield: func() bool { return g.runner.Yield(j.ID) },
+		Team: j.Team, Weight: weight, Priority: s.Priority(), MayWait: true, Yield: func() bool { return g.runner.Preempt(j.ID) },
 	})
 }
 
@@ -50,7 +50,7 @@
 	}
 	request := body.Request(j.ID, s)
 	request.Prompt.Deadline = j.Deadline
-	request.Patience = s.Deadline()
+	request.EndpointTimeout = s.Deadline()
 	if c.Policy().NaiveRoute() {
 		request.Strategy = route.RoundRobin
 	}
@@ -63,7 +63,7 @@
 	}
 	defer place.Release()
 	request.MayWait = true
-	request.Reenter = place.Reacquire
+	request.Requeue = place.Reacquire
 	collector := chat.NewCollector(s.Version(), request.Received)
 	started(collector)
 	result, err := g.runner.Run(ctx, request, collector)
@@ -71,7 +71,7 @@
 		return job.Result{}, err
 	}
 	return job.Result{
-		Text: collector.Text(), Finish: result.Finish, Model: s.Model() + "@" + result.Version,
+		Text: collector.Text(), Finish: result.FinishReason, Model: s.Model() + "@" + result.Version,
 		PromptTokens: result.Usage.PromptTokens, CompletionTokens: result.Usage.CompletionTokens,
 	}, nil
 }
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -135,7 +135,7 @@
 	if info.LeaveBy.IsZero() {
 		return
 	}
-	a.runner.Leaving(ctx, info, a.config.Current().Policy().NaiveReclaim())
+	a.runner.MigrateStreams(ctx, info, a.config.Current().Policy().NaiveReclaim())
 }
 
 // shareLimits has this entry keep its part of the limits that endpoints name.
--- a/pkg/callerapi/chat.go
+++ b/pkg/callerapi/chat.go
@@ -52,7 +52,7 @@
 		return
 	}
 	defer func() { ticket.Release(time.Now()) }()
-	w.Header().Set(headerRequest, call.request.Prompt.Request)
+	w.Header().Set(headerRequest, call.request.Prompt.RequestID)
 	if call.body.Stream() {
 		a.streamChat(ctx, w, call)
 		return
@@ -66,7 +66,7 @@
 	team         fleet.Team
 	body         chat.Body
 	request      stream.Request
-	mark         chat.Mark
+	mark         chat.Cursor
 	firstTokenBy time.Time
 	begun        time.Time
 }
@@ -88,17 +88,17 @@
 		return chatCall{}, err
 	}
 	now := time.Now()
-	call := chatCall{service: s, team: team, body: body, begun: now, mark: chat.Mark{Request: newID()}}
+	call := chatCall{service: s, team: team, body: body, begun: now, mark: chat.Cursor{RequestID: newID()}}
 	if text := r.Header.Get(headerResume); text != "" {
-		call.mark, err = chat.ParseMark(text)
+		call.mark, err = chat.ParseCursor(text)
 		if err != nil {
 			return chatCall{}, code.New(code.BadHeader, headerResume+" "+err.Error())
 		}
 	}
-	call.request = body.Request(call.mark.Request, s)
-	call.request.At = call.mark.Endpoint
+	call.request = body.Request(call.mark.RequestID, s)
+	call.request.LastEndpointID = call.mark.EndpointID
 	call.request.Prompt.Deadline = now.Add(s.Deadline())
-	call.request.Patience = patience(s)
+	call.request.EndpointTimeout = patience(s)
 	call.request.Strategy = strategyOf(c)
 	call.firstTokenBy = now.Add(patience(s))
 	return call, nil
@@ -121,8 +121,8 @@
 func (a *API) remember(call chatCall, result stream.Result, err error) {
 	took := time.Since(call.begun)
 	record := explain.Record{
-		Request: call.request.Prompt.Request, Team: call.team.Name(), Service: call.service.Name(),
-		Begun: call.begun, Took: took, Tokens: result.Usage.CompletionTokens, Hops: result.Hops,
+		Request: call.request.Prompt.RequestID, Team: call.team.Name(), Service: call.service.Name(),
+		Begun: call.begun, Took: took, Tokens: result.Usage.CompletionTokens, Hops: result.AttemptRecords,
 	}
 	if err != nil {
 		record.Failure = err.Error()
@@ -170,8 +170,8 @@
 	}
 	w.Header().Set(headerOutcome, string(code.Done))
 	httpx.WriteJSON(w, http.StatusOK, completion{
-		ID: call.request.Prompt.Request, Object: "chat.completion", Created: call.begun.Unix(), Model: call.service.Name(),
-		Choices: []completionChoice{{Message: completionMessage{"assistant", collector.Text()}, FinishReason: result.Finish}},
+		ID: call.request.Prompt.RequestID, Object: "chat.completion", Created: call.begun.Unix(), Model: call.service.Name(),
+		Choices: []completionChoice{{Message: completionMessage{"assistant", collector.Text()}, FinishReason: result.FinishReason}},
 		Usage:   usageOf(result.Usage),
 	})
 }
@@ -184,7 +184,7 @@
 	result, err := a.Runner.Run(ctx, call.request, sink)
 	a.remember(call, result, err)
 	switch {
-	case errors.Is(err, chat.ErrJoin):
+	case errors.Is(err, chat.ErrMismatch):
 		sink.fail(w, code.New(code.CannotResume, err.Error()))
 	case err != nil:
 		sink.fail(w, err)
@@ -200,7 +200,7 @@
 	timeout    time.Duration
 	// deadline is the write deadline in force.
 	deadline time.Time
-	joiner   *chat.Joiner
+	joiner   *chat.ReplayFilter
 	chunk    engine.Chunk
 	begun    bool
 	// counted says that the first token was noted.
@@ -214,9 +214,9 @@
 
 func newEventSink(w http.ResponseWriter, timeout time.Duration, call chatCall) *eventSink {
 	s := &eventSink{
-		w: w, controller: http.NewResponseController(w), timeout: timeout, joiner: chat.NewJoiner(call.mark),
+		w: w, controller: http.NewResponseController(w), timeout: timeout, joiner: chat.NewReplayFilter(call.mark),
 		chunk: engine.Chunk{
-			ID: call.mark.Request, Object: "chat.completion.chunk", Created: call.begun.Unix(), Model: call.service.Name(),
+			ID: call.mark.RequestID, Object: "chat.completion.chunk", Created: call.begun.Unix(), Model: call.service.Name(),
 			Choices: []engine.ChunkChoice{{}},
 		},
 		firstToken: func() {},
@@ -233,7 +233,7 @@
 // mostBuffered is how many bytes of events wait for a flush at most.
 const mostBuffered = 8 << 10
 
-// Token takes one token; ErrJoin where the pieces would not join.
+// Token takes one token; ErrMismatch where the pieces would not join.
 func (s *eventSink) Token(t stream.Token) error {
 	isNew, mark, err := s.joiner.Next(t)
 	if err != nil || !isNew {
@@ -309,7 +309,7 @@
 
 // finish writes the last chunk and the mark that says the answer is whole.
 func (s *eventSink) finish(result stream.Result, withUsage bool) {
-	finish := result.Finish
+	finish := result.FinishReason
 	s.chunk.Choices[0] = engine.ChunkChoice{FinishReason: &finish}
 	if s.write("") != nil {
 		return
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -192,7 +192,7 @@
 	collector := chat.NewCollector("1", received)
 	started(collector)
 	result, err := g.runner.Run(ctx, request, collector)
-	return job.Result{Text: collector.Text(), Finish: result.Finish}, err
+	return job.Result{Text: collector.Text(), Finish: result.FinishReason}, err
 }
 
 // do sends a request with the good key and returns the answer.
--- a/pkg/chat/answer.go
+++ b/pkg/chat/answer.go
@@ -12,30 +12,30 @@
 	"ironhollow/pkg/stream"
 )
 
-// Mark is where a caller stands in a streamed answer: enough for any entry to
+// Cursor is where a caller stands in a streamed answer: enough for any entry to
 // go on from there, and to tell whether the pieces would join.
-type Mark struct {
-	Request string
+type Cursor struct {
+	RequestID string
 	// Offset is how many tokens the caller has.
 	Offset int
-	// Endpoint ran the stream last.
-	Endpoint string
+	// EndpointID ran the stream last.
+	EndpointID string
 	// Sum is a hash of the text of those tokens.
 	Sum uint64
 }
 
 // String gives the mark as an event's id.
-func (m Mark) String() string {
+func (m Cursor) String() string {
 	return string(m.Append(nil))
 }
 
 // Append appends the mark to b.
-func (m Mark) Append(b []byte) []byte {
-	b = append(b, m.Request...)
+func (m Cursor) Append(b []byte) []byte {
+	b = append(b, m.RequestID...)
 	b = append(b, ':')
 	b = strconv.AppendInt(b, int64(m.Offset), 10)
 	b = append(b, ':')
-	b = append(b, m.Endpoint...)
+	b = append(b, m.EndpointID...)
 	b = append(b, ':')
 	return strconv.AppendUint(b, m.Sum, 16)
 }
@@ -43,51 +43,53 @@
 // errMark says that a text is no mark.
 var errMark = errors.New("is no event id of a stream")
 
-// ParseMark reads an event's id.
-func ParseMark(text string) (Mark, error) {
+// ParseCursor reads an event's id.
+func ParseCursor(text string) (Cursor, error) {
 	parts := strings.Split(text, ":")
-	if len(parts) != 4 || len(parts[0]) != IDLength || strings.Trim(parts[0], "0123456789abcdef") != "" {
-		return Mark{}, errMark
+	if len(parts) != 4 || len(parts[0]) != RequestIDLength || strings.Trim(parts[0], "0123456789abcdef") != "" {
+		return Cursor{}, errMark
 	}
 	offset, err := strconv.Atoi(parts[1])
 	if err != nil || offset < 0 {
-		return Mark{}, errMark
+		return Cursor{}, errMark
 	}
 	sum, err := strconv.ParseUint(parts[3], 16, 64)
 	if err != nil {
-		return Mark{}, errMark
+		return Cursor{}, errMark
 	}
-	return Mark{parts[0], offset, parts[2], sum}, nil
+	return Cursor{parts[0], offset, parts[2], sum}, nil
 }
 
-// IDLength is the length of a request's id.
-const IDLength = 32
+// RequestIDLength is the length of a request's id.
+const RequestIDLength = 32
 
-// ErrJoin says that the tokens made anew differ from those the caller has.
-var ErrJoin = errors.New("chat: the pieces do not join")
+// ErrMismatch says that the tokens made anew differ from those the caller has.
+var ErrMismatch = errors.New("chat: the pieces do not join")
 
-// Joiner drops the tokens a caller has already and checks that what follows
+// ReplayFilter drops the tokens a caller has already and checks that what follows
 // joins on to them.
-type Joiner struct {
-	mark   Mark
+type ReplayFilter struct {
+	mark   Cursor
 	digest *xxhash.Digest
 }
 
-// NewJoiner returns a joiner for a caller that stands at mark; one with offset
+// NewReplayFilter returns a joiner for a caller that stands at mark; one with offset
 // 0 drops nothing.
-func NewJoiner(mark Mark) *Joiner { return &Joiner{mark: mark, digest: xxhash.New()} }
+func NewReplayFilter(mark Cursor) *ReplayFilter {
+	return &ReplayFilter{mark: mark, digest: xxhash.New()}
+}
 
 // Next takes a token and returns whether it is new to the caller, and the mark
 // after it.
-func (j *Joiner) Next(t stream.Token) (isNew bool, mark Mark, err error) {
+func (j *ReplayFilter) Next(t stream.Token) (isNew bool, mark Cursor, err error) {
 	_, _ = j.digest.WriteString(t.Text)
-	after := Mark{j.mark.Request, t.Offset + 1, t.Endpoint, j.digest.Sum64()}
+	after := Cursor{j.mark.RequestID, t.Offset + 1, t.EndpointID, j.digest.Sum64()}
 	if after.Offset < j.mark.Offset {
 		return false, after, nil
 	}
 	if after.Offset == j.mark.Offset {
 		if after.Sum != j.mark.Sum {
-			return false, after, ErrJoin
+			return false, after, ErrMismatch
 		}
 		return false, after, nil
 	}
--- a/pkg/chat/body.go
+++ b/pkg/chat/body.go
@@ -176,13 +176,13 @@
 	}
 	return stream.Request{
 		Prompt: engine.Prompt{
-			Request: id, Model: s.Model(), Version: s.Version(), Adapter: s.Adapter(),
+			RequestID: id, Model: s.Model(), Version: s.Version(), Adapter: s.Adapter(),
 			Messages: b.messages, Options: b.options, MaxTokens: maxTokens, Seed: seed, Priority: s.Priority(),
 		},
 		Service:      s.Name(),
-		Prefix:       route.HashPrefixes(nil, b.messages),
+		PrefixHashes: route.HashPrefixes(nil, b.messages),
 		PromptTokens: (len(b.messages) + bytesPerToken - 1) / bytesPerToken,
-		Stake:        stakeOf(s),
+		RiskWeight:   stakeOf(s),
 	}
 }
 
--- a/pkg/chat/chat_test.go
+++ b/pkg/chat/chat_test.go
@@ -36,19 +36,19 @@
 // tokens made anew and with others.
 func TestPiecesJoinOrAreRefused(t *testing.T) {
 	tokens := []string{"a", "bc", "d", "e", "f"}
-	mark := chat.Mark{Request: strings.Repeat("0", chat.IDLength)}
-	first := chat.NewJoiner(mark)
+	mark := chat.Cursor{RequestID: strings.Repeat("0", chat.RequestIDLength)}
+	first := chat.NewReplayFilter(mark)
 	for offset, text := range tokens {
-		_, after, err := first.Next(stream.Token{Offset: offset, Text: text, Endpoint: "e"})
+		_, after, err := first.Next(stream.Token{Offset: offset, Text: text, EndpointID: "e"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := chat.ParseMark(after.String())
+		again, err := chat.ParseCursor(after.String())
 		if err != nil || again != after {
 			t.Fatalf("mark %s: got %+v, %v", after, again, err)
 		}
 		var rest []string
-		joiner := chat.NewJoiner(again)
+		joiner := chat.NewReplayFilter(again)
 		for o, text := range tokens {
 			isNew, _, err := joiner.Next(stream.Token{Offset: o, Text: text})
 			if err != nil {
@@ -61,14 +61,14 @@
 		if got, want := strings.Join(rest, ""), strings.Join(tokens[offset+1:], ""); got != want {
 			t.Errorf("after offset %d: got %q, want %q", offset, got, want)
 		}
-		other := chat.NewJoiner(again)
+		other := chat.NewReplayFilter(again)
 		var failed error
 		for o := range offset + 1 {
 			if _, _, err := other.Next(stream.Token{Offset: o, Text: "other"}); err != nil {
 				failed = err
 			}
 		}
-		if !errors.Is(failed, chat.ErrJoin) {
+		if !errors.Is(failed, chat.ErrMismatch) {
 			t.Errorf("other tokens before offset %d: got %v, want ErrJoin", offset+1, failed)
 		}
 	}
@@ -87,7 +87,7 @@
 func FuzzParseMark(f *testing.F) {
 	f.Add(strings.Repeat("0", 32) + ":1:e:ff")
 	f.Fuzz(func(t *testing.T, text string) {
-		if mark, err := chat.ParseMark(text); err == nil && mark.Offset < 0 {
+		if mark, err := chat.ParseCursor(text); err == nil && mark.Offset < 0 {
 			t.Errorf("got offset %d", mark.Offset)
 		}
 	})
--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -41,7 +41,7 @@
 	}
 	h := request.Header
 	h.Set("Content-Type", "application/json")
-	h.Set(HeaderRequest, a.Prompt.Request)
+	h.Set(HeaderRequest, a.Prompt.RequestID)
 	h.Set(HeaderAttempt, strconv.Itoa(a.Number))
 	h.Set(HeaderPriority, strconv.Itoa(a.Prompt.Priority))
 	h.Set(HeaderDeadline, strconv.FormatInt(a.Prompt.Deadline.UnixMilli(), 10))
@@ -133,7 +133,7 @@
 
 // Import makes the engine at address fetch a stream's KV cache from source.
 func (c *Client) Import(ctx context.Context, address, request, source string) (int, error) {
-	var imported WireImported
+	var imported WireImportResult
 	err := c.call(ctx, http.MethodPost, address, PathImport, WireImport{request, source}, &imported)
 	return imported.Tokens, err
 }
@@ -144,7 +144,7 @@
 	if err := c.call(ctx, http.MethodGet, address, PathLoad, nil, &w); err != nil {
 		return Report{}, err
 	}
-	return w.Domain(), nil
+	return w.Report(), nil
 }
 
 // Order gives an order; ErrStale where the engine has seen a later epoch.
@@ -152,7 +152,7 @@
 	err := c.call(ctx, http.MethodPost, address, PathOrders, WireOrder{o.Epoch, o.Model, o.Version, o.Adapter}, nil)
 	var status *httpx.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
-		return ErrStale
+		return ErrStaleEpoch
 	}
 	return err
 }
--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -15,8 +15,8 @@
 // Prompt is what an engine is asked to answer. It does not change over the
 // attempts of a request.
 type Prompt struct {
-	// Request is unique over the fleet.
-	Request string
+	// RequestID is unique over the fleet.
+	RequestID string
 	// Model and Adapter name what must be loaded.
 	Model, Version, Adapter string
 	// Messages is the caller's JSON array, passed on byte for byte.
@@ -50,9 +50,9 @@
 	Offset int
 	// Text is one token's text, empty in the last frame.
 	Text string
-	// Finish is the reason the answer ended, empty before.
-	Finish string
-	Usage  Usage
+	// FinishReason is the reason the answer ended, empty before.
+	FinishReason string
+	Usage        Usage
 }
 
 // Usage is the engine's account, in the last frame only.
@@ -113,8 +113,8 @@
 var (
 	// ErrRefused says that the engine turned the request away unrun.
 	ErrRefused = errors.New("engine: turned away")
-	// ErrStale says that an order's epoch is behind one the engine has seen.
-	ErrStale = errors.New("engine: order of an old epoch")
+	// ErrStaleEpoch says that an order's epoch is behind one the engine has seen.
+	ErrStaleEpoch = errors.New("engine: order of an old epoch")
 	// ErrNoStream says that the engine does not know the stream.
 	ErrNoStream = errors.New("engine: no such stream")
 	// ErrBadRequest says that the engine can't ever serve the request.
--- a/pkg/engine/events.go
+++ b/pkg/engine/events.go
@@ -48,7 +48,7 @@
 	if header == "" || json.Unmarshal([]byte(header), &w) != nil {
 		return Report{}, false
 	}
-	return w.Domain(), true
+	return w.Report(), true
 }
 
 // Close lets go of the stream.
@@ -138,7 +138,7 @@
 func decodeChunk(data []byte, frame *Frame) error {
 	choice := gjson.GetBytes(data, "choices.0")
 	frame.Text = choice.Get("delta.content").String()
-	frame.Finish = choice.Get("finish_reason").String()
+	frame.FinishReason = choice.Get("finish_reason").String()
 	if frame.Text != "" {
 		return nil
 	}
--- a/pkg/engine/events_test.go
+++ b/pkg/engine/events_test.go
@@ -29,7 +29,7 @@
 	if got[0].Text != "a\n\"b" || got[1].Text != long || got[1].Offset != 1 || got[1].Attempt != 2 {
 		t.Errorf("got %+v and %d characters", got[0], len(got[1].Text))
 	}
-	want := engine.Frame{Attempt: 2, Offset: 2, Finish: "stop", Usage: engine.Usage{PromptTokens: 5, CompletionTokens: 2, CachedTokens: 3}}
+	want := engine.Frame{Attempt: 2, Offset: 2, FinishReason: "stop", Usage: engine.Usage{PromptTokens: 5, CompletionTokens: 2, CachedTokens: 3}}
 	if got[2] != want {
 		t.Errorf("got %+v, want %+v", got[2], want)
 	}
--- a/pkg/engine/wire.go
+++ b/pkg/engine/wire.go
@@ -73,8 +73,8 @@
 	Epoch        int64  `json:"epoch"`
 }
 
-// Domain maps a report.
-func (w WireReport) Domain() Report {
+// Report maps a report.
+func (w WireReport) Report() Report {
 	return Report{
 		Sequence: w.Sequence, Incarnation: w.Incarnation, Model: w.Model, Version: w.Version, Adapter: w.Adapter,
 		Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, QueuedTokens: w.QueuedTokens, FreeTokens: w.FreeTokens,
@@ -96,7 +96,7 @@
 	Source  string `json:"source"`
 }
 
-// WireImported answers an import.
-type WireImported struct {
+// WireImportResult answers an import.
+type WireImportResult struct {
 	Tokens int `json:"tokens"`
 }
--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -18,7 +18,7 @@
 	Begun                  time.Time
 	Took                   time.Duration
 	Tokens                 int
-	Hops                   []stream.Hop
+	Hops                   []stream.AttemptRecord
 	// Failure and Code are empty for a request that was answered whole.
 	Failure string
 	Code    int
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -81,7 +81,7 @@
 	switch o := outcome.(type) {
 	case upstream.NotSent:
 		return notRun{err: o.Err}
-	case upstream.Unclear:
+	case upstream.MaybeSent:
 		return unclear{o.Err}
 	case upstream.Answered:
 		return c.classify(choice, o.Exchange)
@@ -126,7 +126,7 @@
 func (c *call) classify(choice route.Choice, e *upstream.Exchange) result {
 	meta := c.f.protocol.DecodeResponse(e.Status(), e.Header())
 	if meta.RequestID != c.meta.ID {
-		e.Spoil()
+		e.DisableReuse()
 		e.Close()
 		return unclear{errWrongRequestID}
 	}
@@ -140,7 +140,7 @@
 		return notRun{rejectedByTarget: !meta.Moved, rejectedByAny: true, moved: meta.Moved, err: fmt.Errorf("endpoint rejected the request with status %d", e.Status())}
 	}
 	if e.Status()/100 == 2 && !meta.Signed {
-		e.Spoil()
+		e.DisableReuse()
 		e.Close()
 		return unclear{errUnsigned}
 	}
@@ -174,12 +174,12 @@
 	switch {
 	case errors.Is(err, io.EOF):
 		e.Close()
-		return answered{status: e.Status(), header: e.Header(), body: buffered.Bytes(), choice: choice, delimited: e.HasEnd()}
+		return answered{status: e.Status(), header: e.Header(), body: buffered.Bytes(), choice: choice, delimited: e.IsDelimited()}
 	case err != nil:
 		e.Close()
 		return unclear{fmt.Errorf("the answer broke off after %d bytes: %w", buffered.Len(), err)}
 	default:
-		return answered{status: e.Status(), header: e.Header(), body: buffered.Bytes(), unread: e, choice: choice, delimited: e.HasEnd()}
+		return answered{status: e.Status(), header: e.Header(), body: buffered.Bytes(), unread: e, choice: choice, delimited: e.IsDelimited()}
 	}
 }
 
--- a/pkg/forward/crash.go
+++ b/pkg/forward/crash.go
@@ -102,7 +102,7 @@
 	f.crashes.ProbeStarted(id)
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	if f.pool.Look(ctx, address, limit) == upstream.Refusing {
+	if f.pool.Probe(ctx, address, limit) == upstream.Refusing {
 		f.crashes.EndpointCrashed(id, "refused look", f.clock())
 	}
 }
--- a/pkg/forward/relay.go
+++ b/pkg/forward/relay.go
@@ -43,7 +43,7 @@
 func (c *call) relayResponse(a answered) error {
 	if a.unread == nil {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	} else if n := a.unread.Length(); n >= 0 {
+	} else if n := a.unread.ContentLength(); n >= 0 {
 		c.w.Header().Set("Content-Length", strconv.FormatInt(n, 10))
 	}
 	c.writeHead(a.status, a.header)
@@ -63,7 +63,7 @@
 		}
 		return c.abortResponse(a.unread, err)
 	}
-	c.recordCompletion(a.status, a.unread.HasEnd())
+	c.recordCompletion(a.status, a.unread.IsDelimited())
 	return nil
 }
 
@@ -109,7 +109,7 @@
 		// gives no measure of its speed.
 		observed.FirstToken = 0
 		if err == nil {
-			c.recordCompletion(e.Status(), e.HasEnd())
+			c.recordCompletion(e.Status(), e.IsDelimited())
 			return nil
 		}
 		if e.IsBroken() {
--- a/pkg/forward/sweep_test.go
+++ b/pkg/forward/sweep_test.go
@@ -19,7 +19,7 @@
 	s.addEndpoint("e0", respondOK("answer"))
 	router := route.New(s.directory, hazard.New(), route.Location{}, 1)
 	pool := upstream.New(time.Second)
-	if got := pool.Look(context.Background(), s.endpoint("e0").Address, 0); got != upstream.Accepting {
+	if got := pool.Probe(context.Background(), s.endpoint("e0").Address, 0); got != upstream.Accepting {
 		t.Fatalf("probe: got %v, want accepting", got)
 	}
 	query := route.Query{
--- a/pkg/operatorapi/operatorwire/wire.go
+++ b/pkg/operatorapi/operatorwire/wire.go
@@ -156,7 +156,7 @@
 		TookMS: ms(r.Took), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Hops: []Hop{},
 	}
 	for _, h := range r.Hops {
-		s.Hops = append(s.Hops, Hop{h.Endpoint, ms(h.Expected), ms(h.Wait), h.CachedTokens, h.Tokens, h.Ending})
+		s.Hops = append(s.Hops, Hop{h.EndpointID, ms(h.Expected), ms(h.Wait), h.CachedTokens, h.Tokens, h.Outcome})
 	}
 	return s
 }
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -148,7 +148,7 @@
 	}
 	e.directory.OnLeaving(func(info endpoint.Info) {
 		e.hazard.RecordReclaim(hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}, 1, time.Now())
-		e.runner.Leaving(context.Background(), info, !r.policy.Move)
+		e.runner.MigrateStreams(context.Background(), info, !r.policy.Move)
 	})
 	return e
 }
@@ -255,7 +255,7 @@
 		Team: fmt.Sprint(a.Team), Weight: 1, Priority: a.Class.Priority, MayWait: a.Class.MayWait, Deadline: deadline,
 	}
 	if a.Class.MayWait {
-		ask.Yield = func() bool { return e.runner.Yield(requestID(number)) }
+		ask.Yield = func() bool { return e.runner.Preempt(requestID(number)) }
 	}
 	place := limit.NewPermitHolder(e.gates.For(route.Target{Model: "m", Version: "1"}), ask)
 	if r.policy.Gate {
@@ -268,7 +268,7 @@
 	w := &watch{Collector: chat.NewCollector("1", nil), begun: begun}
 	request := r.request(a, number, deadline)
 	if r.policy.Gate && a.Class.MayWait {
-		request.Reenter = place.Reacquire
+		request.Requeue = place.Reacquire
 		request.MayWait = true
 	}
 	_, err := e.runner.Run(context.Background(), request, w)
@@ -286,21 +286,21 @@
 func (r *run) request(a Arrival, number int, deadline time.Time) stream.Request {
 	request := stream.Request{
 		Prompt: engine.Prompt{
-			Request: requestID(number), Model: "m", Version: "1", Messages: []byte(a.Messages), MaxTokens: a.Answer,
+			RequestID: requestID(number), Model: "m", Version: "1", Messages: []byte(a.Messages), MaxTokens: a.Answer,
 			Seed: int64(number), Deadline: deadline,
 		},
-		Service: a.Class.Name, PromptTokens: len(a.Messages) / bytesPerToken, Patience: time.Until(deadline), Strategy: r.policy.Strategy,
+		Service: a.Class.Name, PromptTokens: len(a.Messages) / bytesPerToken, EndpointTimeout: time.Until(deadline), Strategy: r.policy.Strategy,
 	}
 	if r.policy.Gate {
 		request.Prompt.Priority = a.Class.Priority
 	}
 	if r.policy.Affinity {
-		request.Prefix = route.HashPrefixes(nil, []byte(a.Messages))
+		request.PrefixHashes = route.HashPrefixes(nil, []byte(a.Messages))
 	}
 	if r.policy.Risk {
-		request.Stake = 4
+		request.RiskWeight = 4
 		if a.Class.MayWait {
-			request.Stake = 1
+			request.RiskWeight = 1
 		}
 	}
 	return request
@@ -355,7 +355,7 @@
 		retries += a
 		o.Moved += testutil.ToFloat64(e.counters.Moved)
 		o.BrokenOff += testutil.ToFloat64(e.counters.Broken)
-		o.Yielded += testutil.ToFloat64(e.counters.Yielded)
+		o.Yielded += testutil.ToFloat64(e.counters.Preempted)
 	}
 	o.SentRatio = float64(first+retries) / float64(max(first, 1))
 	sort.Float64s(r.firsts)
--- a/pkg/standin/engines/direct.go
+++ b/pkg/standin/engines/direct.go
@@ -133,7 +133,7 @@
 		return nil, &engine.Refusal{Reason: "told to", Notice: says}
 	}
 	s, err := h.engine.start(promptSpec{
-		request: a.Prompt.Request, attempt: a.Number, loaded: Loaded{a.Prompt.Model, a.Prompt.Version, a.Prompt.Adapter},
+		request: a.Prompt.RequestID, attempt: a.Number, loaded: Loaded{a.Prompt.Model, a.Prompt.Version, a.Prompt.Adapter},
 		messages: string(a.Prompt.Messages), seed: a.Prompt.Seed, maxTokens: a.Prompt.MaxTokens, priority: a.Prompt.Priority,
 		done: len(a.Continue),
 	})
@@ -192,7 +192,7 @@
 	if err != nil {
 		return engine.Report{}, err
 	}
-	return h.engine.report(time.Now()).Domain(), nil
+	return h.engine.report(time.Now()).Report(), nil
 }
 
 // Order gives an order.
@@ -202,7 +202,7 @@
 		return err
 	}
 	if err := h.engine.order(o.Epoch, Loaded{o.Model, o.Version, o.Adapter}); err != nil {
-		return engine.ErrStale
+		return engine.ErrStaleEpoch
 	}
 	return nil
 }
@@ -234,7 +234,7 @@
 
 // Report returns the engine's report.
 func (s *directStream) Report() (engine.Report, bool) {
-	return s.host.engine.report(time.Now()).Domain(), true
+	return s.host.engine.report(time.Now()).Report(), true
 }
 
 // Notice returns what the engine says of itself.
@@ -332,7 +332,7 @@
 		reason = "length"
 	}
 	s.frames = append(s.frames, engine.Frame{
-		Attempt: s.stream.spec.attempt, Offset: s.offset, Finish: reason,
+		Attempt: s.stream.spec.attempt, Offset: s.offset, FinishReason: reason,
 		Usage: engine.Usage{PromptTokens: p.prompt, CompletionTokens: s.offset, CachedTokens: p.cached},
 	})
 }
--- a/pkg/standin/engines/server.go
+++ b/pkg/standin/engines/server.go
@@ -222,7 +222,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, engine.WireImported{Tokens: tokens})
+	httpx.WriteJSON(w, http.StatusOK, engine.WireImportResult{Tokens: tokens})
 }
 
 func (s *Server) serveImport(w http.ResponseWriter, r *http.Request) {
@@ -231,7 +231,7 @@
 		http.Error(w, "bad import", http.StatusBadRequest)
 		return
 	}
-	var kv engine.WireImported
+	var kv engine.WireImportResult
 	if err := httpx.CallJSON(r.Context(), s.client, http.MethodGet, "http://"+sent.Source+"/v1/kv/"+sent.Request, nil, &kv); err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
--- a/pkg/stream/attempt.go
+++ b/pkg/stream/attempt.go
@@ -19,11 +19,11 @@
 func (r *Runner) query(p *progress) route.Query {
 	return route.Query{
 		Target:          p.target,
-		PrefixHashes:    p.request.Prefix,
+		PrefixHashes:    p.request.PrefixHashes,
 		PromptTokens:    p.request.PromptTokens,
 		AnswerTokens:    max(r.expectedLength(p)-len(p.tokens), 1),
 		GeneratedTokens: len(p.tokens),
-		RiskWeight:      p.request.Stake,
+		RiskWeight:      p.request.RiskWeight,
 		Avoid:           p.avoid,
 		MayWait:         p.request.MayWait,
 	}
@@ -39,7 +39,7 @@
 		}
 		p.avoid = p.avoid[:0]
 		// An answer begun is waited for until its deadline.
-		if len(p.tokens) == 0 && now.Sub(since) > p.request.Patience {
+		if len(p.tokens) == 0 && now.Sub(since) > p.request.EndpointTimeout {
 			return route.Choice{}, overdue{}
 		}
 		if !pause.For(ctx, retry.Delay(try, entropy.Rand)) {
@@ -107,7 +107,7 @@
 	}
 	r.router.Done(choice, result, time.Now())
 	r.noteEnd(p, choice.Endpoint, end)
-	p.hops = append(p.hops, Hop{choice.Endpoint.ID, choice.Expected, choice.Wait, choice.CachedTokens, len(p.tokens), nameOf(end)})
+	p.hops = append(p.hops, AttemptRecord{choice.Endpoint.ID, choice.Expected, choice.Wait, choice.CachedTokens, len(p.tokens), nameOf(end)})
 	return end
 }
 
@@ -161,7 +161,7 @@
 
 func (r *Runner) newRun(p *progress, c route.Choice, cancel context.CancelCauseFunc) *run {
 	return &run{
-		request: p.request.Prompt.Request, endpoint: c.Endpoint, cancel: cancel,
+		request: p.request.Prompt.RequestID, endpoint: c.Endpoint, cancel: cancel,
 		prompt: p.request.PromptTokens, tokens: len(p.tokens),
 		expected: r.longLength(p), gap: r.router.TokenGap(c.Endpoint.ID), mayWait: p.request.MayWait,
 	}
--- a/pkg/stream/frames.go
+++ b/pkg/stream/frames.go
@@ -46,10 +46,10 @@
 			f.attempt = frame.Attempt
 		}
 		if frame.Attempt != f.attempt {
-			f.runner.counters.Foreign.Inc()
+			f.runner.counters.ForeignFrames.Inc()
 			continue
 		}
-		if frame.Finish != "" && frame.Offset == len(f.progress.tokens) {
+		if frame.FinishReason != "" && frame.Offset == len(f.progress.tokens) {
 			last, ended = frame, true
 			continue
 		}
--- a/pkg/stream/leave.go
+++ b/pkg/stream/leave.go
@@ -31,10 +31,10 @@
 // moved for nothing costs less than one that is lost.
 const lastLook = 0.6
 
-// Leaving moves this process's work off an endpoint that was given notice. It
+// MigrateStreams moves this process's work off an endpoint that was given notice. It
 // returns once the plan is carried out or the endpoint is gone. A naive plan
 // leaves every stream to break off.
-func (r *Runner) Leaving(ctx context.Context, info endpoint.Info, naive bool) {
+func (r *Runner) MigrateStreams(ctx context.Context, info endpoint.Info, naive bool) {
 	if naive {
 		return
 	}
@@ -125,14 +125,14 @@
 	held.cancel(errMoved{to: &to})
 }
 
-// Yield takes a request's running attempt off its endpoint, to go on later from
+// Preempt takes a request's running attempt off its endpoint, to go on later from
 // its tokens. It reports false for a request that has no attempt running.
-func (r *Runner) Yield(request string) bool {
+func (r *Runner) Preempt(request string) bool {
 	held, ok := r.active.find(request)
 	if !ok {
 		return false
 	}
-	r.counters.Yielded.Inc()
+	r.counters.Preempted.Inc()
 	held.cancel(errMoved{})
 	return true
 }
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -30,26 +30,26 @@
 	Prompt engine.Prompt
 	// Service is whose answers' lengths this one's is reckoned from.
 	Service string
-	// Prefix is route.HashPrefixes of the messages, PromptTokens an estimate.
-	Prefix       []uint64
+	// PrefixHashes is route.HashPrefixes of the messages, PromptTokens an estimate.
+	PrefixHashes []uint64
 	PromptTokens int
 	// Received are tokens of the answer had before: by the caller from another
 	// entry, or from a checkpoint. The answer goes on after them.
 	Received []string
-	// At is the id of the endpoint where the stream may still be running, for
+	// LastEndpointID is the id of the endpoint where the stream may still be running, for
 	// a caller who comes back after its entry was lost; empty otherwise.
-	At string
-	// Stake weighs lost work; see route.Query.
-	Stake float64
-	// Patience is how long to wait for an endpoint before giving up.
-	Patience time.Duration
+	LastEndpointID string
+	// RiskWeight weighs lost work; see route.Query.
+	RiskWeight float64
+	// EndpointTimeout is how long to wait for an endpoint before giving up.
+	EndpointTimeout time.Duration
 	// Strategy is how endpoints are chosen.
 	Strategy route.Strategy
 	// MayWait marks work that leaves room for callers who wait.
 	MayWait bool
-	// Reenter is called before an attempt after the first, if it is set: work
+	// Requeue is called before an attempt after the first, if it is set: work
 	// that can wait gives its place up and queues for another one.
-	Reenter func(context.Context) error
+	Requeue func(context.Context) error
 }
 
 // Sink takes the answer's tokens in order, without gap or repeat. An error
@@ -65,31 +65,31 @@
 	// Offset counts the answer's tokens before this one.
 	Offset int
 	Text   string
-	// Endpoint is where the stream runs at present.
-	Endpoint string
+	// EndpointID is where the stream runs at present.
+	EndpointID string
 }
 
 // Result is a whole answer's account.
 type Result struct {
-	Finish string
-	Usage  engine.Usage
+	FinishReason string
+	Usage        engine.Usage
 	// Attempts counts the endpoints tried.
 	Attempts int
 	// Version is the model's version that gave the answer.
 	Version string
-	// Hops are the attempts in order.
-	Hops []Hop
+	// AttemptRecords are the attempts in order.
+	AttemptRecords []AttemptRecord
 }
 
-// Hop is one attempt, for explanations.
-type Hop struct {
-	Endpoint string
+// AttemptRecord is one attempt, for explanations.
+type AttemptRecord struct {
+	EndpointID string
 	// Expected and Wait are what was reckoned with; see route.Choice.
 	Expected, Wait time.Duration
 	CachedTokens   int
 	// Tokens is the answer's length when the attempt ended.
-	Tokens int
-	Ending string
+	Tokens  int
+	Outcome string
 }
 
 // Runner runs requests.
@@ -200,7 +200,7 @@
 	carried  bool
 	version  string
 	lastFail error
-	hops     []Hop
+	hops     []AttemptRecord
 }
 
 // Run runs a request to its end. Errors carry a result code.
@@ -210,7 +210,7 @@
 		target: route.Target{Model: request.Prompt.Model, Version: request.Prompt.Version, Adapter: request.Prompt.Adapter},
 	}
 	result, err := r.run(ctx, p)
-	result.Hops = p.hops
+	result.AttemptRecords = p.hops
 	return result, err
 }
 
@@ -219,7 +219,7 @@
 	r.budget.RecordFirstSend(time.Now())
 	ctx, cancel := context.WithDeadline(ctx, request.Prompt.Deadline)
 	defer cancel()
-	if request.At != "" {
+	if request.LastEndpointID != "" {
 		if result, ok := r.reattach(ctx, p); ok {
 			return result, nil
 		}
@@ -258,10 +258,10 @@
 }
 
 func reenter(ctx context.Context, p *progress) error {
-	if p.request.Reenter == nil {
+	if p.request.Requeue == nil {
 		return nil
 	}
-	if err := p.request.Reenter(ctx); err != nil {
+	if err := p.request.Requeue(ctx); err != nil {
 		return endOfWait(ctx, p)
 	}
 	return nil
@@ -312,7 +312,7 @@
 // reattach goes on with a stream that an endpoint may still be running; false
 // where it is not, and the request then runs from its start.
 func (r *Runner) reattach(ctx context.Context, p *progress) (Result, bool) {
-	info, ok := r.router.Lookup(p.request.At)
+	info, ok := r.router.Lookup(p.request.LastEndpointID)
 	if !ok {
 		return Result{}, false
 	}
@@ -320,12 +320,12 @@
 	defer cancel(nil)
 	stall := time.AfterFunc(stallTime, func() { cancel(errStalled) })
 	defer stall.Stop()
-	stream, err := r.engines.Attach(attemptCtx, info.Address, p.request.Prompt.Request, len(p.tokens))
+	stream, err := r.engines.Attach(attemptCtx, info.Address, p.request.Prompt.RequestID, len(p.tokens))
 	if err != nil {
 		return Result{}, false
 	}
 	defer stream.Close()
-	held := &run{request: p.request.Prompt.Request, endpoint: info, cancel: cancel, prompt: p.request.PromptTokens, expected: r.longLength(p), gap: r.router.TokenGap(info.ID)}
+	held := &run{request: p.request.Prompt.RequestID, endpoint: info, cancel: cancel, prompt: p.request.PromptTokens, expected: r.longLength(p), gap: r.router.TokenGap(info.ID)}
 	r.active.add(held)
 	defer r.active.remove(held)
 	r.counters.Reattached.Inc()
@@ -349,5 +349,5 @@
 	r.watch.RecordSuccess(p.fingerprint, time.Now())
 	usage := last.Usage
 	usage.CompletionTokens = len(p.tokens)
-	return Result{Finish: last.Finish, Usage: usage, Attempts: p.attempts, Version: p.version}
+	return Result{FinishReason: last.FinishReason, Usage: usage, Attempts: p.attempts, Version: p.version}
 }
--- a/pkg/stream/runner_test.go
+++ b/pkg/stream/runner_test.go
@@ -76,17 +76,17 @@
 		}
 		f.router.ApplyReport(info.Ref(), report)
 	}
-	f.directory.OnLeaving(func(info endpoint.Info) { f.runner.Leaving(context.Background(), info, false) })
+	f.directory.OnLeaving(func(info endpoint.Info) { f.runner.MigrateStreams(context.Background(), info, false) })
 	return f
 }
 
 func request(id string, tokens int) stream.Request {
 	return stream.Request{
 		Prompt: engine.Prompt{
-			Request: id, Model: model, Version: "1", Messages: []byte(messages), MaxTokens: tokens, Seed: 7,
+			RequestID: id, Model: model, Version: "1", Messages: []byte(messages), MaxTokens: tokens, Seed: 7,
 			Deadline: time.Now().Add(2 * time.Minute),
 		},
-		PromptTokens: len(messages) / 4, Patience: 3 * time.Second,
+		PromptTokens: len(messages) / 4, EndpointTimeout: 3 * time.Second,
 	}
 }
 
--- a/pkg/upstream/exchange.go
+++ b/pkg/upstream/exchange.go
@@ -27,12 +27,12 @@
 // Header returns the answer's headers.
 func (e *Exchange) Header() http.Header { return e.response.Header }
 
-// Length returns the body's length, -1 if it is not told.
-func (e *Exchange) Length() int64 { return e.response.ContentLength }
+// ContentLength returns the body's length, -1 if it is not told.
+func (e *Exchange) ContentLength() int64 { return e.response.ContentLength }
 
-// HasEnd reports whether the answer tells where it ends: otherwise the close of the
+// IsDelimited reports whether the answer tells where it ends: otherwise the close of the
 // connection may be its end or a break.
-func (e *Exchange) HasEnd() bool {
+func (e *Exchange) IsDelimited() bool {
 	return e.response.ContentLength >= 0 || slices.Contains(e.response.TransferEncoding, "chunked")
 }
 
@@ -52,8 +52,8 @@
 // IsBroken reports whether the answer broke off while it was read.
 func (e *Exchange) IsBroken() bool { return e.broken }
 
-// Spoil keeps the connection from being used again.
-func (e *Exchange) Spoil() { e.broken = true }
+// DisableReuse keeps the connection from being used again.
+func (e *Exchange) DisableReuse() { e.broken = true }
 
 // Close gives the connection back if its answer was read whole, and closes it
 // otherwise, which tells the endpoint to stop.
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -25,20 +25,20 @@
 // NotSent says that no byte of the request has left this process.
 type NotSent struct{ Err error }
 
-// Unclear says that the endpoint may have seen the request, or part of it.
-type Unclear struct{ Err error }
+// MaybeSent says that the endpoint may have seen the request, or part of it.
+type MaybeSent struct{ Err error }
 
 // Answered carries the head of an answer. Its Exchange must be closed.
 type Answered struct {
 	Exchange *Exchange
 }
 
-func (NotSent) outcome()  {}
-func (Unclear) outcome()  {}
-func (Answered) outcome() {}
+func (NotSent) outcome()   {}
+func (MaybeSent) outcome() {}
+func (Answered) outcome()  {}
 
-// ErrNoConnection says that all connections allowed to an endpoint are in use.
-var ErrNoConnection = errors.New("upstream: all connections to the endpoint are in use")
+// ErrConnectionLimit says that all connections allowed to an endpoint are in use.
+var ErrConnectionLimit = errors.New("upstream: all connections to the endpoint are in use")
 
 // Request is what is sent.
 type Request struct {
@@ -171,7 +171,7 @@
 		if written == 0 {
 			return NotSent{err}
 		}
-		return Unclear{err}
+		return MaybeSent{err}
 	}
 	if err := e.readHead(request.Method); err != nil {
 		e.broken = true
@@ -179,7 +179,7 @@
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
 		}
-		return Unclear{err}
+		return MaybeSent{err}
 	}
 	return Answered{e}
 }
@@ -221,7 +221,7 @@
 		p.drop(c)
 	}
 	if !p.reserve(address, limit) {
-		return nil, ErrNoConnection
+		return nil, ErrConnectionLimit
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -328,27 +328,27 @@
 	return addresses
 }
 
-// Presence is what a look at an address shows.
-type Presence int
+// ProbeResult is what a look at an address shows.
+type ProbeResult int
 
 // What a look may show.
 const (
-	// Unsure is where nothing was found out.
-	Unsure Presence = iota
+	// Indeterminate is where nothing was found out.
+	Indeterminate ProbeResult = iota
 	// Accepting is where something takes connections.
 	Accepting
 	// Refusing is where nothing does, and the machine says so.
 	Refusing
 )
 
-// Look finds out whether anything takes connections at an address: by a kept connection
+// Probe finds out whether anything takes connections at an address: by a kept connection
 // that is still open, or by a new one, which is kept. limit is as in Send.
-func (p *Pool) Look(ctx context.Context, address string, limit int) Presence {
+func (p *Pool) Probe(ctx context.Context, address string, limit int) ProbeResult {
 	if p.sweepDead(address) {
 		return Accepting
 	}
 	if !p.reserve(address, limit) {
-		return Unsure
+		return Indeterminate
 	}
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -356,7 +356,7 @@
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return Refusing
 		}
-		return Unsure
+		return Indeterminate
 	}
 	p.put(newConn(raw, address))
 	return Accepting
--- a/pkg/upstream/pool_test.go
+++ b/pkg/upstream/pool_test.go
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	for range 2 {
-		if outcome, ok := send(t, p, e.address).(upstream.Unclear); !ok {
+		if outcome, ok := send(t, p, e.address).(upstream.MaybeSent); !ok {
 			t.Errorf("outcome: got %T, want Unclear", outcome)
 		}
 	}
@@ -213,7 +213,7 @@
 		cancel()
 	}()
 	outcome := upstream.New(time.Second).Send(ctx, e.address, 0, upstream.Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
-	unclear, ok := outcome.(upstream.Unclear)
+	unclear, ok := outcome.(upstream.MaybeSent)
 	if !ok || !errors.Is(unclear.Err, context.Canceled) {
 		t.Errorf("outcome: got %T %v, want Unclear for the cancelled context", outcome, unclear.Err)
 	}
@@ -237,7 +237,7 @@
 	go func() { done <- p.Send(context.Background(), e.address, 1, request) }()
 	<-e.requests
 	outcome, ok := p.Send(context.Background(), e.address, 1, request).(upstream.NotSent)
-	if !ok || !errors.Is(outcome.Err, upstream.ErrNoConnection) {
+	if !ok || !errors.Is(outcome.Err, upstream.ErrConnectionLimit) {
 		t.Errorf("second send: got %v, want ErrNoConnection", outcome.Err)
 	}
 	close(release)
@@ -301,7 +301,7 @@
 			t.Errorf("status: got %d, want %d", got, want)
 		}
 		o.Exchange.Close()
-	case upstream.Unclear:
+	case upstream.MaybeSent:
 		// The reset overtook the answer: it may have run, which is the truth known.
 	default:
 		t.Errorf("outcome: got %T, want Answered or Unclear", outcome)
@@ -327,14 +327,14 @@
 		}
 	}()
 	address := listener.Addr().String()
-	look := func(limit int) upstream.Presence { return pool.Look(t.Context(), address, limit) }
+	look := func(limit int) upstream.ProbeResult { return pool.Probe(t.Context(), address, limit) }
 	if got := look(0); got != upstream.Accepting {
 		t.Errorf("endpoint that is there: got %v, want accepting", got)
 	}
 	if got := look(0); got != upstream.Accepting || pool.Dials() != 1 || !pool.HasIdle(address, 0) {
 		t.Errorf("second look: got %v and %d connections opened, want accepting and the one of before", got, pool.Dials())
 	}
-	if got := pool.Look(t.Context(), "127.0.0.1:1", 0); got != upstream.Refusing {
+	if got := pool.Probe(t.Context(), "127.0.0.1:1", 0); got != upstream.Refusing {
 		t.Errorf("port that nobody listens at: got %v, want refusing", got)
 	}
 	conn := <-accepted
@@ -347,7 +347,7 @@
 	busy := serve(t, func(net.Conn, *http.Request) bool { select {} })
 	go pool.Send(t.Context(), busy.address, 1, upstream.Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
 	<-busy.requests
-	if got := pool.Look(t.Context(), busy.address, 1); got != upstream.Unsure {
+	if got := pool.Probe(t.Context(), busy.address, 1); got != upstream.Indeterminate {
 		t.Errorf("all connections that are allowed in use: got %v, want unsure", got)
 	}
 }
