--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -18,18 +18,19 @@
 	"ironhollow/pkg/httpx"
 )
 
-// Client is an API over HTTP.
+// Client is an API that calls engines over HTTP.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
 
-// New returns a client. Calls other than streams take no longer than timeout.
+// New returns a client. timeout applies to all calls except streams.
 func New(client *http.Client, timeout time.Duration) *Client {
 	return &Client{http: client, timeout: timeout}
 }
 
-// Generate starts an attempt. ErrRefused is returned where it did not start.
+// Generate starts an attempt. The error is ErrRefused if the engine rejected it without running
+// it.
 func (c *Client) Generate(ctx context.Context, address string, a Attempt) (Stream, error) {
 	body, err := encodeAttempt(a)
 	if err != nil {
@@ -48,7 +49,8 @@
 	return c.open(request)
 }
 
-// encodeAttempt puts the members ironhollow decides over the caller's own.
+// encodeAttempt returns the request body: the caller's members, overridden by those that
+// ironhollow sets.
 func encodeAttempt(a Attempt) ([]byte, error) {
 	members := map[string]json.RawMessage{}
 	if len(a.Prompt.Options) > 0 {
@@ -57,7 +59,7 @@
 		}
 	}
 	set := func(name string, value any) {
-		// Strings, numbers and lists of them always encode.
+		// The values are strings, numbers, booleans and lists, for which Marshal does not fail.
 		members[name], _ = json.Marshal(value)
 	}
 	set("model", a.Prompt.Model)
@@ -72,16 +74,17 @@
 	return json.Marshal(members)
 }
 
-// Attach goes on with a stream that the engine still keeps.
-func (c *Client) Attach(ctx context.Context, address, request string, offset int) (Stream, error) {
-	url := "http://" + address + PathStreams + request + "?offset=" + strconv.Itoa(offset)
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+// Attach continues a stream that the engine still has, after offset tokens.
+func (c *Client) Attach(ctx context.Context, address, requestID string, offset int) (Stream, error) {
+	url := "http://" + address + PathStreams + requestID + "?offset=" + strconv.Itoa(offset)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	return c.open(r)
+	return c.open(request)
 }
 
+// open sends a request and returns the stream of its response.
 func (c *Client) open(request *http.Request) (Stream, error) {
 	request.Header.Set(HeaderLoadFormat, LoadFormat)
 	propagation.TraceContext{}.Inject(request.Context(), propagation.HeaderCarrier(request.Header))
@@ -94,25 +97,26 @@
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
 	_ = response.Body.Close()
-	return nil, errorOf(response, string(text))
+	return nil, responseError(response, string(text))
 }
 
-func errorOf(response *http.Response, text string) error {
+// responseError returns the error for a response that is not a stream.
+func responseError(response *http.Response, text string) error {
 	text = strings.TrimSpace(text)
 	status := response.StatusCode
 	switch status {
 	case http.StatusNotFound:
 		return ErrNoStream
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusConflict:
-		return &Refusal{Reason: fmt.Sprintf("status %d: %s", status, text), Notice: noticeOf(response)}
+		return &Refusal{Reason: fmt.Sprintf("status %d: %s", status, text), Notice: refusalNotice(response)}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusRequestEntityTooLarge:
 		return fmt.Errorf("%w: %s", ErrBadRequest, text)
 	}
 	return fmt.Errorf("engine: status %d: %s", status, text)
 }
 
-// noticeOf reads what an answer's head says of its engine.
-func noticeOf(response *http.Response) endpoint.Notice {
+// refusalNotice returns the notice from the headers of a refusal.
+func refusalNotice(response *http.Response) endpoint.Notice {
 	notice := httpx.NoticeOf(response.StatusCode, response.Header)
 	notice.Refused = true
 	if report, ok := parseReport(response.Header.Get(HeaderLoad)); ok {
@@ -121,9 +125,9 @@
 	return notice
 }
 
-// Cancel ends a stream; an unknown one is ended already.
-func (c *Client) Cancel(ctx context.Context, address, request string) error {
-	err := c.call(ctx, http.MethodDelete, address, PathStreams+request, nil, nil)
+// Cancel cancels a stream. It is no error if the engine does not have the stream.
+func (c *Client) Cancel(ctx context.Context, address, requestID string) error {
+	err := c.call(ctx, http.MethodDelete, address, PathStreams+requestID, nil, nil)
 	var status *httpx.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusNotFound {
 		return nil
@@ -131,23 +135,24 @@
 	return err
 }
 
-// Import makes the engine at address fetch a stream's KV cache from source.
-func (c *Client) Import(ctx context.Context, address, request, source string) (int, error) {
-	var imported WireImportResult
-	err := c.call(ctx, http.MethodPost, address, PathImport, WireImport{request, source}, &imported)
-	return imported.Tokens, err
+// Import makes the engine at address fetch the KV cache of a stream from the engine at source. It
+// returns the number of tokens that were fetched.
+func (c *Client) Import(ctx context.Context, address, requestID, source string) (int, error) {
+	var result WireImportResult
+	err := c.call(ctx, http.MethodPost, address, PathImport, WireImport{requestID, source}, &result)
+	return result.Tokens, err
 }
 
-// Load reads the engine's latest report.
+// Load returns the engine's latest load report.
 func (c *Client) Load(ctx context.Context, address string) (Report, error) {
 	var w WireReport
 	if err := c.call(ctx, http.MethodGet, address, PathLoad, nil, &w); err != nil {
 		return Report{}, err
 	}
-	return w.Report(), nil
+	return w.ToReport(), nil
 }
 
-// Order gives an order; ErrStale where the engine has seen a later epoch.
+// Order sends an order. The error is ErrStaleEpoch if the engine has received a higher epoch.
 func (c *Client) Order(ctx context.Context, address string, o Order) error {
 	err := c.call(ctx, http.MethodPost, address, PathOrders, WireOrder{o.Epoch, o.Model, o.Version, o.Adapter}, nil)
 	var status *httpx.StatusError
--- a/pkg/engine/client_test.go
+++ b/pkg/engine/client_test.go
@@ -11,13 +11,13 @@
 	"ironhollow/pkg/engine"
 )
 
-// A refusal carries what the engine says of itself: rest by the usual header, leaving by
-// its load report.
-func TestRefusalsSayMoreThanNo(t *testing.T) {
+// Checks that a Refusal has the notice of the engine: the backoff from Retry-After, and whether
+// it is leaving from the load report.
+func TestRefusalsCarryNotices(t *testing.T) {
 	for _, c := range []struct {
-		status     int
-		rest, load string
-		want       endpoint.Notice
+		status           int
+		retryAfter, load string
+		want             endpoint.Notice
 	}{
 		{503, "", "", endpoint.Notice{Refused: true}},
 		{503, "1.5", "", endpoint.Notice{Refused: true, Backoff: 1500 * time.Millisecond}},
@@ -26,7 +26,7 @@
 		{409, "2", `{"leaving":true}`, endpoint.Notice{Refused: true, Leaving: true}},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Retry-After", c.rest)
+			w.Header().Set("Retry-After", c.retryAfter)
 			w.Header().Set(engine.HeaderLoad, c.load)
 			w.WriteHeader(c.status)
 		}))
@@ -34,11 +34,11 @@
 		server.Close()
 		var refusal *engine.Refusal
 		if !errors.As(err, &refusal) || !errors.Is(err, engine.ErrRefused) {
-			t.Errorf("%d: got %v, want a refusal", c.status, err)
+			t.Errorf("status %d: got %v, want a Refusal", c.status, err)
 			continue
 		}
 		if refusal.Notice != c.want {
-			t.Errorf("%d, %q, %q: got %+v, want %+v", c.status, c.rest, c.load, refusal.Notice, c.want)
+			t.Errorf("status %d, Retry-After %q, load report %q: got %+v, want %+v", c.status, c.retryAfter, c.load, refusal.Notice, c.want)
 		}
 	}
 }
--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is the edge to the model engines: streams of tokens that can
-// be resumed and cancelled, KV cache that can be moved, load reports that lag
-// and fenced orders.
+// Package engine is the client of the model engines. It streams tokens, resumes and cancels
+// streams, moves KV cache, reads load reports, which may be outdated, and sends orders, which
+// are fenced by the epoch of a lease.
 package engine
 
 import (
@@ -12,133 +12,135 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// Prompt is what an engine is asked to answer. It does not change over the
-// attempts of a request.
+// Prompt is the input of a model request. It is the same for all attempts of the request.
 type Prompt struct {
-	// RequestID is unique over the fleet.
+	// RequestID is unique across the fleet.
 	RequestID string
-	// Model and Adapter name what must be loaded.
+	// Model, Version and Adapter identify what the engine must have loaded.
 	Model, Version, Adapter string
-	// Messages is the caller's JSON array, passed on byte for byte.
+	// Messages is the caller's JSON array of messages, byte for byte.
 	Messages json.RawMessage
-	// Options holds the caller's other members that the engine understands.
+	// Options is the JSON object with the caller's other members, which are passed on to the
+	// engine.
 	Options json.RawMessage
-	// MaxTokens bounds the whole answer, over all attempts.
+	// MaxTokens is the maximum length of the complete answer, across all attempts.
 	MaxTokens int
-	// Seed makes the answer the same on each attempt where the engine can.
+	// Seed makes the engine generate the same answer in each attempt, if it is deterministic.
 	Seed     int64
 	Priority int
-	// Deadline is when the answer is of no more use.
+	// Deadline is the time after which the caller no longer needs the answer.
 	Deadline time.Time
 }
 
-// Attempt is one try of a prompt at one endpoint.
+// Attempt is an attempt to run a prompt at one endpoint.
 type Attempt struct {
 	Prompt Prompt
-	// Number counts the attempts of a request from 1.
+	// Number is the number of the attempt within its request, counted from 1.
 	Number int
-	// Continue holds the tokens already had, in order; the engine goes on
-	// after them.
+	// Continue holds the tokens of the answer that were received already, in order. The engine
+	// continues after them.
 	Continue []string
 }
 
-// Frame is one piece of an answer.
+// Frame is a part of a streamed answer.
 type Frame struct {
-	// Attempt is the attempt's number the frame belongs to.
+	// Attempt is the number of the attempt that the frame belongs to.
 	Attempt int
-	// Offset is the number of tokens of the whole answer before this frame.
+	// Offset is the number of tokens of the complete answer before this frame.
 	Offset int
-	// Text is one token's text, empty in the last frame.
+	// Text is the text of one token; empty in the last frame.
 	Text string
-	// FinishReason is the reason the answer ended, empty before.
+	// FinishReason is the reason why the answer ended; set in the last frame only.
 	FinishReason string
 	Usage        Usage
 }
 
-// Usage is the engine's account, in the last frame only.
+// Usage is the number of tokens as counted by the engine; set in the last frame only.
 type Usage struct {
 	PromptTokens     int
 	CompletionTokens int
-	// CachedTokens is how many of the prompt's and continued tokens the engine
-	// did not compute anew.
+	// CachedTokens is the number of tokens of the prompt and of Attempt.Continue that the
+	// engine had in its KV cache.
 	CachedTokens int
 }
 
-// Stream yields frames in the order they arrive.
+// Stream yields frames in the order of their arrival.
 type Stream interface {
-	// Next returns the next frame; io.EOF after the last, any other error where
-	// the stream broke.
+	// Next returns the next frame. The error is io.EOF after the last frame, and any other one
+	// if the stream was interrupted.
 	Next() (Frame, error)
-	// Buffered reports whether Next will not wait for the engine.
+	// Buffered reports whether Next returns without waiting for the engine.
 	Buffered() bool
-	// Report returns the load report that came with the stream, if one did.
+	// Report returns the load report that came with the stream, and false if there was none.
 	Report() (Report, bool)
-	// Notice returns what the engine said of itself beside its load.
+	// Notice returns the engine's notice from the response headers.
 	Notice() endpoint.Notice
-	// Close lets go of the stream; the engine keeps it for a while.
+	// Close closes the connection. The engine keeps the stream for a while, so that it can be
+	// attached again.
 	Close()
 }
 
-// Report is what an engine says of itself, late.
+// Report is the load report of an engine. It may be outdated.
 type Report struct {
-	// Sequence grows with each report of an incarnation.
+	// Sequence increases with each report of an incarnation.
 	Sequence    int64
 	Incarnation int64
-	// Model, Version and Adapter are what is loaded.
+	// Model, Version and Adapter identify what the engine has loaded.
 	Model, Version, Adapter string
-	// Running and Waiting count requests; Slots bounds Running.
+	// Running and Waiting are numbers of requests; Slots is the maximum of Running.
 	Running, Waiting, Slots int
-	// QueuedTokens is prompt tokens waiting for prefill.
+	// QueuedTokens is the number of prompt tokens that wait for prefill.
 	QueuedTokens int
-	// QueuedAt is when that was so, zero for the time of the report.
+	// QueuedAt is the time to which QueuedTokens applies; zero for the time of the report.
 	QueuedAt time.Time
-	// FreeTokens is KV memory left, in tokens.
+	// FreeTokens is the free KV cache memory, in tokens.
 	FreeTokens int
-	// Leaving is the endpoint's own word that it takes no new work.
+	// Leaving is set if the engine accepts no new work as it stops soon.
 	Leaving bool
-	// Counter grows with each change of Model, Version or Adapter.
+	// Counter increases with each change of Model, Version or Adapter.
 	Counter int64
-	// Epoch is the highest epoch of an order the engine has seen.
+	// Epoch is the highest epoch of the orders that the engine has received.
 	Epoch int64
 }
 
-// Order tells an engine what to serve.
+// Order sets the model that an engine serves.
 type Order struct {
-	// Epoch is that of the lease under which the order is given.
+	// Epoch is the epoch of the lease of the sender. The engine rejects orders with an epoch
+	// lower than one it has received.
 	Epoch                   int64
 	Model, Version, Adapter string
 }
 
-// Errors of an engine.
+// Errors of calls to engines.
 var (
-	// ErrRefused says that the engine turned the request away unrun.
+	// ErrRefused is returned if the engine rejected the request without running it.
 	ErrRefused = errors.New("engine: turned away")
-	// ErrStaleEpoch says that an order's epoch is behind one the engine has seen.
+	// ErrStaleEpoch is returned if the engine has received an order with a higher epoch.
 	ErrStaleEpoch = errors.New("engine: order of an old epoch")
-	// ErrNoStream says that the engine does not know the stream.
+	// ErrNoStream is returned if the engine does not have the stream.
 	ErrNoStream = errors.New("engine: no such stream")
-	// ErrBadRequest says that the engine can't ever serve the request.
+	// ErrBadRequest is returned if the engine can never serve the request.
 	ErrBadRequest = errors.New("engine: bad request")
 )
 
-// Refusal is an ErrRefused with what the engine says of itself.
+// Refusal is an ErrRefused with the reason and the notice of the engine.
 type Refusal struct {
 	Reason string
 	Notice endpoint.Notice
 }
 
-// Error gives the engine's reason.
+// Error returns ErrRefused with the engine's reason.
 func (r *Refusal) Error() string { return ErrRefused.Error() + ": " + r.Reason }
 
 // Unwrap makes every refusal an ErrRefused.
 func (r *Refusal) Unwrap() error { return ErrRefused }
 
-// API is all that is asked of engines; address is an IP number and port.
+// API is the interface of an engine. An address is an IP address and a port.
 type API interface {
 	Generate(ctx context.Context, address string, attempt Attempt) (Stream, error)
-	Attach(ctx context.Context, address, request string, offset int) (Stream, error)
-	Cancel(ctx context.Context, address, request string) error
-	Import(ctx context.Context, address, request, source string) (tokens int, err error)
+	Attach(ctx context.Context, address, requestID string, offset int) (Stream, error)
+	Cancel(ctx context.Context, address, requestID string) error
+	Import(ctx context.Context, address, requestID, source string) (tokens int, err error)
 	Load(ctx context.Context, address string) (Report, error)
 	Order(ctx context.Context, address string, order Order) error
 }
--- a/pkg/engine/events.go
+++ b/pkg/engine/events.go
@@ -14,64 +14,65 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// eventReader reads an engine's server-sent events. Only what engines send is
-// read: an id and one line of data. It stands here in place of a library's
-// reader because it is the hottest path of an entry, and because it can tell
-// whether another event is there already, so that several are passed on by one
-// write (docs/measurements/hop.md).
+// eventReader is a Stream that reads server-sent events from a response body. It supports only
+// what engines send: an ID and one line of data. It is used instead of a library as it is the
+// hottest path of an entry, and as it can report whether another event is buffered, so that
+// several events are sent to the caller in one write (docs/measurements/hop.md).
 type eventReader struct {
-	body   io.ReadCloser
-	reader *bufio.Reader
-	load   string
-	notice endpoint.Notice
+	body       io.ReadCloser
+	reader     *bufio.Reader
+	loadHeader string
+	notice     endpoint.Notice
 }
 
-// eventBuffer is the reader's buffer; maxEvent bounds one line.
+// eventBufferBytes is the size of the reader's buffer; maxLineBytes is the maximum length of a
+// line.
 const (
-	eventBuffer = 16 << 10
-	maxEvent    = 1 << 20
+	eventBufferBytes = 16 << 10
+	maxLineBytes     = 1 << 20
 )
 
 func newEventReader(body io.ReadCloser, load string, notice endpoint.Notice) *eventReader {
-	return &eventReader{body: body, reader: bufio.NewReaderSize(body, eventBuffer), load: load, notice: notice}
+	return &eventReader{body: body, reader: bufio.NewReaderSize(body, eventBufferBytes), loadHeader: load, notice: notice}
 }
 
-// Notice returns what the answer's headers say of the engine.
+// Notice returns the engine's notice from the response headers.
 func (r *eventReader) Notice() endpoint.Notice { return r.notice }
 
-// Report reads the report that came with the answer's headers.
-func (r *eventReader) Report() (Report, bool) { return parseReport(r.load) }
+// Report returns the load report from the response headers.
+func (r *eventReader) Report() (Report, bool) { return parseReport(r.loadHeader) }
 
-// parseReport reads a report from an answer's header.
+// parseReport parses the value of HeaderLoad.
 func parseReport(header string) (Report, bool) {
 	var w WireReport
 	if header == "" || json.Unmarshal([]byte(header), &w) != nil {
 		return Report{}, false
 	}
-	return w.Report(), true
+	return w.ToReport(), true
 }
 
-// Close lets go of the stream.
+// Close closes the connection.
 func (r *eventReader) Close() { _ = r.body.Close() }
 
-// Buffered reports whether Next will not wait for the engine.
+// Buffered reports whether Next returns without waiting for the engine.
 func (r *eventReader) Buffered() bool {
-	ahead, _ := r.reader.Peek(r.reader.Buffered())
-	return bytes.Contains(ahead, []byte("\n\n"))
+	buffered, _ := r.reader.Peek(r.reader.Buffered())
+	return bytes.Contains(buffered, []byte("\n\n"))
 }
 
-// doneMark ends a stream in the usual protocol.
-const doneMark = "[DONE]"
+// doneMarker is the data of the last event of a stream.
+const doneMarker = "[DONE]"
 
-// errLong says that an event is longer than any engine sends.
-var errLong = errors.New("engine: event is too long")
+// errLineTooLong is returned if a line exceeds maxLineBytes.
+var errLineTooLong = errors.New("engine: event is too long")
 
-// Next returns the next frame. A stream that ends before its mark is broken.
+// Next returns the next frame. The error is io.ErrUnexpectedEOF if the stream ends before its
+// doneMarker.
 func (r *eventReader) Next() (Frame, error) {
 	var frame Frame
 	hasID := false
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return Frame{}, err
 		}
@@ -83,7 +84,7 @@
 			hasID = true
 		case bytes.HasPrefix(line, []byte("data: ")):
 			data := line[len("data: "):]
-			if string(data) == doneMark {
+			if string(data) == doneMarker {
 				return Frame{}, io.EOF
 			}
 			if !hasID {
@@ -94,11 +95,11 @@
 	}
 }
 
-// line returns the next line without its end; it is valid until the next call.
-func (r *eventReader) line() ([]byte, error) {
+// readLine returns the next line without its end. It is valid until the next call.
+func (r *eventReader) readLine() ([]byte, error) {
 	line, err := r.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		line, err = r.longLine(line)
+		line, err = r.readLongLine(line)
 	}
 	if errors.Is(err, io.EOF) {
 		return nil, io.ErrUnexpectedEOF
@@ -109,19 +110,20 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-func (r *eventReader) longLine(begin []byte) ([]byte, error) {
-	line := bytes.Clone(begin)
-	for len(line) < maxEvent {
-		more, err := r.reader.ReadSlice('\n')
-		line = append(line, more...)
+// readLongLine returns the rest of a line that does not fit in the buffer, with its start.
+func (r *eventReader) readLongLine(start []byte) ([]byte, error) {
+	line := bytes.Clone(start)
+	for len(line) < maxLineBytes {
+		part, err := r.reader.ReadSlice('\n')
+		line = append(line, part...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, err
 		}
 	}
-	return nil, errLong
+	return nil, errLineTooLong
 }
 
-// parseID reads attempt.offset.
+// parseID parses an event ID of the form attempt.offset.
 func parseID(id []byte, frame *Frame) error {
 	attempt, offset, ok := bytes.Cut(id, []byte("."))
 	var err, offsetErr error
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// decodeChunk reads what a frame needs of a chunk, and no more: this is the
-// hottest line of an entry.
+// decodeChunk sets the fields of a frame from a chunk. It reads only the members that are
+// needed, as it is in the hottest path of an entry.
 func decodeChunk(data []byte, frame *Frame) error {
 	choice := gjson.GetBytes(data, "choices.0")
 	frame.Text = choice.Get("delta.content").String()
@@ -143,7 +145,7 @@
 		return nil
 	}
 	if !gjson.ValidBytes(data) {
-		return errChunk
+		return errBadChunk
 	}
 	if usage := gjson.GetBytes(data, "usage"); usage.Exists() {
 		frame.Usage = Usage{
@@ -154,10 +156,10 @@
 	return nil
 }
 
-// errChunk says that an event's data is no chunk.
-var errChunk = errors.New("engine: bad chunk")
+// errBadChunk is returned if the data of an event is not a valid chunk.
+var errBadChunk = errors.New("engine: bad chunk")
 
-// ReadFrames reads all frames of a stream, for tests and fuzzing.
+// ReadFrames reads all frames of a stream. It is used by tests only.
 func ReadFrames(body io.ReadCloser) ([]Frame, error) {
 	reader := newEventReader(body, "", endpoint.Notice{})
 	var frames []Frame
--- a/pkg/engine/wire.go
+++ b/pkg/engine/wire.go
@@ -1,6 +1,6 @@
 package engine
 
-// Paths, headers and members of the engines' protocol beyond the usual one.
+// Paths and headers of the engine protocol, including extensions of the chat completions API.
 const (
 	PathChat    = "/v1/chat/completions"
 	PathStreams = "/v1/streams/"
@@ -13,14 +13,14 @@
 	HeaderPriority = "X-Priority"
 	HeaderDeadline = "X-Deadline-Ms"
 
-	// HeaderLoadFormat asks for a load report with the answer, HeaderLoad is
-	// the report: the usual pair of headers for endpoint load metrics.
+	// HeaderLoadFormat requests a load report with the response; HeaderLoad is the report. They
+	// are the standard headers for endpoint load metrics.
 	HeaderLoadFormat = "Endpoint-Load-Metrics-Format"
 	HeaderLoad       = "Endpoint-Load-Metrics"
 	LoadFormat       = "JSON"
 )
 
-// Chunk is one event of a streamed answer in the usual form.
+// Chunk is the data of an event of a streamed chat completion.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -30,20 +30,20 @@
 	Usage   *ChunkUsage   `json:"usage,omitempty"`
 }
 
-// ChunkChoice is the one choice of a chunk.
+// ChunkChoice is the only choice of a chunk.
 type ChunkChoice struct {
 	Index        int        `json:"index"`
 	Delta        ChunkDelta `json:"delta"`
 	FinishReason *string    `json:"finish_reason"`
 }
 
-// ChunkDelta is the text added.
+// ChunkDelta is the text that a chunk adds to the answer.
 type ChunkDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// ChunkUsage is the account of tokens.
+// ChunkUsage is the token usage of a request.
 type ChunkUsage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -51,12 +51,12 @@
 	Details          *TokenDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// TokenDetails splits the prompt's tokens.
+// TokenDetails is the breakdown of the prompt tokens.
 type TokenDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// WireReport is a load report as sent.
+// WireReport is the JSON form of a Report.
 type WireReport struct {
 	Sequence     int64  `json:"sequence"`
 	Incarnation  int64  `json:"incarnation"`
@@ -73,8 +73,8 @@
 	Epoch        int64  `json:"epoch"`
 }
 
-// Report maps a report.
-func (w WireReport) Report() Report {
+// ToReport returns the Report with the same values.
+func (w WireReport) ToReport() Report {
 	return Report{
 		Sequence: w.Sequence, Incarnation: w.Incarnation, Model: w.Model, Version: w.Version, Adapter: w.Adapter,
 		Running: w.Running, Waiting: w.Waiting, Slots: w.Slots, QueuedTokens: w.QueuedTokens, FreeTokens: w.FreeTokens,
@@ -82,7 +82,7 @@
 	}
 }
 
-// WireOrder is an order as sent.
+// WireOrder is the JSON form of an Order.
 type WireOrder struct {
 	Epoch   int64  `json:"epoch"`
 	Model   string `json:"model"`
@@ -90,13 +90,14 @@
 	Adapter string `json:"adapter"`
 }
 
-// WireImport asks an engine to fetch a stream's KV cache from another.
+// WireImport is the request body of an import: it makes an engine fetch the KV cache of a stream
+// from another engine.
 type WireImport struct {
 	Request string `json:"request"`
 	Source  string `json:"source"`
 }
 
-// WireImportResult answers an import.
+// WireImportResult is the response body of an import.
 type WireImportResult struct {
 	Tokens int `json:"tokens"`
 }
--- a/pkg/standin/engines/direct.go
+++ b/pkg/standin/engines/direct.go
@@ -192,7 +192,7 @@
 	if err != nil {
 		return engine.Report{}, err
 	}
-	return h.engine.report(time.Now()).Report(), nil
+	return h.engine.report(time.Now()).ToReport(), nil
 }
 
 // Order gives an order.
@@ -234,7 +234,7 @@
 
 // Report returns the engine's report.
 func (s *directStream) Report() (engine.Report, bool) {
-	return s.host.engine.report(time.Now()).Report(), true
+	return s.host.engine.report(time.Now()).ToReport(), true
 }
 
 // Notice returns what the engine says of itself.
