--- a/pkg/upstream/exchange.go
+++ b/pkg/upstream/exchange.go
@@ -11,33 +11,35 @@
 	"time"
 )
 
-// Exchange is an answer being read. It is not safe for concurrent use.
+// Exchange is a response that is being read. It is not safe for concurrent use.
 type Exchange struct {
-	pool     *Pool
-	conn     *conn
-	stop     func() bool
-	response *http.Response
-	broken   bool
-	closed   bool
+	pool *Pool
+	conn *conn
+	// stopCancel stops the closing of the connection at the end of the context; it returns
+	// false if that has happened.
+	stopCancel func() bool
+	response   *http.Response
+	broken     bool
+	closed     bool
 }
 
-// Status returns the answer's status.
+// Status returns the status code of the response.
 func (e *Exchange) Status() int { return e.response.StatusCode }
 
-// Header returns the answer's headers.
+// Header returns the headers of the response.
 func (e *Exchange) Header() http.Header { return e.response.Header }
 
-// ContentLength returns the body's length, -1 if it is not told.
+// ContentLength returns the length of the body, or -1 if it is unknown.
 func (e *Exchange) ContentLength() int64 { return e.response.ContentLength }
 
-// IsDelimited reports whether the answer tells where it ends: otherwise the close of the
-// connection may be its end or a break.
+// IsDelimited reports whether the response has a length or is chunked. Otherwise it ends when
+// the connection is closed, and a truncated body may look complete.
 func (e *Exchange) IsDelimited() bool {
 	return e.response.ContentLength >= 0 || slices.Contains(e.response.TransferEncoding, "chunked")
 }
 
-// Read reads the body; io.EOF comes only after a whole body. An answer without
-// length ends where the endpoint closes the connection in order.
+// Read reads the body. It returns io.EOF only after a complete body. A response that is not
+// delimited is complete when the endpoint closes the connection without a reset.
 func (e *Exchange) Read(p []byte) (int, error) {
 	n, err := e.response.Body.Read(p)
 	if err != nil && !isEOF(err) {
@@ -49,21 +51,22 @@
 	return n, err
 }
 
-// IsBroken reports whether the answer broke off while it was read.
+// IsBroken reports whether reading the response has failed, or the connection must not be reused
+// for another reason.
 func (e *Exchange) IsBroken() bool { return e.broken }
 
-// DisableReuse keeps the connection from being used again.
+// DisableReuse prevents the connection from being used for another request.
 func (e *Exchange) DisableReuse() { e.broken = true }
 
-// Close gives the connection back if its answer was read whole, and closes it
-// otherwise, which tells the endpoint to stop.
+// Close returns the connection to the pool if the response was read completely. Otherwise it
+// closes the connection, by which the endpoint notices that it may stop.
 func (e *Exchange) Close() {
 	if e.closed {
 		return
 	}
 	e.closed = true
-	running := e.stop()
-	if !running || !e.reusable() {
+	contextLive := e.stopCancel()
+	if !contextLive || !e.reusable() {
 		e.pool.drop(e.conn)
 		return
 	}
@@ -71,6 +74,7 @@
 	e.pool.put(e.conn)
 }
 
+// reusable reports whether the connection can be used for another request.
 func (e *Exchange) reusable() bool {
 	if e.broken || e.response == nil || e.response.Close || e.conn.reader.Buffered() > 0 {
 		return false
@@ -80,33 +84,35 @@
 
 func isEOF(err error) bool { return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) }
 
-// readHead reads the head of the answer, past those that are only on the way.
+// readHead reads the status and headers of the final response. Informational (1xx) responses
+// are skipped.
 func (e *Exchange) readHead(method string) error {
-	asked := &http.Request{Method: method}
-	for range mostInformational {
-		response, err := http.ReadResponse(e.conn.reader, asked)
+	request := &http.Request{Method: method}
+	for range maxInformational {
+		response, err := http.ReadResponse(e.conn.reader, request)
 		if err != nil {
 			return err
 		}
 		if response.StatusCode/100 != 1 {
 			e.response = response
-			e.conn.idleTime = idleTime(response.Header)
+			e.conn.idleTimeout = keepAliveTimeout(response.Header)
 			return nil
 		}
 	}
-	return fmt.Errorf("upstream: more than %d informational answers", mostInformational)
+	return fmt.Errorf("upstream: more than %d informational answers", maxInformational)
 }
 
-// idleTime reads how long an endpoint keeps an idle connection.
-func idleTime(h http.Header) time.Duration {
+// keepAliveTimeout returns how long a connection may be idle according to the Keep-Alive header
+// of a response.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
 			continue
 		}
-		if secs, err := strconv.Atoi(value); err == nil {
-			return max(time.Duration(secs)*time.Second-idleMargin, 0)
+		if seconds, err := strconv.Atoi(value); err == nil {
+			return max(time.Duration(seconds)*time.Second-idleMargin, 0)
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/pkg/upstream/pool.go
+++ b/pkg/upstream/pool.go
@@ -1,7 +1,6 @@
-// Package upstream sends requests to endpoints over HTTP/1.1 connections of
-// its own. It differs from the standard transport in what it promises: a
-// request leaves this process once at most, and every result says whether the
-// endpoint can have seen it.
+// Package upstream sends requests to endpoints over its own pool of HTTP/1.1 connections. It
+// gives guarantees that http.Transport does not: a request is sent at most once, and each
+// outcome shows whether the endpoint may have received it.
 package upstream
 
 import (
@@ -19,16 +18,17 @@
 	"ironhollow/pkg/steady"
 )
 
-// Outcome is how a send ended: NotSent, Unclear or Answered.
+// Outcome is the outcome of a send: NotSent, MaybeSent or Answered.
 type Outcome interface{ outcome() }
 
-// NotSent says that no byte of the request has left this process.
+// NotSent means that no byte of the request was sent.
 type NotSent struct{ Err error }
 
-// MaybeSent says that the endpoint may have seen the request, or part of it.
+// MaybeSent means that the endpoint may have received the request or a part of it.
 type MaybeSent struct{ Err error }
 
-// Answered carries the head of an answer. Its Exchange must be closed.
+// Answered means that the status and headers of a response were received. Its Exchange must be
+// closed.
 type Answered struct {
 	Exchange *Exchange
 }
@@ -37,130 +37,134 @@
 func (MaybeSent) outcome() {}
 func (Answered) outcome()  {}
 
-// ErrConnectionLimit says that all connections allowed to an endpoint are in use.
+// ErrConnectionLimit is returned if all connections that are allowed to an endpoint are in use.
 var ErrConnectionLimit = errors.New("upstream: all connections to the endpoint are in use")
 
-// Request is what is sent.
+// Request is a request to an endpoint.
 type Request struct {
 	Method string
 	// Target is the request target exactly as the caller sent it.
 	Target string
 	Host   string
-	// Header holds no header of one connection only, and no Content-Length.
+	// Header must not contain hop-by-hop headers or Content-Length.
 	Header http.Header
 	Body   []byte
-	// HasBody says that a length is sent although Body is empty.
+	// HasBody is set if Content-Length is sent even if Body is empty.
 	HasBody bool
-	// MaxIdle bounds how long a kept connection may have rested, 0 for no bound:
-	// a request that can't be sent twice must not meet one that just closes.
+	// MaxIdle is how long a connection may have been idle to be used for this request; 0 for
+	// no limit. A request that must not be repeated needs one, as the endpoint may be closing
+	// a connection that was idle for long.
 	MaxIdle time.Duration
 }
 
 // Parameters of connections.
 const (
-	// dialTime bounds the opening of a connection: endpoints are under 10 ms
-	// away, so that this is lost packets or a dead host.
-	dialTime = time.Second
-	// defaultIdle is how long a connection is kept whose endpoint names no time.
-	defaultIdle = 4 * time.Second
-	// idleMargin is kept from the time that an endpoint names, in whole seconds.
+	// dialTimeout limits the opening of a connection. Endpoints are less than 10 ms away, so
+	// that a time-out means lost packets or a dead host.
+	dialTimeout = time.Second
+	// defaultIdleTimeout is how long a connection may be idle if the endpoint sends no
+	// Keep-Alive time-out.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the Keep-Alive time-out of an endpoint, which is in whole
+	// seconds.
 	idleMargin = 500 * time.Millisecond
-	// bufferBytes is the read and write buffer of a connection: a head fits.
+	// bufferBytes is the size of the read buffer of a connection; response headers fit in it.
 	bufferBytes = 4 << 10
-	// mostInformational bounds the 1xx answers before the actual one.
-	mostInformational = 5
+	// maxInformational is the maximum number of 1xx responses before the final one.
+	maxInformational = 5
 )
 
-// Pool keeps connections to endpoints. It is safe for concurrent use.
+// Pool is a pool of connections to endpoints. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 
-	mu    sync.Mutex
-	hosts map[string]*host
-	dials int64
+	mu        sync.Mutex
+	byAddress map[string]*addressConns
+	dials     int64
 }
 
-// host is the connections to one address.
-type host struct {
-	// idle is used from its end, so that few connections carry the traffic.
+// addressConns holds the connections to one address.
+type addressConns struct {
+	// idle is used from its end, so that the traffic uses few connections.
 	idle []*conn
+	// open is the number of connections, in use or idle.
 	open int
 }
 
-// conn is one connection; one exchange uses it at a time.
+// conn is a connection. At most one Exchange uses it at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// idleSince and idleTime say until when the endpoint keeps it.
-	idleSince time.Time
-	idleTime  time.Duration
+	// The endpoint may close the connection idleTimeout after idleSince.
+	idleSince   time.Time
+	idleTimeout time.Duration
 }
 
-// New returns a pool. userTimeout is how long sent bytes may stay
-// unacknowledged before a connection counts as dead.
+// New returns a pool. userTimeout is how long sent bytes may be unacknowledged before the
+// connection is closed.
 func New(userTimeout time.Duration) *Pool {
 	return &Pool{
 		dialer: net.Dialer{
-			Timeout:         dialTime,
+			Timeout:         dialTimeout,
 			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3},
 			Control:         ControlUserTimeout(userTimeout),
 		},
-		hosts: map[string]*host{},
+		byAddress: map[string]*addressConns{},
 	}
 }
 
-// tcpUserTimeout is Linux's TCP_USER_TIMEOUT.
+// tcpUserTimeout is TCP_USER_TIMEOUT on Linux.
 const tcpUserTimeout = 18
 
-// ControlUserTimeout returns a socket control that bounds how long sent bytes
-// may stay unacknowledged; it is inherited by connections of a listener.
+// ControlUserTimeout returns a socket control function that limits how long sent bytes may be
+// unacknowledged. The connections of a listener inherit the limit.
 func ControlUserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
-		var set error
+		var setErr error
 		err := c.Control(func(fd uintptr) {
-			set = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+			setErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 		})
-		return errors.Join(err, set)
+		return errors.Join(err, setErr)
 	}
 }
 
-// Dials returns how many connections were opened.
+// Dials returns how many connections the pool has tried to open.
 func (p *Pool) Dials() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dials
 }
 
-// HasIdle reports whether a request may use a kept connection to an address; maxIdle is
-// as in Request.
+// HasIdle reports whether there is an idle connection to an address that a request may use;
+// maxIdle is as in Request.
 func (p *Pool) HasIdle(address string, maxIdle time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h, ok := p.hosts[address]
-	if !ok || len(h.idle) == 0 {
+	conns, ok := p.byAddress[address]
+	if !ok || len(conns.idle) == 0 {
 		return false
 	}
-	c := h.idle[len(h.idle)-1]
-	rested := steady.Since(c.idleSince)
-	return rested < c.idleTime && (maxIdle <= 0 || rested < maxIdle)
+	c := conns.idle[len(conns.idle)-1]
+	idle := steady.Since(c.idleSince)
+	return idle < c.idleTimeout && (maxIdle <= 0 || idle < maxIdle)
 }
 
-// Send sends a request once. limit is the most connections to the address, 0
-// for no bound. When ctx ends the connection is closed, which tells the
-// endpoint to stop.
+// Send sends a request at most once. limit is the maximum number of connections to the address;
+// 0 for no limit. When ctx ends the connection is closed, by which the endpoint notices that it
+// may stop.
 func (p *Pool) Send(ctx context.Context, address string, limit int, request Request) Outcome {
-	c, err := p.connection(ctx, address, limit, request.MaxIdle)
+	c, err := p.acquire(ctx, address, limit, request.MaxIdle)
 	if err != nil {
 		return NotSent{err}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	e := &Exchange{pool: p, conn: c, stop: stop}
+	e := &Exchange{pool: p, conn: c, stopCancel: stop}
 	written, err := c.Write(request.encode())
 	if err != nil {
-		// The endpoint may have answered before it had read all.
+		// The endpoint may have responded before it read the complete request.
 		if written > 0 && ctx.Err() == nil {
-			_ = c.SetReadDeadline(time.Now().Add(earlyAnswer))
+			_ = c.SetReadDeadline(time.Now().Add(earlyResponseTimeout))
 			if e.readHead(request.Method) == nil {
 				e.broken = true
 				return Answered{e}
@@ -184,10 +188,11 @@
 	return Answered{e}
 }
 
-// earlyAnswer is how long an answer is waited for after the endpoint has closed
-// its reading side.
-const earlyAnswer = 50 * time.Millisecond
+// earlyResponseTimeout is how long to wait for a response if the endpoint accepts no more bytes of
+// the request.
+const earlyResponseTimeout = 50 * time.Millisecond
 
+// encode returns the request as sent.
 func (r Request) encode() []byte {
 	var b strings.Builder
 	b.Grow(1024 + len(r.Body))
@@ -208,14 +213,14 @@
 	return []byte(b.String())
 }
 
-// connection returns a kept connection or opens one.
-func (p *Pool) connection(ctx context.Context, address string, limit int, maxIdle time.Duration) (*conn, error) {
+// acquire returns an idle connection, or opens one if there is none.
+func (p *Pool) acquire(ctx context.Context, address string, limit int, maxIdle time.Duration) (*conn, error) {
 	for {
 		c := p.takeIdle(address, maxIdle)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.isUsable() {
 			return c, nil
 		}
 		p.drop(c)
@@ -231,86 +236,93 @@
 	return newConn(raw, address), nil
 }
 
+// reserve counts a new connection to the address. It returns false if the limit is reached.
 func (p *Pool) reserve(address string, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
-	if h == nil {
-		h = &host{}
-		p.hosts[address] = h
+	conns := p.byAddress[address]
+	if conns == nil {
+		conns = &addressConns{}
+		p.byAddress[address] = conns
 	}
-	if limit > 0 && h.open >= limit {
+	if limit > 0 && conns.open >= limit {
 		return false
 	}
-	h.open++
+	conns.open++
 	p.dials++
 	return true
 }
 
+// release removes a connection from the count of open ones, and the address if it was the last.
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
-	h.open--
-	if h.open == 0 && len(h.idle) == 0 {
-		delete(p.hosts, address)
+	conns := p.byAddress[address]
+	conns.open--
+	if conns.open == 0 && len(conns.idle) == 0 {
+		delete(p.byAddress, address)
 	}
 }
 
+// drop closes a connection that is not among the idle ones.
 func (p *Pool) drop(c *conn) {
 	_ = c.Close()
 	p.release(c.address)
 }
 
+// takeIdle returns the connection that has been idle for the shortest time, or nil if there is
+// none or if it exceeds maxIdle. One that exceeds its idleTimeout is returned all the same, so
+// that acquire drops it.
 func (p *Pool) takeIdle(address string, maxIdle time.Duration) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
-	if h == nil || len(h.idle) == 0 {
+	conns := p.byAddress[address]
+	if conns == nil || len(conns.idle) == 0 {
 		return nil
 	}
-	c := h.idle[len(h.idle)-1]
-	rested := steady.Since(c.idleSince)
-	if maxIdle > 0 && rested > maxIdle && rested <= c.idleTime {
+	c := conns.idle[len(conns.idle)-1]
+	idle := steady.Since(c.idleSince)
+	if maxIdle > 0 && idle > maxIdle && idle <= c.idleTimeout {
 		return nil
 	}
-	h.idle = h.idle[:len(h.idle)-1]
+	conns.idle = conns.idle[:len(conns.idle)-1]
 	return c
 }
 
+// put adds a connection to the idle ones.
 func (p *Pool) put(c *conn) {
 	c.idleSince = steady.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if h := p.hosts[c.address]; h != nil {
-		h.idle = append(h.idle, c)
+	if conns := p.byAddress[c.address]; conns != nil {
+		conns.idle = append(conns.idle, c)
 	}
 }
 
-// Sweep closes connections that have been idle for too long, and those to
-// addresses that keep reports as no longer in use. keep is called without the pool's lock:
-// it may wait for a caller of HasIdle.
+// Sweep closes idle connections that exceed their idleTimeout, and those to addresses for which
+// keep returns false. keep is called without the pool's lock, as it may wait for a lock that a
+// caller of HasIdle holds.
 func (p *Pool) Sweep(keep func(address string) bool) {
 	unused := map[string]bool{}
 	for _, address := range p.idleAddresses() {
 		unused[address] = !keep(address)
 	}
 	p.mu.Lock()
-	var old []*conn
-	for address, h := range p.hosts {
-		kept := h.idle[:0]
-		for _, c := range h.idle {
-			if steady.Since(c.idleSince) <= c.idleTime && !unused[address] {
+	var expired []*conn
+	for address, conns := range p.byAddress {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
+			if steady.Since(c.idleSince) <= c.idleTimeout && !unused[address] {
 				kept = append(kept, c)
 				continue
 			}
-			old = append(old, c)
+			expired = append(expired, c)
 		}
-		clear(h.idle[len(kept):])
-		h.idle = kept
+		clear(conns.idle[len(kept):])
+		conns.idle = kept
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		p.drop(c)
 	}
 }
@@ -320,31 +332,32 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var addresses []string
-	for address, h := range p.hosts {
-		if len(h.idle) > 0 {
+	for address, conns := range p.byAddress {
+		if len(conns.idle) > 0 {
 			addresses = append(addresses, address)
 		}
 	}
 	return addresses
 }
 
-// ProbeResult is what a look at an address shows.
+// ProbeResult is the result of a probe of an address.
 type ProbeResult int
 
-// What a look may show.
+// Results of a probe.
 const (
-	// Indeterminate is where nothing was found out.
+	// Indeterminate means that the probe showed nothing.
 	Indeterminate ProbeResult = iota
-	// Accepting is where something takes connections.
+	// Accepting means that a process accepts connections.
 	Accepting
-	// Refusing is where nothing does, and the machine says so.
+	// Refusing means that the connection was refused: no process listens.
 	Refusing
 )
 
-// Probe finds out whether anything takes connections at an address: by a kept connection
-// that is still open, or by a new one, which is kept. limit is as in Send.
+// Probe finds out whether a process accepts connections at an address. An idle connection that
+// is still open shows that; otherwise a new one is opened, which is then kept as idle. limit is
+// as in Send.
 func (p *Pool) Probe(ctx context.Context, address string, limit int) ProbeResult {
-	if p.sweepDead(address) {
+	if p.dropClosed(address) {
 		return Accepting
 	}
 	if !p.reserve(address, limit) {
@@ -362,50 +375,50 @@
 	return Accepting
 }
 
-// sweepDead closes kept connections to an address that the endpoint has closed, which
-// would count as in use, and reports whether any is still open.
-func (p *Pool) sweepDead(address string) (anyOpen bool) {
+// dropClosed drops the idle connections to an address that the endpoint has closed, as they
+// would count towards the limit. It reports whether any idle connection is still open.
+func (p *Pool) dropClosed(address string) (anyOpen bool) {
 	p.mu.Lock()
-	var dead []*conn
-	if h := p.hosts[address]; h != nil {
-		open := make([]*conn, 0, len(h.idle))
-		for _, c := range h.idle {
-			if c.quiet() {
+	var closed []*conn
+	if conns := p.byAddress[address]; conns != nil {
+		open := make([]*conn, 0, len(conns.idle))
+		for _, c := range conns.idle {
+			if c.isUsable() {
 				open = append(open, c)
 			} else {
-				dead = append(dead, c)
+				closed = append(closed, c)
 			}
 		}
-		h.idle = open
+		conns.idle = open
 		anyOpen = len(open) > 0
 	}
 	p.mu.Unlock()
-	for _, c := range dead {
+	for _, c := range closed {
 		p.drop(c)
 	}
 	return anyOpen
 }
 
 func newConn(raw net.Conn, address string) *conn {
-	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, bufferBytes), idleTime: defaultIdle}
+	return &conn{Conn: raw, address: address, reader: bufio.NewReaderSize(raw, bufferBytes), idleTimeout: defaultIdleTimeout}
 }
 
-// quiet reports whether a kept connection is still open, in time, and has
-// nothing to be read: bytes that come unasked belong to no request.
-func (c *conn) quiet() bool {
-	if c.reader.Buffered() > 0 || steady.Since(c.idleSince) > c.idleTime {
+// isUsable reports whether an idle connection is still open, has not exceeded its idleTimeout
+// and has no bytes to be read. Unsolicited bytes do not belong to any request.
+func (c *conn) isUsable() bool {
+	if c.reader.Buffered() > 0 || steady.Since(c.idleSince) > c.idleTimeout {
 		return false
 	}
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, readErr := syscall.Read(int(fd), b[:])
-		quiet = errors.Is(readErr, syscall.EAGAIN)
+		open = errors.Is(readErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && open
 }
--- a/pkg/upstream/pool_test.go
+++ b/pkg/upstream/pool_test.go
@@ -14,16 +14,16 @@
 	"ironhollow/pkg/upstream"
 )
 
-// endpoint is a listener whose connections are handled by a script.
+// endpoint is a server that handles each request with a handler function.
 type endpoint struct {
 	address string
-	// requests counts requests whose head was read.
+	// requests receives the target of each request that was read.
 	requests chan string
 }
 
-// serve starts an endpoint; script answers one request and reports whether the
-// connection stays open.
-func serve(t *testing.T, script func(c net.Conn, r *http.Request) bool) *endpoint {
+// serve starts an endpoint. handle responds to one request and reports whether the connection
+// stays open.
+func serve(t *testing.T, handle func(c net.Conn, r *http.Request) bool) *endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,13 +37,13 @@
 			if err != nil {
 				return
 			}
-			go e.connection(c, script)
+			go e.serveConn(c, handle)
 		}
 	}()
 	return e
 }
 
-func (e *endpoint) connection(c net.Conn, script func(net.Conn, *http.Request) bool) {
+func (e *endpoint) serveConn(c net.Conn, handle func(net.Conn, *http.Request) bool) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
@@ -53,12 +53,13 @@
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		e.requests <- r.RequestURI
-		if !script(c, r) {
+		if !handle(c, r) {
 			return
 		}
 	}
 }
 
+// reply returns a handler that sends a fixed response.
 func reply(text string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, text)
@@ -66,7 +67,7 @@
 	}
 }
 
-const wholeAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const completeResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func send(t *testing.T, p *upstream.Pool, address string) upstream.Outcome {
 	t.Helper()
@@ -88,8 +89,8 @@
 	return string(body), err
 }
 
-func TestKeptConnectionsAreUsedAgain(t *testing.T) {
-	e := serve(t, reply(wholeAnswer))
+func TestConnectionsAreReused(t *testing.T) {
+	e := serve(t, reply(completeResponse))
 	p := upstream.New(time.Second)
 	for range 3 {
 		if body, err := readAll(t, send(t, p, e.address)); body != "ok" || err != nil {
@@ -100,11 +101,11 @@
 		t.Errorf("connections opened: got %d, want %d", got, want)
 	}
 	if got, want := <-e.requests, "/a%2Fb/?q=%41"; got != want {
-		t.Errorf("target: got %q, want %q as sent", got, want)
+		t.Errorf("target: got %q, want %q unchanged", got, want)
 	}
 }
 
-func TestDeadPortIsNotSent(t *testing.T) {
+func TestClosedPortIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -116,14 +117,14 @@
 	}
 }
 
-// An endpoint reads the request and closes without an answer, on a new
-// connection and on a kept one: it may have run, and it is not sent again.
-func TestCloseAfterReadingIsUnclear(t *testing.T) {
+// An endpoint that reads a request and closes the connection without a response may have run the
+// request. The request must not be sent again, both on a new connection and on a reused one.
+func TestCloseAfterReadingIsMaybeSent(t *testing.T) {
 	first := true
 	e := serve(t, func(c net.Conn, _ *http.Request) bool {
 		if first {
 			first = false
-			_, _ = io.WriteString(c, wholeAnswer)
+			_, _ = io.WriteString(c, completeResponse)
 			return true
 		}
 		return false
@@ -134,18 +135,18 @@
 	}
 	for range 2 {
 		if outcome, ok := send(t, p, e.address).(upstream.MaybeSent); !ok {
-			t.Errorf("outcome: got %T, want Unclear", outcome)
+			t.Errorf("outcome: got %T, want MaybeSent", outcome)
 		}
 	}
 	if got, want := len(e.requests), 3; got != want {
-		t.Errorf("requests seen by the endpoint: got %d, want %d, one each", got, want)
+		t.Errorf("requests received by the endpoint: got %d, want %d, one for each send", got, want)
 	}
 }
 
-// Bytes that come unasked on a kept connection belong to no request.
-func TestSurplusAnswerSpoilsTheConnection(t *testing.T) {
+// Unsolicited bytes on an idle connection must not be read as the response to the next request.
+func TestUnsolicitedResponsePreventsReuse(t *testing.T) {
 	e := serve(t, func(c net.Conn, _ *http.Request) bool {
-		_, _ = io.WriteString(c, wholeAnswer)
+		_, _ = io.WriteString(c, completeResponse)
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong")
 		return true
@@ -159,25 +160,25 @@
 	}
 }
 
-func TestBodiesThatBreakOff(t *testing.T) {
+func TestTruncatedBodies(t *testing.T) {
 	cases := []struct {
-		name, answer string
-		whole        bool
+		name, response string
+		complete       bool
 	}{
 		{"length not reached", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", false},
 		{"chunk not finished", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nok", false},
 		{"last chunk missing", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", false},
-		{"no length, closed in order", "HTTP/1.1 200 OK\r\n\r\nok", true},
+		{"no length, closed without reset", "HTTP/1.1 200 OK\r\n\r\nok", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			e := serve(t, func(conn net.Conn, r *http.Request) bool {
-				reply(c.answer)(conn, r)
+				reply(c.response)(conn, r)
 				return false
 			})
 			body, err := readAll(t, send(t, upstream.New(time.Second), e.address))
-			if (err == nil) != c.whole {
-				t.Errorf("error: got %v, want whole %v", err, c.whole)
+			if (err == nil) != c.complete {
+				t.Errorf("error: got %v, want complete %v", err, c.complete)
 			}
 			if body != "ok" {
 				t.Errorf("body: got %q, want ok", body)
@@ -186,8 +187,8 @@
 	}
 }
 
-// A body without length that ends in a reset is not whole.
-func TestResetEndsNoAnswer(t *testing.T) {
+// A body without length that ends with a reset is incomplete.
+func TestResetBodyIsIncomplete(t *testing.T) {
 	e := serve(t, func(c net.Conn, _ *http.Request) bool {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nok")
 		time.Sleep(20 * time.Millisecond)
@@ -199,7 +200,7 @@
 	}
 }
 
-// The caller leaves: the endpoint sees its connection closed at once.
+// When the context is cancelled the connection to the endpoint is closed immediately.
 func TestCancelClosesTheConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
 	e := serve(t, func(c net.Conn, _ *http.Request) bool {
@@ -213,22 +214,22 @@
 		cancel()
 	}()
 	outcome := upstream.New(time.Second).Send(ctx, e.address, 0, upstream.Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
-	unclear, ok := outcome.(upstream.MaybeSent)
-	if !ok || !errors.Is(unclear.Err, context.Canceled) {
-		t.Errorf("outcome: got %T %v, want Unclear for the cancelled context", outcome, unclear.Err)
+	maybeSent, ok := outcome.(upstream.MaybeSent)
+	if !ok || !errors.Is(maybeSent.Err, context.Canceled) {
+		t.Errorf("outcome: got %T %v, want MaybeSent with context.Canceled", outcome, maybeSent.Err)
 	}
 	select {
 	case <-closed:
 	case <-time.After(2 * time.Second):
-		t.Error("the endpoint still waits 2 s after the caller left")
+		t.Error("the connection is still open 2 s after the cancellation")
 	}
 }
 
-func TestLimitOfConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan bool)
 	e := serve(t, func(c net.Conn, _ *http.Request) bool {
 		<-release
-		_, _ = io.WriteString(c, wholeAnswer)
+		_, _ = io.WriteString(c, completeResponse)
 		return true
 	})
 	p := upstream.New(time.Second)
@@ -238,16 +239,16 @@
 	<-e.requests
 	outcome, ok := p.Send(context.Background(), e.address, 1, request).(upstream.NotSent)
 	if !ok || !errors.Is(outcome.Err, upstream.ErrConnectionLimit) {
-		t.Errorf("second send: got %v, want ErrNoConnection", outcome.Err)
+		t.Errorf("second send: got %v, want ErrConnectionLimit", outcome.Err)
 	}
 	close(release)
 	if _, err := readAll(t, <-done); err != nil {
-		t.Errorf("first send: got %v, want whole", err)
+		t.Errorf("first send: got %v, want a complete response", err)
 	}
 }
 
-// Connections close as soon as the endpoint's time for idle ones is over.
-func TestKeepAliveTimeIsHeeded(t *testing.T) {
+// A connection must not be reused after the endpoint's Keep-Alive time-out.
+func TestKeepAliveTimeoutIsRespected(t *testing.T) {
 	e := serve(t, reply("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok"))
 	p := upstream.New(time.Second)
 	for range 2 {
@@ -261,7 +262,7 @@
 	}
 }
 
-func TestConnectionCloseIsHeeded(t *testing.T) {
+func TestConnectionCloseIsRespected(t *testing.T) {
 	e := serve(t, reply("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"))
 	p := upstream.New(time.Second)
 	for range 2 {
@@ -274,8 +275,8 @@
 	}
 }
 
-// An endpoint answers before it has read a long body and closes.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// An endpoint may respond and close the connection before it has read a long body.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -302,15 +303,15 @@
 		}
 		o.Exchange.Close()
 	case upstream.MaybeSent:
-		// The reset overtook the answer: it may have run, which is the truth known.
+		// The reset arrived before the response. The endpoint may have run the request.
 	default:
-		t.Errorf("outcome: got %T, want Answered or Unclear", outcome)
+		t.Errorf("outcome: got %T, want Answered or MaybeSent", outcome)
 	}
 }
 
-// A look tells an endpoint that has ended from one that broke a connection off, and opens
-// a connection only where none is kept; that one is used by the next request.
-func TestLook(t *testing.T) {
+// A probe distinguishes an endpoint that has exited from one that only closed a connection. It
+// opens a connection only if none is idle, and the next request can use that one.
+func TestProbe(t *testing.T) {
 	pool := upstream.New(time.Second)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -327,27 +328,27 @@
 		}
 	}()
 	address := listener.Addr().String()
-	look := func(limit int) upstream.ProbeResult { return pool.Probe(t.Context(), address, limit) }
-	if got := look(0); got != upstream.Accepting {
-		t.Errorf("endpoint that is there: got %v, want accepting", got)
+	probe := func(limit int) upstream.ProbeResult { return pool.Probe(t.Context(), address, limit) }
+	if got := probe(0); got != upstream.Accepting {
+		t.Errorf("running endpoint: got %v, want Accepting", got)
 	}
-	if got := look(0); got != upstream.Accepting || pool.Dials() != 1 || !pool.HasIdle(address, 0) {
-		t.Errorf("second look: got %v and %d connections opened, want accepting and the one of before", got, pool.Dials())
+	if got := probe(0); got != upstream.Accepting || pool.Dials() != 1 || !pool.HasIdle(address, 0) {
+		t.Errorf("second probe: got %v and %d opened connections, want Accepting and 1 that is idle", got, pool.Dials())
 	}
 	if got := pool.Probe(t.Context(), "127.0.0.1:1", 0); got != upstream.Refusing {
-		t.Errorf("port that nobody listens at: got %v, want refusing", got)
+		t.Errorf("port without listener: got %v, want Refusing", got)
 	}
 	conn := <-accepted
 	_ = listener.Close()
 	_ = conn.Close()
 	time.Sleep(10 * time.Millisecond)
-	if got := look(1); got != upstream.Refusing {
-		t.Errorf("endpoint that has ended, with as many kept connections as are allowed: got %v, want refusing", got)
+	if got := probe(1); got != upstream.Refusing {
+		t.Errorf("exited endpoint with idle connections up to the limit: got %v, want Refusing", got)
 	}
 	busy := serve(t, func(net.Conn, *http.Request) bool { select {} })
 	go pool.Send(t.Context(), busy.address, 1, upstream.Request{Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
 	<-busy.requests
 	if got := pool.Probe(t.Context(), busy.address, 1); got != upstream.Indeterminate {
-		t.Errorf("all connections that are allowed in use: got %v, want unsure", got)
+		t.Errorf("all allowed connections in use: got %v, want Indeterminate", got)
 	}
 }
