--- a/pkg/chat/answer.go
+++ b/pkg/chat/answer.go
@@ -12,83 +12,84 @@
 	"ironhollow/pkg/stream"
 )
 
-// Cursor is where a caller stands in a streamed answer: enough for any entry to
-// go on from there, and to tell whether the pieces would join.
+// Cursor is a position in a streamed answer, up to which the caller has received it. With it
+// any entry can continue the answer, and can check that it continues the same text.
 type Cursor struct {
 	RequestID string
-	// Offset is how many tokens the caller has.
+	// Offset is the number of tokens that the caller has received.
 	Offset int
-	// EndpointID ran the stream last.
+	// EndpointID is the endpoint that ran the stream last.
 	EndpointID string
-	// Sum is a hash of the text of those tokens.
+	// Sum is a hash of the text of the received tokens.
 	Sum uint64
 }
 
-// String gives the mark as an event's id.
-func (m Cursor) String() string {
-	return string(m.Append(nil))
+// String returns the cursor as the ID of a server-sent event.
+func (c Cursor) String() string {
+	return string(c.Append(nil))
 }
 
-// Append appends the mark to b.
-func (m Cursor) Append(b []byte) []byte {
-	b = append(b, m.RequestID...)
+// Append appends the form that String returns to b.
+func (c Cursor) Append(b []byte) []byte {
+	b = append(b, c.RequestID...)
 	b = append(b, ':')
-	b = strconv.AppendInt(b, int64(m.Offset), 10)
+	b = strconv.AppendInt(b, int64(c.Offset), 10)
 	b = append(b, ':')
-	b = append(b, m.EndpointID...)
+	b = append(b, c.EndpointID...)
 	b = append(b, ':')
-	return strconv.AppendUint(b, m.Sum, 16)
+	return strconv.AppendUint(b, c.Sum, 16)
 }
 
-// errMark says that a text is no mark.
-var errMark = errors.New("is no event id of a stream")
+// errBadCursor is returned if a text is not a valid cursor.
+var errBadCursor = errors.New("is no event id of a stream")
 
-// ParseCursor reads an event's id.
+// ParseCursor parses the form that Cursor.String returns.
 func ParseCursor(text string) (Cursor, error) {
 	parts := strings.Split(text, ":")
 	if len(parts) != 4 || len(parts[0]) != RequestIDLength || strings.Trim(parts[0], "0123456789abcdef") != "" {
-		return Cursor{}, errMark
+		return Cursor{}, errBadCursor
 	}
 	offset, err := strconv.Atoi(parts[1])
 	if err != nil || offset < 0 {
-		return Cursor{}, errMark
+		return Cursor{}, errBadCursor
 	}
 	sum, err := strconv.ParseUint(parts[3], 16, 64)
 	if err != nil {
-		return Cursor{}, errMark
+		return Cursor{}, errBadCursor
 	}
 	return Cursor{parts[0], offset, parts[2], sum}, nil
 }
 
-// RequestIDLength is the length of a request's id.
+// RequestIDLength is the length of a request ID.
 const RequestIDLength = 32
 
-// ErrMismatch says that the tokens made anew differ from those the caller has.
+// ErrMismatch is returned if the regenerated tokens differ from those that the caller has
+// received.
 var ErrMismatch = errors.New("chat: the pieces do not join")
 
-// ReplayFilter drops the tokens a caller has already and checks that what follows
-// joins on to them.
+// ReplayFilter drops the tokens that a caller has already received, and checks that their text
+// is the same.
 type ReplayFilter struct {
-	mark   Cursor
+	cursor Cursor
 	digest *xxhash.Digest
 }
 
-// NewReplayFilter returns a joiner for a caller that stands at mark; one with offset
-// 0 drops nothing.
-func NewReplayFilter(mark Cursor) *ReplayFilter {
-	return &ReplayFilter{mark: mark, digest: xxhash.New()}
+// NewReplayFilter returns a filter for a caller that has received the answer up to the cursor.
+// It drops nothing if the cursor's offset is 0.
+func NewReplayFilter(cursor Cursor) *ReplayFilter {
+	return &ReplayFilter{cursor: cursor, digest: xxhash.New()}
 }
 
-// Next takes a token and returns whether it is new to the caller, and the mark
-// after it.
-func (j *ReplayFilter) Next(t stream.Token) (isNew bool, mark Cursor, err error) {
-	_, _ = j.digest.WriteString(t.Text)
-	after := Cursor{j.mark.RequestID, t.Offset + 1, t.EndpointID, j.digest.Sum64()}
-	if after.Offset < j.mark.Offset {
+// Next processes the next token of the regenerated answer. It returns whether the token is new
+// to the caller, and the cursor after it.
+func (f *ReplayFilter) Next(t stream.Token) (isNew bool, cursor Cursor, err error) {
+	_, _ = f.digest.WriteString(t.Text)
+	after := Cursor{f.cursor.RequestID, t.Offset + 1, t.EndpointID, f.digest.Sum64()}
+	if after.Offset < f.cursor.Offset {
 		return false, after, nil
 	}
-	if after.Offset == j.mark.Offset {
-		if after.Sum != j.mark.Sum {
+	if after.Offset == f.cursor.Offset {
+		if after.Sum != f.cursor.Sum {
 			return false, after, ErrMismatch
 		}
 		return false, after, nil
@@ -96,20 +97,20 @@
 	return true, after, nil
 }
 
-// Collector keeps a whole answer.
+// Collector is a stream.Sink that stores a complete answer. It is safe for concurrent use.
 type Collector struct {
 	mu      sync.Mutex
 	tokens  []string
 	version string
 }
 
-// NewCollector returns a collector that starts with tokens had before.
+// NewCollector returns a collector for an answer of which some tokens are received already.
 func NewCollector(version string, received []string) *Collector {
 	return &Collector{tokens: append([]string(nil), received...), version: version}
 }
 
-// Token takes a token; it returns an error for one out of order, which the
-// runner never sends.
+// Token appends a token. It returns an error for a token that is out of order, which a
+// stream.Runner never sends.
 func (c *Collector) Token(t stream.Token) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// Flush has nothing to do: the answer is kept here.
+// Flush does nothing, as the tokens are not buffered.
 func (c *Collector) Flush() error { return nil }
 
 // Text returns the answer so far.
@@ -130,7 +131,7 @@
 	return strings.Join(c.tokens, "")
 }
 
-// Tokens returns the tokens so far and the version they are of.
+// Tokens returns the tokens so far and the model version that generated them.
 func (c *Collector) Tokens() (string, []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/chat/body.go
+++ b/pkg/chat/body.go
@@ -1,5 +1,5 @@
-// Package chat reads callers' model requests in the usual form and turns them
-// into prompts for engines.
+// Package chat parses chat completion requests of callers and converts them to prompts for
+// engines.
 package chat
 
 import (
@@ -16,7 +16,7 @@
 	"ironhollow/pkg/stream"
 )
 
-// Body is a caller's request.
+// Body is the parsed body of a caller's request.
 type Body struct {
 	service      string
 	messages     json.RawMessage
@@ -28,17 +28,17 @@
 	includeUsage bool
 }
 
-// Service returns the service named in the member "model".
+// Service returns the name of the service, which is the member "model".
 func (b Body) Service() string { return b.service }
 
 // Stream reports whether the caller wants the answer as a stream.
 func (b Body) Stream() bool { return b.stream }
 
-// IncludeUsage reports whether a stream is to end with its account.
+// IncludeUsage reports whether a stream is to end with the token usage.
 func (b Body) IncludeUsage() bool { return b.includeUsage }
 
-// members are those of the usual body that ironhollow acts on. All others are
-// passed on to the engine.
+// members holds the members of the body that ironhollow evaluates. All others are only passed
+// on to the engine.
 type members struct {
 	Model               string          `json:"model"`
 	Messages            json.RawMessage `json:"messages"`
@@ -52,10 +52,10 @@
 	N    *int   `json:"n"`
 }
 
-// maxNesting bounds how deep a body may be nested.
-const maxNesting = 32
+// maxNestingDepth is the maximum nesting depth of a body.
+const maxNestingDepth = 32
 
-// Parse reads a body. Errors are BadBody and say which member is at fault.
+// Parse parses a body. Its errors are code.BadBody and name the invalid member.
 func Parse(data []byte) (Body, error) {
 	var m members
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -64,8 +64,8 @@
 	if err := checkShape(data); err != nil {
 		return Body{}, code.New(code.BadBody, err.Error())
 	}
-	if fault := m.fault(); fault != "" {
-		return Body{}, code.New(code.BadBody, fault)
+	if problem := m.validate(); problem != "" {
+		return Body{}, code.New(code.BadBody, problem)
 	}
 	b := Body{
 		service: m.Model, messages: m.Messages, stream: m.Stream, includeUsage: m.StreamOptions.IncludeUsage,
@@ -82,7 +82,8 @@
 	return b, nil
 }
 
-func (m members) fault() string {
+// validate returns what is wrong with the members, and an empty string if they are valid.
+func (m members) validate() string {
 	switch {
 	case m.Model == "":
 		return "model: missing; it names the service"
@@ -93,15 +94,17 @@
 	case m.MaxCompletionTokens != nil && *m.MaxCompletionTokens < 1:
 		return "max_completion_tokens: must be at least 1"
 	}
-	return m.messagesFault()
+	return m.validateMessages()
 }
 
-// message is checked for shape only; its content is the engine's business.
+// message is the part of a message that is validated. The engine checks the rest.
 type message struct {
 	Role string `json:"role"`
 }
 
-func (m members) messagesFault() string {
+// validateMessages returns what is wrong with the messages, and an empty string if they are
+// valid.
+func (m members) validateMessages() string {
 	var list []message
 	if err := json.Unmarshal(m.Messages, &list); err != nil {
 		return "messages: must be a list of messages"
@@ -109,19 +112,19 @@
 	if len(list) == 0 {
 		return "messages: must not be empty"
 	}
-	for i, one := range list {
-		if one.Role == "" {
+	for i, msg := range list {
+		if msg.Role == "" {
 			return fmt.Sprintf("messages[%d].role: missing", i)
 		}
 	}
 	return ""
 }
 
-// checkShape stops a body that is nested too deep, or that has a member twice
-// at the top: that would be read differently here and at the engine.
+// checkShape returns an error if a body is nested too deeply or has a duplicate top-level
+// member, which this process and the engine could interpret differently.
 func checkShape(data []byte) error {
-	if nesting(data) > maxNesting {
-		return fmt.Errorf("nested deeper than %d", maxNesting)
+	if nestingDepth(data) > maxNestingDepth {
+		return fmt.Errorf("nested deeper than %d", maxNestingDepth)
 	}
 	seen := map[string]bool{}
 	var err error
@@ -136,8 +139,8 @@
 	return err
 }
 
-// nesting returns how deep brackets are nested outside strings.
-func nesting(data []byte) int {
+// nestingDepth returns the maximum depth of the brackets outside strings.
+func nestingDepth(data []byte) int {
 	depth, deepest := 0, 0
 	inString, escaped := false, false
 	for _, c := range data {
@@ -159,12 +162,11 @@
 	return deepest
 }
 
-// bytesPerToken is the usual rule of thumb for text.
+// bytesPerToken is a common estimate of the length of a token of text.
 const bytesPerToken = 4
 
-// Request builds the request for a service. id is unique over the fleet, and
-// the seed is made from it where the caller gave none, so that an attempt after
-// the first gives the same answer.
+// Request returns the request to a service. id is unique across the fleet. If the caller set
+// no seed it is derived from id, so that each attempt generates the same answer.
 func (b Body) Request(id string, s fleet.Service) stream.Request {
 	seed := b.seed
 	if !b.hasSeed {
@@ -182,23 +184,24 @@
 		Service:      s.Name(),
 		PrefixHashes: route.HashPrefixes(nil, b.messages),
 		PromptTokens: (len(b.messages) + bytesPerToken - 1) / bytesPerToken,
-		RiskWeight:   stakeOf(s),
+		RiskWeight:   riskWeightOf(s),
 	}
 }
 
-// SeedOf returns the seed of a request that came without one: 52 bits, which
-// survive readers that take numbers for floating point.
+// SeedOf returns the seed for a request that sets none. It has 52 bits, so that a JSON parser
+// that reads numbers as floating point preserves it.
 func SeedOf(id string) int64 { return int64(xxhash.Sum64String(id) >> 12) }
 
-// Stakes of lost work: a caller at a counter waits for every second of it.
+// Weights of lost work, as in route.Query.RiskWeight. That of an interactive request is higher,
+// as a caller at a counter waits for every second of lost work.
 const (
-	stakeWaits   = 1.0
-	stakeCounter = 4.0
+	riskWeightMayWait     = 1.0
+	riskWeightInteractive = 4.0
 )
 
-func stakeOf(s fleet.Service) float64 {
+func riskWeightOf(s fleet.Service) float64 {
 	if s.MayWait() {
-		return stakeWaits
+		return riskWeightMayWait
 	}
-	return stakeCounter
+	return riskWeightInteractive
 }
--- a/pkg/chat/chat_test.go
+++ b/pkg/chat/chat_test.go
@@ -10,7 +10,7 @@
 	"ironhollow/pkg/stream"
 )
 
-func TestBadBodiesAreNamed(t *testing.T) {
+func TestParseRejectsBadBodies(t *testing.T) {
 	deep := `{"model":"s","messages":` + strings.Repeat("[", 40) + strings.Repeat("]", 40) + `}`
 	cases := []struct{ name, body, want string }{
 		{"not JSON", `{"model"`, "unexpected end"},
@@ -18,39 +18,39 @@
 		{"no messages", `{"model":"s"}`, "messages: must be a list"},
 		{"empty messages", `{"model":"s","messages":[]}`, "messages: must not be empty"},
 		{"a message without role", `{"model":"s","messages":[{"content":"x"}]}`, "messages[0].role: missing"},
-		{"two answers", `{"model":"s","messages":[{"role":"user"}],"n":2}`, "n: only 1"},
+		{"two choices", `{"model":"s","messages":[{"role":"user"}],"n":2}`, "n: only 1"},
 		{"no tokens", `{"model":"s","messages":[{"role":"user"}],"max_tokens":0}`, "max_tokens: must be at least 1"},
 		{"a wrong type", `{"model":7,"messages":[]}`, "model"},
-		{"a member twice", `{"model":"s","model":"t","messages":[{"role":"user"}]}`, "model: stands twice"},
+		{"a duplicate member", `{"model":"s","model":"t","messages":[{"role":"user"}]}`, "model: stands twice"},
 		{"nested deeply", deep, "nested deeper than 32"},
 	}
 	for _, c := range cases {
 		_, err := chat.Parse([]byte(c.body))
 		if err == nil || !strings.Contains(err.Error(), c.want) || code.Of(err).Number() != code.BadBody.Number() {
-			t.Errorf("%s: got %v, want BadBody that says %q", c.name, err, c.want)
+			t.Errorf("%s: got %v, want BadBody with %q", c.name, err, c.want)
 		}
 	}
 }
 
-// TestPiecesJoinOrAreRefused takes a stream up at each offset, with the same
-// tokens made anew and with others.
-func TestPiecesJoinOrAreRefused(t *testing.T) {
+// TestReplayFilter resumes a stream at each offset, with the same tokens
+// regenerated and with different ones.
+func TestReplayFilter(t *testing.T) {
 	tokens := []string{"a", "bc", "d", "e", "f"}
-	mark := chat.Cursor{RequestID: strings.Repeat("0", chat.RequestIDLength)}
-	first := chat.NewReplayFilter(mark)
+	start := chat.Cursor{RequestID: strings.Repeat("0", chat.RequestIDLength)}
+	first := chat.NewReplayFilter(start)
 	for offset, text := range tokens {
 		_, after, err := first.Next(stream.Token{Offset: offset, Text: text, EndpointID: "e"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := chat.ParseCursor(after.String())
-		if err != nil || again != after {
-			t.Fatalf("mark %s: got %+v, %v", after, again, err)
+		parsed, err := chat.ParseCursor(after.String())
+		if err != nil || parsed != after {
+			t.Fatalf("cursor %s: got %+v, %v", after, parsed, err)
 		}
 		var rest []string
-		joiner := chat.NewReplayFilter(again)
+		filter := chat.NewReplayFilter(parsed)
 		for o, text := range tokens {
-			isNew, _, err := joiner.Next(stream.Token{Offset: o, Text: text})
+			isNew, _, err := filter.Next(stream.Token{Offset: o, Text: text})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,7 +61,7 @@
 		if got, want := strings.Join(rest, ""), strings.Join(tokens[offset+1:], ""); got != want {
 			t.Errorf("after offset %d: got %q, want %q", offset, got, want)
 		}
-		other := chat.NewReplayFilter(again)
+		other := chat.NewReplayFilter(parsed)
 		var failed error
 		for o := range offset + 1 {
 			if _, _, err := other.Next(stream.Token{Offset: o, Text: "other"}); err != nil {
@@ -69,7 +69,7 @@
 			}
 		}
 		if !errors.Is(failed, chat.ErrMismatch) {
-			t.Errorf("other tokens before offset %d: got %v, want ErrJoin", offset+1, failed)
+			t.Errorf("different tokens before offset %d: got %v, want ErrMismatch", offset+1, failed)
 		}
 	}
 }
@@ -84,11 +84,11 @@
 	})
 }
 
-func FuzzParseMark(f *testing.F) {
+func FuzzParseCursor(f *testing.F) {
 	f.Add(strings.Repeat("0", 32) + ":1:e:ff")
 	f.Fuzz(func(t *testing.T, text string) {
-		if mark, err := chat.ParseCursor(text); err == nil && mark.Offset < 0 {
-			t.Errorf("got offset %d", mark.Offset)
+		if cursor, err := chat.ParseCursor(text); err == nil && cursor.Offset < 0 {
+			t.Errorf("got offset %d", cursor.Offset)
 		}
 	})
 }
