--- a/pkg/stream/active.go
+++ b/pkg/stream/active.go
@@ -11,109 +11,111 @@
 	"ironhollow/pkg/reclaim"
 )
 
-// activeShards is how many locks the running streams are spread over.
+// activeShards is the number of locks that the running streams are distributed over.
 const activeShards = 16
 
-// active is the streams this process runs, by endpoint.
-type active struct {
+// activeStreams holds the streams that this process runs. It is safe for concurrent use.
+type activeStreams struct {
 	shards [activeShards]activeShard
-	// byRequest finds the same runs.
+	// byRequest maps a request ID to its *activeAttempt.
 	byRequest sync.Map
 }
 
 type activeShard struct {
-	mu      sync.Mutex
-	running map[string]map[string]*run
+	mu sync.Mutex
+	// byEndpoint maps an endpoint ID to the attempts there, by request ID.
+	byEndpoint map[string]map[string]*activeAttempt
 }
 
-// run is one attempt while it reads from an endpoint.
-type run struct {
-	request  string
-	endpoint endpoint.Info
-	cancel   context.CancelCauseFunc
+// activeAttempt is an attempt that is reading from an endpoint.
+type activeAttempt struct {
+	requestID string
+	endpoint  endpoint.Info
+	cancel    context.CancelCauseFunc
 
 	mu sync.Mutex
-	// prompt and tokens count what the endpoint holds in its KV cache.
-	prompt, tokens int
-	expected       int
-	gap            time.Duration
-	shared         int
-	mayWait        bool
+	// promptTokens and tokens are the numbers of prompt and answer tokens that the endpoint
+	// has in its KV cache.
+	promptTokens, tokens int
+	expectedTokens       int
+	tokenGap             time.Duration
+	sharedTokens         int
+	mayWait              bool
 }
 
-func newActive() *active {
-	a := &active{}
+func newActiveStreams() *activeStreams {
+	a := &activeStreams{}
 	for i := range a.shards {
-		a.shards[i].running = map[string]map[string]*run{}
+		a.shards[i].byEndpoint = map[string]map[string]*activeAttempt{}
 	}
 	return a
 }
 
-func (a *active) shard(id string) *activeShard {
+func (a *activeStreams) shard(id string) *activeShard {
 	return &a.shards[xxhash.Sum64String(id)%activeShards]
 }
 
-func (a *active) add(r *run) {
-	s := a.shard(r.endpoint.ID)
+func (a *activeStreams) add(t *activeAttempt) {
+	s := a.shard(t.endpoint.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running[r.endpoint.ID] == nil {
-		s.running[r.endpoint.ID] = map[string]*run{}
+	if s.byEndpoint[t.endpoint.ID] == nil {
+		s.byEndpoint[t.endpoint.ID] = map[string]*activeAttempt{}
 	}
-	s.running[r.endpoint.ID][r.request] = r
-	a.byRequest.Store(r.request, r)
+	s.byEndpoint[t.endpoint.ID][t.requestID] = t
+	a.byRequest.Store(t.requestID, t)
 }
 
-func (a *active) find(request string) (*run, bool) {
-	held, ok := a.byRequest.Load(request)
+func (a *activeStreams) find(requestID string) (*activeAttempt, bool) {
+	loaded, ok := a.byRequest.Load(requestID)
 	if !ok {
 		return nil, false
 	}
-	return held.(*run), true
+	return loaded.(*activeAttempt), true
 }
 
-func (a *active) remove(r *run) {
-	s := a.shard(r.endpoint.ID)
+func (a *activeStreams) remove(t *activeAttempt) {
+	s := a.shard(t.endpoint.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.running[r.endpoint.ID], r.request)
-	a.byRequest.CompareAndDelete(r.request, r)
-	if len(s.running[r.endpoint.ID]) == 0 {
-		delete(s.running, r.endpoint.ID)
+	delete(s.byEndpoint[t.endpoint.ID], t.requestID)
+	a.byRequest.CompareAndDelete(t.requestID, t)
+	if len(s.byEndpoint[t.endpoint.ID]) == 0 {
+		delete(s.byEndpoint, t.endpoint.ID)
 	}
 }
 
-// on returns the streams that run on one incarnation of an endpoint.
-func (a *active) on(ref endpoint.Ref) []*run {
+// runningOn returns the attempts that run on one incarnation of an endpoint.
+func (a *activeStreams) runningOn(ref endpoint.Ref) []*activeAttempt {
 	s := a.shard(ref.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var runs []*run
-	for _, r := range s.running[ref.ID] {
-		if r.endpoint.Ref() == ref {
-			runs = append(runs, r)
+	var attempts []*activeAttempt
+	for _, t := range s.byEndpoint[ref.ID] {
+		if t.endpoint.Ref() == ref {
+			attempts = append(attempts, t)
 		}
 	}
-	return runs
+	return attempts
 }
 
-// advance notes one more token.
-func (r *run) advance(tokens int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.tokens = tokens
+// setTokens sets the number of answer tokens generated so far.
+func (t *activeAttempt) setTokens(tokens int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.tokens = tokens
 }
 
-// work describes the stream to the reclaim plan.
-func (r *run) work() reclaim.Stream {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// reclaimStream returns the description of the stream for the reclaim plan.
+func (t *activeAttempt) reclaimStream() reclaim.Stream {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	return reclaim.Stream{
-		ID:              r.request,
-		KVTokens:        r.prompt + r.tokens,
-		RemainingTokens: max(r.expected-r.tokens, 1),
-		TokenGap:        r.gap,
-		CachedElsewhere: min(r.shared, r.prompt),
-		MayWait:         r.mayWait,
+		ID:              t.requestID,
+		KVTokens:        t.promptTokens + t.tokens,
+		RemainingTokens: max(t.expectedTokens-t.tokens, 1),
+		TokenGap:        t.tokenGap,
+		CachedElsewhere: min(t.sharedTokens, t.promptTokens),
+		MayWait:         t.mayWait,
 	}
 }
--- a/pkg/stream/attempt.go
+++ b/pkg/stream/attempt.go
@@ -29,40 +29,42 @@
 	}
 }
 
-// choose finds an endpoint, waiting for one within the request's patience.
-func (r *Runner) choose(ctx context.Context, p *progress) (route.Choice, ending) {
-	since := time.Now()
+// waitForEndpoint chooses an endpoint. If there is none, it waits for one until the request's
+// EndpointTimeout.
+func (r *Runner) waitForEndpoint(ctx context.Context, p *progress) (route.Choice, outcome) {
+	start := time.Now()
 	for try := 1; ; try++ {
 		now := time.Now()
-		if c, ok := r.chooseNow(p, now); ok {
+		if c, ok := r.choose(p, now); ok {
 			return c, nil
 		}
 		p.avoid = p.avoid[:0]
-		// An answer begun is waited for until its deadline.
-		if len(p.tokens) == 0 && now.Sub(since) > p.request.EndpointTimeout {
-			return route.Choice{}, overdue{}
+		// A partial answer is worth waiting for until the deadline.
+		if len(p.tokens) == 0 && now.Sub(start) > p.request.EndpointTimeout {
+			return route.Choice{}, timedOut{}
 		}
 		if !pause.For(ctx, retry.Delay(try, entropy.Rand)) {
-			return route.Choice{}, r.endingOf(ctx, ctx.Err())
+			return route.Choice{}, r.classifyError(ctx, ctx.Err())
 		}
 	}
 }
 
-func (r *Runner) chooseNow(p *progress, now time.Time) (route.Choice, bool) {
-	if p.next != nil {
-		c, ok, later := r.router.ChooseAt(r.query(p), p.next.Ref(), now)
-		if later && now.Before(p.nextUntil) {
+// choose chooses an endpoint without waiting.
+func (r *Runner) choose(p *progress, now time.Time) (route.Choice, bool) {
+	if p.movedTo != nil {
+		c, ok, retryLater := r.router.ChooseAt(r.query(p), p.movedTo.Ref(), now)
+		if retryLater && now.Before(p.movedToDeadline) {
 			return route.Choice{}, false
 		}
-		p.next = nil
-		p.carried = ok
+		p.movedTo = nil
+		p.cacheMoved = ok
 		if ok {
 			return c, true
 		}
 	}
 	c, ok := r.router.Choose(r.query(p), p.request.Strategy, now)
 	if ok || len(p.tokens) > 0 {
-		// An answer begun in one version is not continued in another.
+		// An answer that one version has begun is not continued by another version.
 		return c, ok
 	}
 	other, ok := r.router.OtherVersion(p.target)
@@ -76,8 +78,8 @@
 }
 
 // attempt runs one attempt at one endpoint.
-func (r *Runner) attempt(ctx context.Context, p *progress) ending {
-	choice, end := r.choose(ctx, p)
+func (r *Runner) attempt(ctx context.Context, p *progress) outcome {
+	choice, end := r.waitForEndpoint(ctx, p)
 	if end != nil {
 		return end
 	}
@@ -89,30 +91,31 @@
 	defer span.End()
 	attemptCtx, cancel := context.WithCancelCause(attemptCtx)
 	defer cancel(nil)
-	held := r.newRun(p, choice, cancel)
-	r.active.add(held)
-	defer r.active.remove(held)
+	current := r.newActiveAttempt(p, choice, cancel)
+	r.active.add(current)
+	defer r.active.remove(current)
 	if info, ok := r.router.Lookup(choice.Endpoint.ID); !ok || !info.AcceptsWork() {
-		// It left between the choice and our entry in the list of its streams.
+		// The endpoint became leaving after it was chosen and before the attempt was added to
+		// the active streams, so MigrateStreams may not have seen the attempt.
 		r.router.Done(choice, route.Result{}, time.Now())
-		return refused{errLeft}
+		return refused{errLeaving}
 	}
-	result, end := r.read(attemptCtx, cancel, p, held, choice)
+	result, end := r.generate(attemptCtx, cancel, p, current, choice)
 	if span.IsRecording() {
-		span.SetAttributes(attribute.String("endpoint", choice.Endpoint.ID), attribute.String("ending", nameOf(end)), attribute.Int("attempt", p.attempts))
+		span.SetAttributes(attribute.String("endpoint", choice.Endpoint.ID), attribute.String("ending", outcomeName(end)), attribute.Int("attempt", p.attempts))
 	}
 	result.Failed = isFailure(end)
 	if result.Failed {
 		p.avoid = append(p.avoid, choice.Endpoint.Ref())
 	}
 	r.router.Done(choice, result, time.Now())
-	r.noteEnd(p, choice.Endpoint, end)
-	p.hops = append(p.hops, AttemptRecord{choice.Endpoint.ID, choice.Expected, choice.Wait, choice.CachedTokens, len(p.tokens), nameOf(end)})
+	r.recordOutcome(p, choice.Endpoint, end)
+	p.records = append(p.records, AttemptRecord{choice.Endpoint.ID, choice.Expected, choice.Wait, choice.CachedTokens, len(p.tokens), outcomeName(end)})
 	return end
 }
 
-// nameOf names an ending for explanations.
-func nameOf(end ending) string {
+// outcomeName returns the name of an outcome for traces and explanations.
+func outcomeName(end outcome) string {
 	switch end.(type) {
 	case finished:
 		return "finished"
@@ -124,19 +127,19 @@
 		return "rejected"
 	case moved:
 		return "moved"
-	case callerGone:
+	case callerDisconnected:
 		return "caller gone"
-	case overdue:
+	case timedOut:
 		return "overdue"
 	}
 	return "unknown"
 }
 
-// errLeft says that the endpoint chosen is leaving by now.
-var errLeft = errors.New("stream: endpoint is leaving")
+// errLeaving is returned if the chosen endpoint is now leaving.
+var errLeaving = errors.New("stream: endpoint is leaving")
 
-// isFailure reports whether an ending is the endpoint's fault.
-func isFailure(end ending) bool {
+// isFailure reports whether an outcome counts as a failure of the endpoint.
+func isFailure(end outcome) bool {
 	switch end.(type) {
 	case broken, refused:
 		return true
@@ -144,60 +147,60 @@
 	return false
 }
 
-// countAttempt counts, for an attempt after the first, the tokens that will be
-// computed again: all that were had and the prompt, but for what is reckoned
-// cached or was moved there.
+// countAttempt counts an attempt. For one after the first it also counts the tokens that have
+// to be computed again: the prompt without the part that is estimated to be cached, and the
+// answer so far. There are none if the KV cache was moved to the endpoint.
 func (r *Runner) countAttempt(p *progress, c route.Choice) {
 	r.counters.Attempts.Inc()
 	if p.attempts == 1 {
 		return
 	}
 	r.counters.Resumed.Inc()
-	if !p.carried {
+	if !p.cacheMoved {
 		r.counters.Recomputed.Add(float64(p.request.PromptTokens - c.CachedTokens + len(p.tokens)))
 	}
-	p.carried = false
+	p.cacheMoved = false
 }
 
-func (r *Runner) newRun(p *progress, c route.Choice, cancel context.CancelCauseFunc) *run {
-	return &run{
-		request: p.request.Prompt.RequestID, endpoint: c.Endpoint, cancel: cancel,
-		prompt: p.request.PromptTokens, tokens: len(p.tokens),
-		expected: r.longLength(p), gap: r.router.TokenGap(c.Endpoint.ID), mayWait: p.request.MayWait,
+func (r *Runner) newActiveAttempt(p *progress, c route.Choice, cancel context.CancelCauseFunc) *activeAttempt {
+	return &activeAttempt{
+		requestID: p.request.Prompt.RequestID, endpoint: c.Endpoint, cancel: cancel,
+		promptTokens: p.request.PromptTokens, tokens: len(p.tokens),
+		expectedTokens: r.maxExpectedLength(p), tokenGap: r.router.TokenGap(c.Endpoint.ID), mayWait: p.request.MayWait,
 	}
 }
 
-// read opens the engine's stream and passes its tokens on until it ends.
-func (r *Runner) read(ctx context.Context, cancel context.CancelCauseFunc, p *progress, held *run, c route.Choice) (route.Result, ending) {
-	started := time.Now()
-	stall := time.AfterFunc(firstStall+c.Wait, func() { cancel(errStalled) })
-	defer stall.Stop()
+// generate starts the attempt at the engine and forwards its tokens until the stream ends.
+func (r *Runner) generate(ctx context.Context, cancel context.CancelCauseFunc, p *progress, current *activeAttempt, c route.Choice) (route.Result, outcome) {
+	startedAt := time.Now()
+	stallTimer := time.AfterFunc(firstTokenTimeout+c.Wait, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
 	prompt := p.request.Prompt
 	prompt.Version = p.version
 	stream, err := r.engines.Generate(ctx, c.Endpoint.Address, engine.Attempt{Prompt: prompt, Number: p.attempts, Continue: p.tokens})
 	if err != nil {
-		r.hear(c.Endpoint, err, started)
-		return route.Result{}, r.endingOf(ctx, err)
+		r.applyRefusal(c.Endpoint, err, startedAt)
+		return route.Result{}, r.classifyError(ctx, err)
 	}
 	defer stream.Close()
-	r.notices.ApplyAnswer(c.Endpoint, stream.Notice(), started, time.Now())
-	r.passReport(c.Endpoint, stream)
-	reader := frameReader{runner: r, progress: p, run: held, stall: stall, started: started, attempt: p.attempts}
+	r.notices.ApplyAnswer(c.Endpoint, stream.Notice(), startedAt, time.Now())
+	r.forwardReport(c.Endpoint, stream)
+	reader := frameReader{runner: r, progress: p, activeAttempt: current, stallTimer: stallTimer, started: startedAt, attempt: p.attempts}
 	end := reader.readAll(ctx, stream)
 	return reader.result(end), end
 }
 
-// hear takes in what an engine that turned an attempt away says of itself; sent is when the
-// attempt was.
-func (r *Runner) hear(from endpoint.Info, err error, sent time.Time) {
+// applyRefusal applies the notice of an engine that rejected an attempt, if err is a Refusal;
+// sent is when the attempt was sent.
+func (r *Runner) applyRefusal(info endpoint.Info, err error, sent time.Time) {
 	var refusal *engine.Refusal
 	if errors.As(err, &refusal) {
-		r.notices.ApplyAnswer(from, refusal.Notice, sent, time.Now())
+		r.notices.ApplyAnswer(info, refusal.Notice, sent, time.Now())
 	}
 }
 
-// endingOf classifies an error of an attempt.
-func (r *Runner) endingOf(ctx context.Context, err error) ending {
+// classifyError returns the outcome of an attempt that ended with an error.
+func (r *Runner) classifyError(ctx context.Context, err error) outcome {
 	switch {
 	case errors.Is(err, engine.ErrBadRequest):
 		return rejected{err}
@@ -209,11 +212,11 @@
 	case cause == nil:
 		return broken{err}
 	case errors.As(cause, &errMoved{}):
-		return movedOf(cause)
+		return movedOutcome(cause)
 	case errors.Is(cause, errStalled):
 		return broken{cause}
 	case errors.Is(cause, context.DeadlineExceeded):
-		return overdue{}
+		return timedOut{}
 	}
-	return callerGone{cause}
+	return callerDisconnected{cause}
 }
--- a/pkg/stream/counters.go
+++ b/pkg/stream/counters.go
@@ -6,7 +6,7 @@
 	"ironhollow/pkg/metrics"
 )
 
-// Counters count what happens to streams.
+// Counters are the metrics of streams.
 type Counters struct {
 	Attempts      prometheus.Counter
 	Resumed       prometheus.Counter
@@ -21,7 +21,7 @@
 	BudgetEmpty   prometheus.Counter
 }
 
-// NewCounters registers the counters.
+// NewCounters registers the counters and returns them.
 func NewCounters(registry prometheus.Registerer) *Counters {
 	group := metrics.New(registry, "stream")
 	return &Counters{
--- a/pkg/stream/crash.go
+++ b/pkg/stream/crash.go
@@ -13,31 +13,35 @@
 	"ironhollow/pkg/quarantine"
 )
 
-// A prompt may end each engine that runs it. Within one request its attempts bound that
-// to twelve; over requests, and over the runs of an accepted job, nothing did.
+// A prompt may crash each engine that runs it. maxAttempts limits that to twelve engines per
+// request. Only the quarantine limits it across requests and across the runs of an accepted
+// job.
 
-// fingerprintOf is the same for all requests and runs of a prompt, whoever sends it.
+// fingerprintOf returns the fingerprint of a prompt, which is the same for all requests and
+// runs, and for all senders.
 func fingerprintOf(p engine.Prompt) quarantine.Fingerprint {
 	body := append(append([]byte(nil), p.Messages...), p.Options...)
 	return quarantine.FingerprintOf("", p.Model+"/"+p.Adapter, "", body)
 }
 
-// held refuses a request under which several endpoints have ended, nil where it may run.
-func (r *Runner) held(p *progress) error {
-	r.surveySuspects()
-	left, held := r.watch.Quarantined(p.fingerprint, time.Now())
+// checkQuarantine returns an error if several endpoints have crashed while they ran the
+// request's prompt, and nil if the request may run.
+func (r *Runner) checkQuarantine(p *progress) error {
+	r.checkSuspects()
+	left, quarantined := r.watch.Quarantined(p.fingerprint, time.Now())
 	switch {
-	case !held:
+	case !quarantined:
 		return nil
 	case p.attempts == 0:
 		return code.New(code.Quarantined, fmt.Sprintf("endpoints ended under this prompt; held back for %v", left.Round(time.Second)))
 	default:
-		return code.New(code.StreamLost, fmt.Sprintf("endpoints ended under this prompt after %d attempts: %v", p.attempts, p.lastFail))
+		return code.New(code.StreamLost, fmt.Sprintf("endpoints ended under this prompt after %d attempts: %v", p.attempts, p.lastErr))
 	}
 }
 
-// surveySuspects counts engines as ended that have gone since answers broke off there.
-func (r *Runner) surveySuspects() {
+// checkSuspects records a crash for each engine that is gone since a stream was interrupted
+// there.
+func (r *Runner) checkSuspects() {
 	now := time.Now()
 	for _, id := range r.watch.SuspectedEndpoints(now) {
 		if info, ok := r.router.Lookup(id); !ok || info.State == endpoint.Gone {
@@ -46,14 +50,15 @@
 	}
 }
 
-// noteEnd takes in what the end of an attempt shows of the prompt and of its engine. One
-// that has said that it leaves ends as planned.
-func (r *Runner) noteEnd(p *progress, info endpoint.Info, end ending) {
-	failed, isBroken := end.(broken)
-	if !isBroken || errors.Is(failed.err, errGap) {
+// recordOutcome records an interrupted attempt, and the crash of the engine if there was one,
+// in the quarantine. The stop of an engine that is known to be leaving is planned, and does
+// not count.
+func (r *Runner) recordOutcome(p *progress, info endpoint.Info, end outcome) {
+	interrupted, isBroken := end.(broken)
+	if !isBroken || errors.Is(interrupted.err, errMissingFrame) {
 		return
 	}
-	if errors.Is(failed.err, syscall.ECONNREFUSED) {
+	if errors.Is(interrupted.err, syscall.ECONNREFUSED) {
 		r.watch.EndpointCrashed(info.ID, "refused connection", time.Now())
 		return
 	}
@@ -61,22 +66,24 @@
 		return
 	}
 	if r.watch.RecordInterruption(info.ID, p.fingerprint, time.Now()) {
-		r.lookAt(info)
+		r.probeEndpoint(info)
 	}
 }
 
-// Times of a look at an engine where an answer broke off.
+// Timing of the probe of an engine where a stream was interrupted.
 const (
-	// lookAfter lets an engine that ends close its port; the next attempt is later.
-	lookAfter = 20 * time.Millisecond
-	lookTime  = time.Second
+	// probeDelay gives an engine that exits the time to close its port. The next attempt
+	// starts only after it.
+	probeDelay   = 20 * time.Millisecond
+	probeTimeout = time.Second
 )
 
-// lookAt finds out whether an engine has ended: the next attempt waits for that.
-func (r *Runner) lookAt(info endpoint.Info) {
-	time.Sleep(lookAfter)
+// probeEndpoint finds out whether an engine has crashed. The next attempt waits for the
+// result.
+func (r *Runner) probeEndpoint(info endpoint.Info) {
+	time.Sleep(probeDelay)
 	r.watch.ProbeStarted(info.ID)
-	ctx, cancel := context.WithTimeout(context.Background(), lookTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if _, err := r.engines.Load(ctx, info.Address); errors.Is(err, syscall.ECONNREFUSED) {
 		r.watch.EndpointCrashed(info.ID, "refused look", time.Now())
--- a/pkg/stream/crash_test.go
+++ b/pkg/stream/crash_test.go
@@ -8,12 +8,13 @@
 	"ironhollow/pkg/code"
 )
 
-// crashingPrompt is the prompt of a request that ends each engine that runs it.
-const crashingPrompt = `[{"role":"user","content":"crash"}]`
+// crashPrompt is the prompt of a request that crashes each engine that runs it.
+const crashPrompt = `[{"role":"user","content":"crash"}]`
 
-// crashOn ends an engine a moment after its first attempt, until the test ends.
-func (f *fleet) crashOn(t *testing.T, at int) {
-	address := f.infos[at].Address
+// crashOn kills an engine 30 ms after its first attempt is sent. It stops waiting for that when
+// the test ends.
+func (f *fleet) crashOn(t *testing.T, index int) {
+	address := f.infos[index].Address
 	go func() {
 		for f.direct.Sent(address) == 0 {
 			select {
@@ -27,38 +28,38 @@
 	}()
 }
 
-// A prompt that ends the engines that run it is tried at three, in one request or over
-// several; then it is refused as not run, and the other engines live. Bounded by the
-// attempts of one request alone it ended eight of eight, and as an accepted job it was
-// run again every two seconds until its deadline.
-func TestCrashingPromptGoesToThreeEngines(t *testing.T) {
+// Guards against a prompt that crashes every engine that runs it. Three engines may crash, in
+// one request or across several; then the prompt is rejected without running. With a limit on
+// the attempts of one request only, the prompt crashed eight of eight engines, and an accepted
+// job was run again every two seconds until its deadline.
+func TestCrashingPromptIsQuarantinedAfterThreeEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count = 8
 		f := newFleet(t, count)
 		for i := range count {
 			f.crashOn(t, i)
 		}
-		crashing := func(id string) outcome {
+		sendCrashing := func(id string) outcome {
 			r := request(id, 40)
-			r.Prompt.Messages = []byte(crashingPrompt)
+			r.Prompt.Messages = []byte(crashPrompt)
 			return <-f.start(r)
 		}
-		if got := crashing("first"); got.err == nil || code.Of(got.err).Outcome() != code.Unknown {
-			t.Errorf("first: got %v, want an end that is not known", got.err)
+		if got := sendCrashing("first"); got.err == nil || code.Of(got.err).Outcome() != code.Unknown {
+			t.Errorf("first request: got %v, want the unknown outcome", got.err)
 		}
-		if got := crashing("second"); got.err == nil || code.Of(got.err).Name() != "quarantined" {
-			t.Errorf("second: got %v, want it refused as not run", got.err)
+		if got := sendCrashing("second"); got.err == nil || code.Of(got.err).Name() != "quarantined" {
+			t.Errorf("second request: got %v, want it rejected as quarantined", got.err)
 		}
-		ended := 0
+		crashed := 0
 		for _, info := range f.infos {
 			if _, err := f.direct.Load(t.Context(), info.Address); err != nil {
-				ended++
+				crashed++
 			}
 		}
-		if ended != 3 {
-			t.Errorf("engines ended: got %d of %d, want 3", ended, count)
+		if crashed != 3 {
+			t.Errorf("crashed engines: got %d of %d, want 3", crashed, count)
 		}
-		// Engines keep a stream for a while whose reader has gone.
+		// Engines keep an abandoned stream for a while.
 		time.Sleep(time.Minute)
 	})
 }
--- a/pkg/stream/frames.go
+++ b/pkg/stream/frames.go
@@ -10,37 +10,39 @@
 	"ironhollow/pkg/route"
 )
 
-// frameReader passes one attempt's frames on.
+// frameReader forwards the frames of one attempt to the sink.
 type frameReader struct {
-	runner   *Runner
-	progress *progress
-	run      *run
-	stall    *time.Timer
-	started  time.Time
-	attempt  int
-	first    time.Time
-	count    int
+	runner        *Runner
+	progress      *progress
+	activeAttempt *activeAttempt
+	stallTimer    *time.Timer
+	started       time.Time
+	attempt       int
+	firstTokenAt  time.Time
+	tokenCount    int
 }
 
-// errGap says that frames were lost on the way.
-var errGap = errors.New("stream: a frame is missing")
+// errMissingFrame is returned if a frame was lost.
+var errMissingFrame = errors.New("stream: a frame is missing")
 
-// errShort says that a stream ended before its last frame.
-var errShort = errors.New("stream: ended without its last frame")
+// errTruncated is returned if a stream ended before its last frame.
+var errTruncated = errors.New("stream: ended without its last frame")
 
-func (f *frameReader) readAll(ctx context.Context, stream engine.Stream) ending {
+// readAll reads and forwards frames until the attempt ends. Frames of other attempts are
+// dropped.
+func (f *frameReader) readAll(ctx context.Context, stream engine.Stream) outcome {
 	var last engine.Frame
-	ended := false
+	hasLast := false
 	for {
 		frame, err := stream.Next()
-		if errors.Is(err, io.EOF) && ended {
+		if errors.Is(err, io.EOF) && hasLast {
 			return finished{last}
 		}
 		if errors.Is(err, io.EOF) {
-			return broken{errShort}
+			return broken{errTruncated}
 		}
 		if err != nil {
-			return f.runner.endingOf(ctx, err)
+			return f.runner.classifyError(ctx, err)
 		}
 		if f.attempt == anyAttempt {
 			f.attempt = frame.Attempt
@@ -50,52 +52,53 @@
 			continue
 		}
 		if frame.FinishReason != "" && frame.Offset == len(f.progress.tokens) {
-			last, ended = frame, true
+			last, hasLast = frame, true
 			continue
 		}
-		if end := f.take(frame); end != nil {
+		if end := f.forward(frame); end != nil {
 			return end
 		}
 		if !stream.Buffered() {
 			if err := f.progress.sink.Flush(); err != nil {
-				return callerGone{err}
+				return callerDisconnected{err}
 			}
 		}
 	}
 }
 
-// take passes one token on: repeats are dropped, a gap breaks the attempt.
-func (f *frameReader) take(frame engine.Frame) ending {
+// forward sends one token to the sink. Repeated tokens are dropped, and a missing one ends
+// the attempt as broken.
+func (f *frameReader) forward(frame engine.Frame) outcome {
 	p := f.progress
 	switch {
 	case frame.Offset < len(p.tokens):
 		return nil
 	case frame.Offset > len(p.tokens):
-		return broken{errGap}
+		return broken{errMissingFrame}
 	case frame.Text == "":
 		return nil
 	}
-	if f.count == 0 {
-		f.first = time.Now()
-		p.tries = 0
+	if f.tokenCount == 0 {
+		f.firstTokenAt = time.Now()
+		p.triesSinceToken = 0
 	}
-	f.stall.Reset(stallTime)
+	f.stallTimer.Reset(stallTimeout)
 	p.tokens = append(p.tokens, frame.Text)
-	f.count++
-	f.run.advance(len(p.tokens))
+	f.tokenCount++
+	f.activeAttempt.setTokens(len(p.tokens))
 	f.runner.counters.Tokens.Inc()
-	if err := p.sink.Token(Token{frame.Offset, frame.Text, f.run.endpoint.ID}); err != nil {
-		return callerGone{err}
+	if err := p.sink.Token(Token{frame.Offset, frame.Text, f.activeAttempt.endpoint.ID}); err != nil {
+		return callerDisconnected{err}
 	}
 	return nil
 }
 
-// result is what the router learns from the attempt.
-func (f *frameReader) result(end ending) route.Result {
-	result := route.Result{Tokens: f.count}
-	if f.count > 0 {
-		result.FirstToken = f.first.Sub(f.started)
-		result.Decode = time.Since(f.first)
+// result returns the measurements of the attempt for the router.
+func (f *frameReader) result(end outcome) route.Result {
+	result := route.Result{Tokens: f.tokenCount}
+	if f.tokenCount > 0 {
+		result.FirstToken = f.firstTokenAt.Sub(f.started)
+		result.Decode = time.Since(f.firstTokenAt)
 	}
 	if done, ok := end.(finished); ok {
 		usage := done.frame.Usage
--- a/pkg/stream/leave.go
+++ b/pkg/stream/leave.go
@@ -13,126 +13,130 @@
 	"ironhollow/pkg/route"
 )
 
-// Figures of a move, until endpoints report their own.
+// Parameters of moves, used until endpoints report their own.
 const (
-	// bytesPerToken is the KV cache of one token of a mid-sized model.
-	bytesPerToken = 128 << 10
-	// bytesPerSecond is what an endpoint may send in all; each entry takes the
-	// part below, as if four entries had streams on the endpoint.
-	bytesPerSecond = 2 << 30
-	ownPart        = 0.25
-	// leadTime is how long before the end a stream that resumes elsewhere is
-	// taken off: every token made before that is had for nothing.
-	leadTime = 300 * time.Millisecond
+	// kvBytesPerToken is the KV cache size of one token of a mid-sized model.
+	kvBytesPerToken = 128 << 10
+	// endpointBytesPerSecond is the bandwidth of an endpoint for all moves. Each entry uses
+	// entryShare of it, as if four entries had streams on the endpoint.
+	endpointBytesPerSecond = 2 << 30
+	entryShare             = 0.25
+	// resumeLeadTime is the time before the end of the notice at which a stream that is to
+	// be resumed elsewhere is cancelled. The tokens generated until then need not be
+	// generated elsewhere.
+	resumeLeadTime = 300 * time.Millisecond
 )
 
-// lastLook is the part of a notice after which what was to finish by itself and
-// has not is planned for once more: lengths are guesses, and a cache that is
-// moved for nothing costs less than one that is lost.
-const lastLook = 0.6
+// secondPlanTime is the fraction of the notice after which the streams that still run are
+// planned for a second time. Expected lengths are estimates, and an unnecessary move of a
+// cache costs less than the loss of a cache.
+const secondPlanTime = 0.6
 
-// MigrateStreams moves this process's work off an endpoint that was given notice. It
-// returns once the plan is carried out or the endpoint is gone. A naive plan
-// leaves every stream to break off.
+// MigrateStreams moves this process's streams off an endpoint with a reclaim notice. It
+// returns once the plan is executed or ctx ends. If naive is set it does nothing, and every
+// stream is interrupted when the endpoint stops.
 func (r *Runner) MigrateStreams(ctx context.Context, info endpoint.Info, naive bool) {
 	if naive {
 		return
 	}
 	notice := time.Until(info.LeaveBy)
-	r.planOnce(ctx, info, 1)
-	if !pause.For(ctx, time.Until(info.LeaveBy)-time.Duration((1-lastLook)*float64(notice))) {
+	r.migrateOnce(ctx, info, 1)
+	if !pause.For(ctx, time.Until(info.LeaveBy)-time.Duration((1-secondPlanTime)*float64(notice))) {
 		return
 	}
-	r.planOnce(ctx, info, caution)
+	r.migrateOnce(ctx, info, secondPlanLengthFactor)
 }
 
-// caution is how many times longer than reckoned streams are taken to run on
-// at the last look.
-const caution = 4
+// secondPlanLengthFactor multiplies the expected remaining tokens of a stream in the second
+// plan, so that it lets only those streams finish that are very likely to.
+const secondPlanLengthFactor = 4
 
-// planOnce plans for the streams that run on an endpoint now.
-func (r *Runner) planOnce(ctx context.Context, info endpoint.Info, factor int) {
+// migrateOnce makes and executes a plan for the streams that run on an endpoint now. The
+// expected remaining tokens of each are multiplied by factor.
+func (r *Runner) migrateOnce(ctx context.Context, info endpoint.Info, factor int) {
 	now := time.Now()
-	runs := r.active.on(info.Ref())
-	if len(runs) == 0 {
+	attempts := r.active.runningOn(info.Ref())
+	if len(attempts) == 0 {
 		return
 	}
-	byID := map[string]*run{}
-	works := make([]reclaim.Stream, 0, len(runs))
-	for _, held := range runs {
-		work := held.work()
-		work.RemainingTokens *= factor
-		byID[held.request] = held
-		works = append(works, work)
+	byID := map[string]*activeAttempt{}
+	streams := make([]reclaim.Stream, 0, len(attempts))
+	for _, current := range attempts {
+		stream := current.reclaimStream()
+		stream.RemainingTokens *= factor
+		byID[current.requestID] = current
+		streams = append(streams, stream)
 	}
-	steps := reclaim.Plan(works, r.destinations(info, now), reclaim.Limits{
+	steps := reclaim.Plan(streams, r.destinations(info, now), reclaim.Limits{
 		Notice:         info.LeaveBy.Sub(now),
-		BytesPerSecond: bytesPerSecond * ownPart,
-		BytesPerToken:  bytesPerToken,
+		BytesPerSecond: endpointBytesPerSecond * entryShare,
+		BytesPerToken:  kvBytesPerToken,
 	}, entropy.Rand)
-	r.carryOut(ctx, info, steps, byID)
+	r.executePlan(ctx, info, steps, byID)
 }
 
-// destinations lists the endpoints that serve the same model.
+// destinations returns the other usable endpoints that serve the same model.
 func (r *Runner) destinations(info endpoint.Info, now time.Time) []reclaim.Destination {
-	var list []reclaim.Destination
+	var usable []reclaim.Destination
 	for _, c := range r.router.Explain(route.Query{Target: route.TargetOf(info)}, now) {
 		if c.Endpoint.ID == info.ID || !c.Usable {
 			continue
 		}
-		place := hazard.Pool{DataCenter: c.Endpoint.DataCenter, Class: c.Endpoint.Class}
+		pool := hazard.Pool{DataCenter: c.Endpoint.DataCenter, Class: c.Endpoint.Class}
 		d := reclaim.Destination{Endpoint: c.Endpoint, FreeTokens: c.FreeTokens, Running: c.Running, Slots: c.Slots}
 		if c.Endpoint.Reclaimable {
-			d.HazardPerHour = r.hazard.Rate(place, now)
+			d.HazardPerHour = r.hazard.Rate(pool, now)
 		}
-		list = append(list, d)
+		usable = append(usable, d)
 	}
-	return list
+	return usable
 }
 
-// movesAtOnce bounds the KV caches under way from one endpoint.
-const movesAtOnce = 4
+// maxConcurrentMoves is the maximum number of KV caches that are sent from one endpoint at a
+// time.
+const maxConcurrentMoves = 4
 
-func (r *Runner) carryOut(ctx context.Context, info endpoint.Info, steps []reclaim.Step, byID map[string]*run) {
+// executePlan executes the steps of a plan and returns when all moves are done.
+func (r *Runner) executePlan(ctx context.Context, info endpoint.Info, steps []reclaim.Step, byID map[string]*activeAttempt) {
 	var moves sync.WaitGroup
-	slots := make(chan struct{}, movesAtOnce)
+	slots := make(chan struct{}, maxConcurrentMoves)
 	for _, step := range steps {
-		held := byID[step.Stream.ID]
+		current := byID[step.Stream.ID]
 		switch action := step.Action.(type) {
 		case reclaim.Finish:
 		case reclaim.Move:
 			slots <- struct{}{}
 			moves.Go(func() {
-				r.move(ctx, held, action.To)
+				r.move(ctx, current, action.To)
 				<-slots
 			})
 		case reclaim.Resume:
-			time.AfterFunc(time.Until(info.LeaveBy.Add(-leadTime)), func() { held.cancel(errMoved{}) })
+			time.AfterFunc(time.Until(info.LeaveBy.Add(-resumeLeadTime)), func() { current.cancel(errMoved{}) })
 		}
 	}
 	moves.Wait()
 }
 
-// move fetches the KV cache at the destination, then takes the stream there.
-// If the cache can't be had the stream stays: it breaks off at the end of the
-// notice at the latest and is resumed from its tokens.
-func (r *Runner) move(ctx context.Context, held *run, to endpoint.Info) {
-	if _, err := r.engines.Import(ctx, to.Address, held.request, held.endpoint.Address); err != nil {
+// move makes the destination fetch the KV cache and then continues the stream there. If
+// that fails the stream stays: it is interrupted at the latest when the notice ends, and is
+// then resumed from its tokens.
+func (r *Runner) move(ctx context.Context, current *activeAttempt, to endpoint.Info) {
+	if _, err := r.engines.Import(ctx, to.Address, current.requestID, current.endpoint.Address); err != nil {
 		r.counters.MoveFailed.Inc()
 		return
 	}
 	r.counters.Moved.Inc()
-	held.cancel(errMoved{to: &to})
+	current.cancel(errMoved{to: &to})
 }
 
-// Preempt takes a request's running attempt off its endpoint, to go on later from
-// its tokens. It reports false for a request that has no attempt running.
-func (r *Runner) Preempt(request string) bool {
-	held, ok := r.active.find(request)
+// Preempt cancels a request's running attempt, which is later resumed from its tokens. It
+// returns false if the request has no running attempt.
+func (r *Runner) Preempt(requestID string) bool {
+	current, ok := r.active.find(requestID)
 	if !ok {
 		return false
 	}
 	r.counters.Preempted.Inc()
-	held.cancel(errMoved{})
+	current.cancel(errMoved{})
 	return true
 }
--- a/pkg/stream/length.go
+++ b/pkg/stream/length.go
@@ -5,23 +5,27 @@
 	"sync"
 )
 
-// Figures of the expected length of an answer.
+// Parameters of the length estimate.
 const (
-	// firstLength is assumed until answers of a model have been seen.
-	firstLength  = 200.0
+	// initialLength is the initial mean and deviation, in tokens.
+	initialLength = 200.0
+	// lengthWeight is the weight of a new length in the moving averages.
 	lengthWeight = 0.05
-	// longDeviations is how many mean deviations above the mean count as long.
-	longDeviations = 2.0
+	// upperBoundDeviations is the number of mean deviations above the mean that few answers
+	// exceed.
+	upperBoundDeviations = 2.0
 )
 
-// length learns how long a service's answers are, and how far they spread.
-type length struct {
+// lengthEstimate estimates the mean and the spread of the lengths of a service's answers, in
+// tokens.
+type lengthEstimate struct {
 	mu sync.Mutex
-	// deviation is the mean distance from the mean.
+	// deviation is the mean absolute deviation.
 	mean, deviation float64
 }
 
-func (l *length) learn(tokens int) {
+// observe adds the length of an answer to the estimate.
+func (l *lengthEstimate) observe(tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	difference := float64(tokens) - l.mean
@@ -29,41 +33,44 @@
 	l.deviation += lengthWeight * (math.Abs(difference) - l.deviation)
 }
 
-// long returns a length that few answers exceed.
-func (l *length) long() int {
+// upperBound returns a length that few answers exceed.
+func (l *lengthEstimate) upperBound() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int(l.mean + longDeviations*l.deviation)
+	return int(l.mean + upperBoundDeviations*l.deviation)
 }
 
-func (l *length) expected() int {
+// expected returns the mean length.
+func (l *lengthEstimate) expected() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int(l.mean)
 }
 
-func (r *Runner) lengthOf(service string) *length {
-	held, ok := r.lengths.Load(service)
+func (r *Runner) lengthEstimateOf(service string) *lengthEstimate {
+	loaded, ok := r.lengths.Load(service)
 	if !ok {
-		held, _ = r.lengths.LoadOrStore(service, &length{mean: firstLength, deviation: firstLength})
+		loaded, _ = r.lengths.LoadOrStore(service, &lengthEstimate{mean: initialLength, deviation: initialLength})
 	}
-	return held.(*length)
+	return loaded.(*lengthEstimate)
 }
 
-func (r *Runner) learnLength(service string, tokens int) { r.lengthOf(service).learn(tokens) }
+func (r *Runner) recordLength(service string, tokens int) {
+	r.lengthEstimateOf(service).observe(tokens)
+}
 
-// longLength returns a length that this request's answer will hardly exceed.
-func (r *Runner) longLength(p *progress) int {
-	return min(max(r.lengthOf(p.request.Service).long(), r.expectedLength(p)), p.request.Prompt.MaxTokens)
+// maxExpectedLength returns a length that this request's answer is unlikely to exceed.
+func (r *Runner) maxExpectedLength(p *progress) int {
+	return min(max(r.lengthEstimateOf(p.request.Service).upperBound(), r.expectedLength(p)), p.request.Prompt.MaxTokens)
 }
 
-// expectedLength returns how long the whole answer is expected to be. One that
-// is longer already is expected to go on for half as long again: lengths have
-// heavy tails.
+// expectedLength returns the expected length of the complete answer. An answer that is
+// already longer than the mean is expected to continue for half its present length, as
+// lengths have a heavy tail.
 func (r *Runner) expectedLength(p *progress) int {
-	expected := r.lengthOf(p.request.Service).expected()
-	if had := len(p.tokens); had >= expected {
-		expected = had + had/2 + 1
+	expected := r.lengthEstimateOf(p.request.Service).expected()
+	if generated := len(p.tokens); generated >= expected {
+		expected = generated + generated/2 + 1
 	}
 	return min(expected, p.request.Prompt.MaxTokens)
 }
--- a/pkg/stream/notice_test.go
+++ b/pkg/stream/notice_test.go
@@ -9,39 +9,39 @@
 	"ironhollow/pkg/endpoint"
 )
 
-// An engine that turns attempts away and asks for rest gets none in that time and some
-// afterwards; one that says that it leaves gets none any more. The other engine answers.
-// Without that each got three attempts, until it was out for failures, and the one that
-// leaves more afterwards.
-func TestRefusalsOfEnginesAreApplied(t *testing.T) {
+// An engine that rejects attempts and asks for backoff gets no attempts during the backoff and
+// some afterwards; one that reports that it is leaving gets none any more. The other engine
+// answers. Guards against notices in refusals being ignored: each engine then got three
+// attempts before it was excluded for its failures, and the leaving one more later.
+func TestNoticesInRefusalsAreApplied(t *testing.T) {
 	const (
-		rest     = 2 * time.Second
+		backoff  = 2 * time.Second
 		requests = 40
 	)
-	for name, says := range map[string]endpoint.Notice{"rest": {Backoff: rest}, "leaves": {Leaving: true}} {
+	for name, notice := range map[string]endpoint.Notice{"backoff": {Backoff: backoff}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 2)
-				f.direct.RefuseWith("a0", says)
-				began := time.Now()
-				ask := func(i int) {
+				f.direct.RefuseWith("a0", notice)
+				start := time.Now()
+				send := func(i int) {
 					if got := <-f.start(request(fmt.Sprintf("r%d", i), 1)); got.err != nil {
 						t.Errorf("request %d: got %v, want it answered by the other engine", i, got.err)
 					}
 				}
-				for i := 0; i < requests && time.Since(began) < rest; i++ {
-					ask(i)
+				for i := 0; i < requests && time.Since(start) < backoff; i++ {
+					send(i)
 				}
-				if got, most := f.direct.Sent("a0"), 1; got > most {
-					t.Errorf("attempts at the engine: got %d, want %d at most", got, most)
+				if got, limit := f.direct.Sent("a0"), 1; got > limit {
+					t.Errorf("attempts at the engine: got %d, want at most %d", got, limit)
 				}
-				time.Sleep(rest)
+				time.Sleep(backoff)
 				before := f.direct.Sent("a0")
 				for i := range requests {
-					ask(requests + i)
+					send(requests + i)
 				}
-				if got, want := f.direct.Sent("a0") > before, says.Backoff > 0; got != want {
-					t.Errorf("asked again after a time of rest: got %v, want %v", got, want)
+				if got, want := f.direct.Sent("a0") > before, notice.Backoff > 0; got != want {
+					t.Errorf("attempts sent again after the backoff: got %v, want %v", got, want)
 				}
 				time.Sleep(time.Minute)
 			})
@@ -49,24 +49,24 @@
 	}
 }
 
-// Guards against sending an engine more than it takes by the limit in its answers.
-func TestEnginesLimitIsKept(t *testing.T) {
+// Guards against sending an engine more requests than the limit in its responses allows.
+func TestEngineRateLimitIsRespected(t *testing.T) {
 	const (
-		limit = 2
-		lasts = 20 * time.Second
-		gap   = 100 * time.Millisecond
+		limit    = 2
+		duration = 20 * time.Second
+		gap      = 100 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
 		f.direct.Limit("a0", limit)
-		for i := range int(lasts / gap) {
+		for i := range int(duration / gap) {
 			if got := <-f.start(request(fmt.Sprintf("r%d", i), 1)); got.err != nil {
 				t.Errorf("request %d: got %v, want it answered by the other engine", i, got.err)
 			}
 			time.Sleep(gap)
 		}
-		if got, most := f.direct.Sent("a0"), int(1.5*limit*lasts.Seconds())+5; got > most || got == 0 {
-			t.Errorf("attempts in %v at the engine that takes %d a second: got %d, want between 1 and %d", lasts, limit, got, most)
+		if got, bound := f.direct.Sent("a0"), int(1.5*limit*duration.Seconds())+5; got > bound || got == 0 {
+			t.Errorf("attempts in %v at the engine with a limit of %d a second: got %d, want between 1 and %d", duration, limit, got, bound)
 		}
 		f.direct.Limit("a0", 0)
 		time.Sleep(time.Second)
@@ -75,7 +75,7 @@
 			<-f.start(request(fmt.Sprintf("s%d", i), 1))
 		}
 		if got := f.direct.Sent("a0") - before; got < 4 {
-			t.Errorf("of 20 requests after the limit was withdrawn: got %d at the engine, want 4 at least", got)
+			t.Errorf("attempts at the engine, of 20 requests after the limit was withdrawn: got %d, want at least 4", got)
 		}
 		time.Sleep(time.Minute)
 	})
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -1,6 +1,6 @@
-// Package stream runs one model request from its first attempt to its last
-// token. Endpoints may vanish under it: the tokens had so far are kept, and the
-// next attempt goes on after them, so that the caller sees one whole answer.
+// Package stream runs model requests. If an endpoint fails while it streams an answer, the
+// tokens received so far are kept and the next attempt continues after them, so that the
+// caller receives one complete answer.
 package stream
 
 import (
@@ -28,71 +28,74 @@
 // Request is one request to a model service.
 type Request struct {
 	Prompt engine.Prompt
-	// Service is whose answers' lengths this one's is reckoned from.
+	// Service is the service whose previous answers are used to estimate the length of this
+	// one.
 	Service string
-	// PrefixHashes is route.HashPrefixes of the messages, PromptTokens an estimate.
+	// PrefixHashes is route.HashPrefixes of the messages; PromptTokens is an estimate.
 	PrefixHashes []uint64
 	PromptTokens int
-	// Received are tokens of the answer had before: by the caller from another
-	// entry, or from a checkpoint. The answer goes on after them.
+	// Received holds the tokens of the answer that exist already, received by the caller from
+	// another entry or read from a checkpoint. The answer continues after them.
 	Received []string
-	// LastEndpointID is the id of the endpoint where the stream may still be running, for
-	// a caller who comes back after its entry was lost; empty otherwise.
+	// LastEndpointID is the endpoint where the stream may still be running, if the caller
+	// reconnects after the loss of its entry; empty otherwise.
 	LastEndpointID string
-	// RiskWeight weighs lost work; see route.Query.
+	// RiskWeight is the weight of lost work; see route.Query.
 	RiskWeight float64
-	// EndpointTimeout is how long to wait for an endpoint before giving up.
+	// EndpointTimeout is how long the request waits for an endpoint before it fails, as long as
+	// it has no token of the answer. After that it waits until its deadline.
 	EndpointTimeout time.Duration
-	// Strategy is how endpoints are chosen.
+	// Strategy selects how endpoints are chosen.
 	Strategy route.Strategy
-	// MayWait marks work that leaves room for callers who wait.
+	// MayWait marks work that leaves room for callers who wait for their answer.
 	MayWait bool
-	// Requeue is called before an attempt after the first, if it is set: work
-	// that can wait gives its place up and queues for another one.
+	// Requeue is called before each attempt after the first, if it is not nil. It releases
+	// the slot of work that can wait and queues the work for another one.
 	Requeue func(context.Context) error
 }
 
-// Sink takes the answer's tokens in order, without gap or repeat. An error
-// from Token ends the request: its caller is gone.
+// Sink receives the tokens of the answer in order, each exactly once. An error from Token or
+// Flush means that the caller has disconnected, and ends the request.
 type Sink interface {
 	Token(token Token) error
-	// Flush is called when no further token is there at once.
+	// Flush is called when no further token is available yet.
 	Flush() error
 }
 
-// Token is one token of the answer, with what is needed to resume after it.
+// Token is a token of the answer, with the data needed to resume after it.
 type Token struct {
-	// Offset counts the answer's tokens before this one.
+	// Offset is the number of the answer's tokens before this one.
 	Offset int
 	Text   string
-	// EndpointID is where the stream runs at present.
+	// EndpointID is the endpoint that runs the stream.
 	EndpointID string
 }
 
-// Result is a whole answer's account.
+// Result describes a complete answer.
 type Result struct {
 	FinishReason string
 	Usage        engine.Usage
-	// Attempts counts the endpoints tried.
+	// Attempts is the number of attempts.
 	Attempts int
-	// Version is the model's version that gave the answer.
+	// Version is the version of the model that generated the answer.
 	Version string
-	// AttemptRecords are the attempts in order.
+	// AttemptRecords holds the attempts in order, also if the request failed.
 	AttemptRecords []AttemptRecord
 }
 
-// AttemptRecord is one attempt, for explanations.
+// AttemptRecord describes one attempt, for explanations.
 type AttemptRecord struct {
 	EndpointID string
-	// Expected and Wait are what was reckoned with; see route.Choice.
+	// Expected and Wait are the estimates at the time of the choice; see route.Choice.
 	Expected, Wait time.Duration
 	CachedTokens   int
-	// Tokens is the answer's length when the attempt ended.
-	Tokens  int
+	// Tokens is the length of the answer when the attempt ended.
+	Tokens int
+	// Outcome is the name of the attempt's outcome, such as "finished".
 	Outcome string
 }
 
-// Runner runs requests.
+// Runner runs model requests. It is safe for concurrent use.
 type Runner struct {
 	router   *route.Router
 	engines  engine.API
@@ -102,115 +105,121 @@
 	watch    *quarantine.Watch
 	notices  *notice.Board
 	tracer   trace.Tracer
-	active   *active
-	lengths  sync.Map // of service name to *length
+	active   *activeStreams
+	lengths  sync.Map // from service name to *lengthEstimate
 	onReport atomic.Pointer[func(endpoint.Info, engine.Report)]
 }
 
 // New returns a runner.
 func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *quarantine.Watch, notices *notice.Board, tracer trace.Tracer) *Runner {
-	return &Runner{router: router, engines: engines, budget: budget, hazard: estimator, counters: counters, watch: watch, notices: notices, tracer: tracer, active: newActive()}
+	return &Runner{router: router, engines: engines, budget: budget, hazard: estimator, counters: counters, watch: watch, notices: notices, tracer: tracer, active: newActiveStreams()}
 }
 
-// OnReport sets what takes the load reports that come with answers.
-func (r *Runner) OnReport(take func(endpoint.Info, engine.Report)) { r.onReport.Store(&take) }
+// OnReport sets the function that is called with the load reports that come with answers.
+func (r *Runner) OnReport(handle func(endpoint.Info, engine.Report)) { r.onReport.Store(&handle) }
 
-// passReport hands on the report that came with a stream.
-func (r *Runner) passReport(info endpoint.Info, stream engine.Stream) {
-	take := r.onReport.Load()
-	if take == nil {
+// forwardReport calls the handler with the load report that came with a stream.
+func (r *Runner) forwardReport(info endpoint.Info, stream engine.Stream) {
+	handle := r.onReport.Load()
+	if handle == nil {
 		return
 	}
 	if report, ok := stream.Report(); ok {
-		(*take)(info, report)
+		(*handle)(info, report)
 	}
 }
 
 // Bounds of one request.
 const (
-	// parkTime is how long work that can wait does so where its KV cache was
-	// moved, before it goes elsewhere and has it computed again.
-	parkTime = time.Minute
-	// mostAttempts ends a request whose answers all break off, at engines that live.
-	mostAttempts = 12
-	// stallTime is how long a stream may be silent before it counts as broken.
-	stallTime = 5 * time.Second
-	// firstStall is the same before the first token of an attempt, on top of
-	// the wait that was reckoned with.
-	firstStall = 10 * time.Second
+	// destinationTimeout is how long work that can wait waits for a slot at the endpoint that
+	// its KV cache was moved to. After that it runs elsewhere and its cache is computed again.
+	destinationTimeout = time.Minute
+	// maxAttempts is the maximum number of attempts of a request, for streams that are all
+	// interrupted although the engines are alive.
+	maxAttempts = 12
+	// stallTimeout is how long a stream may send no token before it counts as broken.
+	stallTimeout = 5 * time.Second
+	// firstTokenTimeout is the same for the first token of an attempt, in addition to the
+	// estimated wait.
+	firstTokenTimeout = 10 * time.Second
 )
 
-// ending is how one attempt ended.
-type ending interface{ ending() }
+// outcome is how one attempt ended.
+type outcome interface{ outcome() }
 
-// finished: the answer is whole.
+// finished means that the answer is complete.
 type finished struct{ frame engine.Frame }
 
-// broken: the endpoint failed; the tokens had so far stand.
+// broken means that the endpoint failed. The tokens received so far remain valid.
 type broken struct{ err error }
 
-// refused: the endpoint turned the attempt away unrun.
+// refused means that the endpoint rejected the attempt without running it.
 type refused struct{ err error }
 
-// rejected: no endpoint can ever serve the request.
+// rejected means that no endpoint can ever serve the request.
 type rejected struct{ err error }
 
-// moved: the attempt was taken off a leaving endpoint.
+// moved means that the attempt was cancelled to continue elsewhere, either because its
+// endpoint is leaving or because it was preempted. If to is not nil, the KV cache was moved
+// there.
 type moved struct{ to *endpoint.Info }
 
-// callerGone: nobody reads the answer any more.
-type callerGone struct{ err error }
+// callerDisconnected means that nobody reads the answer any more.
+type callerDisconnected struct{ err error }
 
-// overdue: the deadline has passed.
-type overdue struct{}
+// timedOut means that the deadline has passed, or that no endpoint was found within the
+// EndpointTimeout.
+type timedOut struct{}
 
-func (finished) ending()   {}
-func (broken) ending()     {}
-func (refused) ending()    {}
-func (rejected) ending()   {}
-func (moved) ending()      {}
-func (callerGone) ending() {}
-func (overdue) ending()    {}
+func (finished) outcome()           {}
+func (broken) outcome()             {}
+func (refused) outcome()            {}
+func (rejected) outcome()           {}
+func (moved) outcome()              {}
+func (callerDisconnected) outcome() {}
+func (timedOut) outcome()           {}
 
-// errMoved is the cause of an attempt's cancellation by the reclaim plan.
+// errMoved is the cause of an attempt's cancellation by the reclaim plan or by Preempt.
 type errMoved struct{ to *endpoint.Info }
 
 func (errMoved) Error() string { return "moved off a leaving endpoint" }
 
-// errStalled is the cause of an attempt's cancellation by silence.
+// errStalled is the cause of an attempt's cancellation after a stall time-out.
 var errStalled = errors.New("stream: endpoint went silent")
 
-// progress is a request's state over its attempts.
+// progress is the state of a request across its attempts.
 type progress struct {
 	request     Request
 	fingerprint quarantine.Fingerprint
 	sink        Sink
-	// tokens are the answer so far, sent to the sink.
+	// tokens holds the answer so far: the tokens in Request.Received and those sent to the
+	// sink.
 	tokens   []string
 	target   route.Target
 	attempts int
-	// tries counts attempts since the last one that gave a token.
-	tries int
-	avoid []endpoint.Ref
-	// next is where a move has put the KV cache.
-	next *endpoint.Info
-	// nextUntil is how long to wait for room there.
-	nextUntil time.Time
-	// carried says that the attempt starts where its KV cache was moved.
-	carried  bool
-	version  string
-	lastFail error
-	hops     []AttemptRecord
+	// triesSinceToken is the number of attempts since the last one that yielded a token.
+	triesSinceToken int
+	avoid           []endpoint.Ref
+	// movedTo is the endpoint that the KV cache was moved to.
+	movedTo *endpoint.Info
+	// movedToDeadline is when the wait for a slot there ends.
+	movedToDeadline time.Time
+	// cacheMoved is set if the attempt starts at the endpoint that its KV cache was moved to.
+	cacheMoved bool
+	version    string
+	lastErr    error
+	records    []AttemptRecord
 }
 
-// Run runs a request to its end. Errors carry a result code.
+// Run runs a request until it is complete or has failed. An error has a result code unless
+// the caller disconnected.
 func (r *Runner) Run(ctx context.Context, request Request, sink Sink) (Result, error) {
 	p := &progress{
 		request: request, fingerprint: fingerprintOf(request.Prompt), sink: sink, tokens: append([]string(nil), request.Received...),
 		target: route.Target{Model: request.Prompt.Model, Version: request.Prompt.Version, Adapter: request.Prompt.Adapter},
 	}
 	result, err := r.run(ctx, p)
-	result.AttemptRecords = p.hops
+	result.AttemptRecords = p.records
 	return result, err
 }
 
@@ -225,70 +234,73 @@
 		}
 	}
 	for {
-		if err := r.held(p); err != nil {
+		if err := r.checkQuarantine(p); err != nil {
 			return Result{}, err
 		}
 		end := r.attempt(ctx, p)
 		switch end := end.(type) {
 		case finished:
-			return r.finish(p, end.frame), nil
+			return r.complete(p, end.frame), nil
 		case rejected:
 			return Result{}, code.New(code.BadBody, end.err.Error())
-		case callerGone:
+		case callerDisconnected:
 			return Result{}, end.err
-		case overdue:
-			return Result{}, overdueError(p)
+		case timedOut:
+			return Result{}, timeoutError(p)
 		case moved:
-			p.next = end.to
-			p.nextUntil = time.Now().Add(parkTime)
+			p.movedTo = end.to
+			p.movedToDeadline = time.Now().Add(destinationTimeout)
 			p.avoid = p.avoid[:0]
 		case refused:
-			p.lastFail = end.err
+			p.lastErr = end.err
 		case broken:
-			p.lastFail = end.err
+			p.lastErr = end.err
 			r.counters.Broken.Inc()
 		}
-		if err := r.pauseBeforeNext(ctx, p, end); err != nil {
+		if err := r.waitToRetry(ctx, p, end); err != nil {
 			return Result{}, err
 		}
-		if err := reenter(ctx, p); err != nil {
+		if err := requeue(ctx, p); err != nil {
 			return Result{}, err
 		}
 	}
 }
 
-func reenter(ctx context.Context, p *progress) error {
+// requeue calls Request.Requeue if it is set.
+func requeue(ctx context.Context, p *progress) error {
 	if p.request.Requeue == nil {
 		return nil
 	}
 	if err := p.request.Requeue(ctx); err != nil {
-		return endOfWait(ctx, p)
+		return waitError(ctx, p)
 	}
 	return nil
 }
 
-func overdueError(p *progress) error {
+// timeoutError returns the error of a request that timed out.
+func timeoutError(p *progress) error {
 	if p.attempts == 0 {
 		return code.New(code.NoEndpoint, "no endpoint took the request before its deadline")
 	}
 	return code.New(code.DeadlinePassed, fmt.Sprintf("deadline passed after %d tokens", len(p.tokens)))
 }
 
-// pauseBeforeNext decides whether another attempt may follow, and waits.
-func (r *Runner) pauseBeforeNext(ctx context.Context, p *progress, end ending) error {
+// waitToRetry waits until another attempt may start. It returns an error if there must be
+// none.
+func (r *Runner) waitToRetry(ctx context.Context, p *progress, end outcome) error {
 	if _, isMove := end.(moved); isMove {
 		return nil
 	}
-	p.tries++
-	if p.attempts >= mostAttempts {
-		return code.New(code.StreamLost, fmt.Sprintf("gave up after %d attempts: %v", p.attempts, p.lastFail))
+	p.triesSinceToken++
+	if p.attempts >= maxAttempts {
+		return code.New(code.StreamLost, fmt.Sprintf("gave up after %d attempts: %v", p.attempts, p.lastErr))
 	}
 	for {
-		if !pause.For(ctx, retry.Delay(p.tries, entropy.Rand)) {
-			return endOfWait(ctx, p)
+		if !pause.For(ctx, retry.Delay(p.triesSinceToken, entropy.Rand)) {
+			return waitError(ctx, p)
 		}
-		// An attempt that was turned away unrun cost its endpoint nothing, but
-		// it counts all the same: a storm of them is still a storm.
+		// A retry of an attempt that was rejected without running also uses the budget:
+		// the attempt cost its endpoint nothing, but many of them are still a retry storm.
 		if r.budget.Take(time.Now()) {
 			return nil
 		}
@@ -296,21 +308,23 @@
 	}
 }
 
-func endOfWait(ctx context.Context, p *progress) error {
+// waitError returns the error of a request whose context ended while it waited.
+func waitError(ctx context.Context, p *progress) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return overdueError(p)
+		return timeoutError(p)
 	}
 	return ctx.Err()
 }
 
-func movedOf(cause error) ending {
+// movedOutcome returns the outcome for an errMoved.
+func movedOutcome(cause error) outcome {
 	var to errMoved
 	errors.As(cause, &to)
 	return moved(to)
 }
 
-// reattach goes on with a stream that an endpoint may still be running; false
-// where it is not, and the request then runs from its start.
+// reattach continues a stream that an endpoint may still be running. It returns false if the
+// stream could not be continued to its end; the request then needs a new attempt.
 func (r *Runner) reattach(ctx context.Context, p *progress) (Result, bool) {
 	info, ok := r.router.Lookup(p.request.LastEndpointID)
 	if !ok {
@@ -318,34 +332,35 @@
 	}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := time.AfterFunc(stallTime, func() { cancel(errStalled) })
-	defer stall.Stop()
+	stallTimer := time.AfterFunc(stallTimeout, func() { cancel(errStalled) })
+	defer stallTimer.Stop()
 	stream, err := r.engines.Attach(attemptCtx, info.Address, p.request.Prompt.RequestID, len(p.tokens))
 	if err != nil {
 		return Result{}, false
 	}
 	defer stream.Close()
-	held := &run{request: p.request.Prompt.RequestID, endpoint: info, cancel: cancel, prompt: p.request.PromptTokens, expected: r.longLength(p), gap: r.router.TokenGap(info.ID)}
-	r.active.add(held)
-	defer r.active.remove(held)
+	current := &activeAttempt{requestID: p.request.Prompt.RequestID, endpoint: info, cancel: cancel, promptTokens: p.request.PromptTokens, expectedTokens: r.maxExpectedLength(p), tokenGap: r.router.TokenGap(info.ID)}
+	r.active.add(current)
+	defer r.active.remove(current)
 	r.counters.Reattached.Inc()
 	p.attempts++
 	p.target = route.TargetOf(info)
 	p.version = p.target.Version
-	reader := frameReader{runner: r, progress: p, run: held, stall: stall, started: time.Now(), attempt: anyAttempt}
+	reader := frameReader{runner: r, progress: p, activeAttempt: current, stallTimer: stallTimer, started: time.Now(), attempt: anyAttempt}
 	done, ok := reader.readAll(attemptCtx, stream).(finished)
 	if !ok {
 		return Result{}, false
 	}
-	return r.finish(p, done.frame), true
+	return r.complete(p, done.frame), true
 }
 
-// anyAttempt makes a reader hold on to the attempt of the first frame it sees:
-// a stream of another entry is at an attempt this process does not know.
+// anyAttempt makes a frameReader use the attempt number of the first frame. This process does
+// not know the attempt number of a stream that another entry started.
 const anyAttempt = 0
 
-func (r *Runner) finish(p *progress, last engine.Frame) Result {
-	r.learnLength(p.request.Service, len(p.tokens))
+// complete records a complete answer and returns its result.
+func (r *Runner) complete(p *progress, last engine.Frame) Result {
+	r.recordLength(p.request.Service, len(p.tokens))
 	r.watch.RecordSuccess(p.fingerprint, time.Now())
 	usage := last.Usage
 	usage.CompletionTokens = len(p.tokens)
--- a/pkg/stream/runner_test.go
+++ b/pkg/stream/runner_test.go
@@ -32,7 +32,7 @@
 	messages = `[{"role":"user","content":"hello"}]`
 )
 
-// fleet is a runner over engines in memory.
+// fleet is a runner with in-memory engines.
 type fleet struct {
 	direct    *engines.Direct
 	directory *endpoint.Directory
@@ -42,7 +42,7 @@
 	engines   []*engines.Engine
 }
 
-// newFleet returns a fleet of count engines that all have the model loaded.
+// newFleet returns a fleet of count engines that have loaded the model.
 func newFleet(t *testing.T, count int) *fleet {
 	t.Helper()
 	f := &fleet{direct: engines.NewDirect(), directory: endpoint.NewDirectory()}
@@ -90,12 +90,12 @@
 	}
 }
 
-// want is the whole answer.
-func want(tokens int) string {
+// wantText returns the complete answer.
+func wantText(tokens int) string {
 	return strings.Join(engines.Answer(engines.Loaded{Model: model, Version: "1"}, messages, 7, tokens), "")
 }
 
-// start runs a request in the background.
+// start runs a request in a goroutine; its outcome is sent on the channel.
 func (f *fleet) start(r stream.Request) <-chan outcome {
 	done := make(chan outcome, 1)
 	go func() {
@@ -112,47 +112,48 @@
 	err    error
 }
 
-// busy returns the index of the engine that runs something.
-func (f *fleet) busy(t *testing.T) int {
+// busyEngine returns the index of an engine that runs a stream.
+func (f *fleet) busyEngine(t *testing.T) int {
 	t.Helper()
 	for i, info := range f.infos {
 		if report, err := f.direct.Load(context.Background(), info.Address); err == nil && report.Running > 0 {
 			return i
 		}
 	}
-	t.Fatal("no engine is busy")
+	t.Fatal("no engine runs a stream")
 	return -1
 }
 
 const answerTokens = 200
 
-// TestAnswersAreWhole breaks endpoints under a stream in every way they break.
-func TestAnswersAreWhole(t *testing.T) {
+// TestAnswersAreCompleteDespiteFaults checks that a stream yields the complete answer for each
+// kind of endpoint fault.
+func TestAnswersAreCompleteDespiteFaults(t *testing.T) {
 	cases := []struct {
-		name    string
-		disturb func(t *testing.T, f *fleet)
+		name   string
+		inject func(t *testing.T, f *fleet)
 	}{
-		{"nothing happens", func(*testing.T, *fleet) {}},
-		{"the endpoint dies without notice", func(t *testing.T, f *fleet) { f.direct.Kill(f.infos[f.busy(t)].Address) }},
-		{"the endpoint freezes", func(t *testing.T, f *fleet) { f.direct.Freeze(f.infos[f.busy(t)].Address, true) }},
-		{"two endpoints die in turn", func(t *testing.T, f *fleet) {
-			f.direct.Kill(f.infos[f.busy(t)].Address)
+		{"no fault", func(*testing.T, *fleet) {}},
+		{"the endpoint is killed without notice", func(t *testing.T, f *fleet) { f.direct.Kill(f.infos[f.busyEngine(t)].Address) }},
+		{"the endpoint freezes", func(t *testing.T, f *fleet) { f.direct.Freeze(f.infos[f.busyEngine(t)].Address, true) }},
+		{"two endpoints are killed one after the other", func(t *testing.T, f *fleet) {
+			f.direct.Kill(f.infos[f.busyEngine(t)].Address)
 			time.Sleep(700 * time.Millisecond)
-			f.direct.Kill(f.infos[f.busy(t)].Address)
+			f.direct.Kill(f.infos[f.busyEngine(t)].Address)
 		}},
-		{"the endpoint gets notice and goes", func(t *testing.T, f *fleet) { f.reclaim(f.busy(t), time.Second) }},
-		{"the endpoint gets notice and dies before it is over", func(t *testing.T, f *fleet) {
-			at := f.busy(t)
-			f.reclaim(at, time.Second)
+		{"the endpoint gets notice and is killed at its end", func(t *testing.T, f *fleet) { f.reclaim(f.busyEngine(t), time.Second) }},
+		{"the endpoint gets notice and is killed before its end", func(t *testing.T, f *fleet) {
+			index := f.busyEngine(t)
+			f.reclaim(index, time.Second)
 			time.Sleep(50 * time.Millisecond)
-			f.direct.Kill(f.infos[at].Address)
+			f.direct.Kill(f.infos[index].Address)
 		}},
-		{"every endpoint doubles its frames", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{Double: true}) }},
-		{"every endpoint mixes in frames of an older attempt", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{OldAttempt: true}) }},
-		{"an endpoint loses a frame", func(t *testing.T, f *fleet) {
-			f.direct.SetFaults(f.infos[f.busy(t)].Address, engines.StreamFaults{SkipAt: 60})
+		{"every endpoint sends each frame twice", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{Double: true}) }},
+		{"every endpoint also sends frames of an older attempt", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{OldAttempt: true}) }},
+		{"an endpoint omits a frame", func(t *testing.T, f *fleet) {
+			f.direct.SetFaults(f.infos[f.busyEngine(t)].Address, engines.StreamFaults{SkipAt: 60})
 		}},
-		{"every endpoint cuts each stream after 60 frames", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{CutAfter: 60}) }},
+		{"every endpoint interrupts each stream after 60 frames", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{CutAfter: 60}) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -160,15 +161,15 @@
 				f := newFleet(t, 4)
 				done := f.start(request("r", answerTokens))
 				time.Sleep(500 * time.Millisecond)
-				c.disturb(t, f)
+				c.inject(t, f)
 				got := <-done
 				if got.err != nil {
-					t.Fatalf("got error %v, want a whole answer", got.err)
+					t.Fatalf("got error %v, want the complete answer", got.err)
 				}
-				if got.text != want(answerTokens) {
-					t.Errorf("got %d characters, want the %d of the undisturbed answer", len(got.text), len(want(answerTokens)))
+				if got.text != wantText(answerTokens) {
+					t.Errorf("got %d characters, want the %d of an answer without faults", len(got.text), len(wantText(answerTokens)))
 				}
-				time.Sleep(time.Minute) // Let the engines forget their streams.
+				time.Sleep(time.Minute) // until the engines drop their streams
 			})
 		})
 	}
@@ -180,19 +181,19 @@
 	}
 }
 
-// reclaim gives an endpoint notice and ends it when that is over.
-func (f *fleet) reclaim(at int, notice time.Duration) {
-	info := f.infos[at]
+// reclaim gives notice to an endpoint and kills it at the end of the notice.
+func (f *fleet) reclaim(index int, notice time.Duration) {
+	info := f.infos[index]
 	info.State = endpoint.Leaving
 	info.LeaveBy = time.Now().Add(notice)
 	f.directory.Merge(info)
 	time.AfterFunc(notice, func() { f.direct.Kill(info.Address) })
 }
 
-// TestMoveSavesRecomputing compares the plan with leaving every stream to
-// break off: moved KV cache is not computed again.
-func TestMoveSavesRecomputing(t *testing.T) {
-	recomputed := func(planned bool) int64 {
+// TestMovedCacheIsNotRecomputed compares a planned reclaim with an unplanned one, in which
+// every stream is interrupted: KV cache that was moved is not computed again.
+func TestMovedCacheIsNotRecomputed(t *testing.T) {
+	recomputedTokens := func(planned bool) int64 {
 		var total int64
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 4)
@@ -201,26 +202,26 @@
 			}
 			done := f.start(request("r", 400))
 			time.Sleep(2 * time.Second)
-			f.reclaim(f.busy(t), time.Second)
-			if got := <-done; got.err != nil || got.text != want(400) {
-				t.Errorf("got %d characters, error %v; want a whole answer", len(got.text), got.err)
+			f.reclaim(f.busyEngine(t), time.Second)
+			if got := <-done; got.err != nil || got.text != wantText(400) {
+				t.Errorf("got %d characters, error %v; want the complete answer", len(got.text), got.err)
 			}
 			for _, e := range f.engines {
-				_, again := e.Counts()
-				total += again
+				_, recomputed := e.Counts()
+				total += recomputed
 			}
 			time.Sleep(time.Minute)
 		})
 		return total
 	}
-	planned, naive := recomputed(true), recomputed(false)
-	if planned*5 > naive {
-		t.Errorf("tokens computed again: got %d with the plan, %d without; want a fifth at most", planned, naive)
+	planned, unplanned := recomputedTokens(true), recomputedTokens(false)
+	if planned*5 > unplanned {
+		t.Errorf("recomputed tokens: got %d with the plan and %d without; want at most a fifth", planned, unplanned)
 	}
 }
 
-// TestLeavingEndpointGetsNoNewWork sends requests before, at and after the news
-// that an endpoint leaves.
+// TestLeavingEndpointGetsNoNewWork checks that no request is sent to an endpoint that is
+// leaving.
 func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
@@ -235,42 +236,42 @@
 		if got := f.direct.Sent("a1") - before; got != 0 {
 			t.Errorf("attempts at the leaving endpoint: got %d, want 0", got)
 		}
-		// Late news that it lives does not bring it back.
+		// A late report that the endpoint is live does not change its state.
 		f.directory.Merge(f.infos[1])
 		if info, _ := f.directory.Get("e1"); info.State != endpoint.Leaving {
-			t.Errorf("state after late news: got %v, want leaving", info.State)
+			t.Errorf("state after a late report: got %v, want leaving", info.State)
 		}
 		time.Sleep(2 * time.Minute)
 	})
 }
 
-// TestRefusedRequestGetsItsAnswerAtOnce checks that a request the module gives
-// up on is answered when its patience is over, not at its deadline.
-func TestRefusedRequestGetsItsAnswerAtOnce(t *testing.T) {
+// TestEndpointTimeoutIsRespected checks that a request for which there is no endpoint fails
+// after its EndpointTimeout, not at its deadline.
+func TestEndpointTimeoutIsRespected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 1)
 		f.direct.Kill("a0")
 		f.directory.Update(f.infos[0].Ref(), func(i *endpoint.Info) { i.State = endpoint.Gone })
-		begun := time.Now()
+		start := time.Now()
 		got := <-f.start(request("r", 5))
 		if number := code.Of(got.err).Number(); number != code.NoEndpoint.Number() {
 			t.Errorf("code: got %d, want %d", number, code.NoEndpoint.Number())
 		}
-		if took := time.Since(begun); took > 6*time.Second {
-			t.Errorf("answered after %v, want at most twice the patience of 3s", took)
+		if took := time.Since(start); took > 6*time.Second {
+			t.Errorf("answered after %v, want at most twice the EndpointTimeout of 3s", took)
 		}
 	})
 }
 
-// TestCallerWhoLeavesEndsTheRequest checks that a caller's error is returned
-// and nothing is tried again.
-func TestCallerWhoLeavesEndsTheRequest(t *testing.T) {
+// TestCallerDisconnectEndsRequest checks that the sink's error is returned and the request is
+// not retried.
+func TestCallerDisconnectEndsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2)
-		gone := errors.New("caller is gone")
-		_, err := f.runner.Run(context.Background(), request("r", 50), failingSink{gone})
-		if !errors.Is(err, gone) {
-			t.Errorf("got %v, want %v", err, gone)
+		disconnected := errors.New("caller has disconnected")
+		_, err := f.runner.Run(context.Background(), request("r", 50), failingSink{disconnected})
+		if !errors.Is(err, disconnected) {
+			t.Errorf("got %v, want %v", err, disconnected)
 		}
 		if sent := f.direct.Sent("a0") + f.direct.Sent("a1"); sent != 1 {
 			t.Errorf("attempts: got %d, want 1", sent)
