--- a/pkg/stream/attempt.go
+++ b/pkg/stream/attempt.go
@@ -183,7 +183,7 @@
 		return route.Result{}, r.classifyError(ctx, err)
 	}
 	defer stream.Close()
-	r.notices.ApplyAnswer(c.Endpoint, stream.Notice(), startedAt, time.Now())
+	r.notices.ApplyResponse(c.Endpoint, stream.Notice(), startedAt, time.Now())
 	r.forwardReport(c.Endpoint, stream)
 	reader := frameReader{runner: r, progress: p, activeAttempt: current, stallTimer: stallTimer, started: startedAt, attempt: p.attempts}
 	end := reader.readAll(ctx, stream)
@@ -195,7 +195,7 @@
 func (r *Runner) applyRefusal(info endpoint.Info, err error, sent time.Time) {
 	var refusal *engine.Refusal
 	if errors.As(err, &refusal) {
-		r.notices.ApplyAnswer(info, refusal.Notice, sent, time.Now())
+		r.notices.ApplyResponse(info, refusal.Notice, sent, time.Now())
 	}
 }
 
--- a/pkg/stream/runner.go
+++ b/pkg/stream/runner.go
@@ -103,7 +103,7 @@
 	hazard   *hazard.Estimator
 	counters *Counters
 	watch    *quarantine.Watch
-	notices  *notice.Board
+	notices  *notice.Tracker
 	tracer   trace.Tracer
 	active   *activeStreams
 	lengths  sync.Map // from service name to *lengthEstimate
@@ -111,7 +111,7 @@
 }
 
 // New returns a runner.
-func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *quarantine.Watch, notices *notice.Board, tracer trace.Tracer) *Runner {
+func New(router *route.Router, engines engine.API, budget *retry.Budget, estimator *hazard.Estimator, counters *Counters, watch *quarantine.Watch, notices *notice.Tracker, tracer trace.Tracer) *Runner {
 	return &Runner{router: router, engines: engines, budget: budget, hazard: estimator, counters: counters, watch: watch, notices: notices, tracer: tracer, active: newActiveStreams()}
 }
 
