--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -18,7 +18,7 @@
 	StartedAt              time.Time
 	Duration               time.Duration
 	Tokens                 int
-	Hops                   []stream.Hop
+	Hops                   []stream.AttemptRecord
 	// Failure and Code are empty for a request that was answered completely.
 	Failure string
 	Code    int
