--- a/pkg/notice/limits_test.go
+++ b/pkg/notice/limits_test.go
@@ -64,7 +64,7 @@
 	hasLimit  bool
 	responses []limitResponse
 	inbox     []limitReport
-	pace      gossip.Pace
+	pace      gossip.RoundScheduler
 	next      time.Duration
 	// excusedUntil is until when its requests are not counted because it was restarted or
 	// partitioned.
@@ -151,7 +151,7 @@
 		}
 		f.receive(h)
 		if f.now >= h.next {
-			pause, _ := h.pace.Next(len(f.hosts)-1, 0)
+			pause, _ := h.pace.NextForCounts(len(f.hosts)-1, 0)
 			h.next = f.now + pause
 			f.send(h, h.Reports(f.at()))
 		}
--- a/pkg/storeview/view.go
+++ b/pkg/storeview/view.go
@@ -177,8 +177,8 @@
 			return other
 		}
 	}
-	startFeed := func(name string, pause func() time.Duration, apply feed.Take) {
-		timing := feed.Timing{Wait: byRole(relayWait, feedWait), Pause: pause, Retry: feedRetry}
+	startFeed := func(name string, pause func() time.Duration, apply feed.BatchHandler) {
+		timing := feed.Timing{PollTimeout: byRole(relayWait, feedWait), PollDelay: pause, RetryDelay: feedRetry}
 		receive := func(batch feed.Batch) {
 			v.clock.Heard(batch.StoreTime)
 			v.recordEra(name, batch)
@@ -196,7 +196,7 @@
 }
 
 // FollowTable follows another table with the timing of the endpoints' feed until ctx is done.
-func (v *View) FollowTable(ctx context.Context, source feed.Source, name string, apply feed.Take) {
+func (v *View) FollowTable(ctx context.Context, source feed.Source, name string, apply feed.BatchHandler) {
 	byRole := func(relay, other time.Duration) func() time.Duration {
 		return func() time.Duration {
 			if v.IsRelay() {
@@ -205,7 +205,7 @@
 			return other
 		}
 	}
-	timing := feed.Timing{Wait: byRole(relayWait, feedWait), Pause: byRole(relayPause, endpointPause), Retry: feedRetry}
+	timing := feed.Timing{PollTimeout: byRole(relayWait, feedWait), PollDelay: byRole(relayPause, endpointPause), RetryDelay: feedRetry}
 	feed.New(source, name, timing, apply, v.handleFeedResult).Run(ctx)
 }
 
