--- a/pkg/peer/mesh_test.go
+++ b/pkg/peer/mesh_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// Runs for some minutes with 5% of the messages retransmitted and processes paused for up to two
+// Runs for four minutes with 5% of the messages retransmitted and processes paused for up to two
 // seconds. Suspicions are raised and refuted, but no node may be declared dead.
 func TestPausedNodesAreNotDeclaredDead(t *testing.T) {
 	n := newNetwork(t, 30, 4)
