--- a/pkg/app/cli/status.go
+++ b/pkg/app/cli/status.go
@@ -150,7 +150,7 @@
 	return t.print(steps, func(w io.Writer) {
 		row(w, "TIME", "HOST", "WHAT")
 		for _, s := range steps {
-			row(w, s.At.Format("15:04:05.000"), s.Node, s.Text)
+			row(w, s.Time.Format("15:04:05.000"), s.Node, s.Text)
 		}
 	})
 }
@@ -214,7 +214,7 @@
 				}
 				ips = append(ips, ip)
 			}
-			if err := secure.MakeSet(args[0], ips, time.Now()); err != nil {
+			if err := secure.GenerateCertificates(args[0], ips, time.Now()); err != nil {
 				return err
 			}
 			return t.print(struct {
--- a/pkg/app/entry/admin.go
+++ b/pkg/app/entry/admin.go
@@ -15,7 +15,7 @@
 
 // admin is the mux of the admin port.
 func (a *App) admin() *http.ServeMux {
-	mux := process.Admin(a.registry, a.ready)
+	mux := process.AdminMux(a.registry, a.ready)
 	mux.HandleFunc("GET /status", a.serveStatus)
 	mux.HandleFunc("GET /explain/requests", a.serveRequests)
 	mux.HandleFunc("GET /explain/services/{service}", a.serveCandidates)
@@ -40,8 +40,8 @@
 	status := operatorwire.EntryStatus{
 		Node: self.ID, Incarnation: self.Incarnation, DataCenter: self.DataCenter, Leaving: self.Leaving,
 		Revision: a.config.Current().Revision(), InFlight: a.api.InFlight(), JobsWaiting: waiting, JobsRunning: running,
-		Links: a.peers.Linked(), StoreDown: a.guard.Open(), Suspected: counts.Suspected, Refuted: counts.Refuted,
-		Declared: counts.Declared, Pauses: counts.Pauses,
+		Links: a.peers.LinkCount(), StoreDown: a.guard.Open(), Suspected: counts.Suspected, Refuted: counts.Refuted,
+		Declared: counts.DeclaredDead, Pauses: counts.Pauses,
 		Nodes: operatorwire.FromNodes(a.nodes.Nodes()), Endpoints: operatorwire.FromEndpoints(a.endpoints.View().Infos()),
 	}
 	httpx.WriteJSON(w, http.StatusOK, status)
--- a/pkg/callerapi/callerapi_test.go
+++ b/pkg/callerapi/callerapi_test.go
@@ -78,7 +78,7 @@
 		want                          code.Code
 	}{
 		{"unknown key", "POST", "/v1/chat/completions", "wrong", chat, code.UnknownKey},
-		{"unknown path", "GET", "/v2", "secret", "", code.UnknownEndpoint},
+		{"unknown path", "GET", "/v2", "secret", "", code.UnknownPath},
 		{"body too long", "POST", "/v1/chat/completions", "secret", `{"model":"` + strings.Repeat("x", 5000) + `"}`, code.BodyTooLong},
 		{"body that is not JSON", "POST", "/v1/chat/completions", "secret", "{", code.BadBody},
 		{"plain service called as a model", "POST", "/v1/chat/completions", "secret", strings.Replace(chat, "talk", "ledger", 1), code.WrongKind},
--- a/pkg/callerapi/chat.go
+++ b/pkg/callerapi/chat.go
@@ -52,7 +52,7 @@
 		return
 	}
 	defer func() { permit.Release(time.Now()) }()
-	w.Header().Set(headerRequest, call.request.Prompt.Request)
+	w.Header().Set(headerRequest, call.request.Prompt.RequestID)
 	if call.body.Stream() {
 		a.streamChat(ctx, w, call)
 		return
@@ -66,7 +66,7 @@
 	team               fleet.Team
 	body               chat.Body
 	request            stream.Request
-	mark               chat.Mark
+	mark               chat.Cursor
 	firstTokenDeadline time.Time
 	started            time.Time
 }
@@ -88,17 +88,17 @@
 		return chatCall{}, err
 	}
 	now := time.Now()
-	call := chatCall{service: s, team: team, body: body, started: now, mark: chat.Mark{Request: newID()}}
+	call := chatCall{service: s, team: team, body: body, started: now, mark: chat.Cursor{RequestID: newID()}}
 	if lastEventID := r.Header.Get(headerLastEventID); lastEventID != "" {
-		call.mark, err = chat.ParseMark(lastEventID)
+		call.mark, err = chat.ParseCursor(lastEventID)
 		if err != nil {
 			return chatCall{}, code.New(code.BadHeader, headerLastEventID+" "+err.Error())
 		}
 	}
-	call.request = body.Request(call.mark.Request, s)
-	call.request.At = call.mark.Endpoint
+	call.request = body.Request(call.mark.RequestID, s)
+	call.request.LastEndpointID = call.mark.EndpointID
 	call.request.Prompt.Deadline = now.Add(s.Deadline())
-	call.request.Patience = queueTimeout(s)
+	call.request.EndpointTimeout = queueTimeout(s)
 	call.request.Strategy = strategyOf(c)
 	call.firstTokenDeadline = now.Add(queueTimeout(s))
 	return call, nil
@@ -121,8 +121,8 @@
 func (a *API) recordResult(call chatCall, result stream.Result, err error) {
 	duration := time.Since(call.started)
 	record := explain.Record{
-		Request: call.request.Prompt.Request, Team: call.team.Name(), Service: call.service.Name(),
-		Begun: call.started, Took: duration, Tokens: result.Usage.CompletionTokens, Hops: result.Hops,
+		Request: call.request.Prompt.RequestID, Team: call.team.Name(), Service: call.service.Name(),
+		StartedAt: call.started, Duration: duration, Tokens: result.Usage.CompletionTokens, Hops: result.AttemptRecords,
 	}
 	if err != nil {
 		record.Failure = err.Error()
@@ -171,8 +171,8 @@
 	}
 	w.Header().Set(headerOutcome, string(code.Done))
 	httpx.WriteJSON(w, http.StatusOK, completion{
-		ID: call.request.Prompt.Request, Object: "chat.completion", Created: call.started.Unix(), Model: call.service.Name(),
-		Choices: []completionChoice{{Message: completionMessage{"assistant", collector.Text()}, FinishReason: result.Finish}},
+		ID: call.request.Prompt.RequestID, Object: "chat.completion", Created: call.started.Unix(), Model: call.service.Name(),
+		Choices: []completionChoice{{Message: completionMessage{"assistant", collector.Text()}, FinishReason: result.FinishReason}},
 		Usage:   usageOf(result.Usage),
 	})
 }
@@ -186,7 +186,7 @@
 	result, err := a.Runner.Run(ctx, call.request, sink)
 	a.recordResult(call, result, err)
 	switch {
-	case errors.Is(err, chat.ErrJoin):
+	case errors.Is(err, chat.ErrMismatch):
 		sink.sendError(w, code.New(code.CannotResume, err.Error()))
 	case err != nil:
 		sink.sendError(w, err)
@@ -202,7 +202,7 @@
 	timeout    time.Duration
 	// deadline is the current write deadline of the connection.
 	deadline   time.Time
-	joiner     *chat.Joiner
+	joiner     *chat.ReplayFilter
 	chunk      engine.Chunk
 	headerSent bool
 	// firstTokenSeen is set once onFirstToken was called.
@@ -216,9 +216,9 @@
 
 func newEventSink(w http.ResponseWriter, timeout time.Duration, call chatCall) *eventSink {
 	s := &eventSink{
-		w: w, controller: http.NewResponseController(w), timeout: timeout, joiner: chat.NewJoiner(call.mark),
+		w: w, controller: http.NewResponseController(w), timeout: timeout, joiner: chat.NewReplayFilter(call.mark),
 		chunk: engine.Chunk{
-			ID: call.mark.Request, Object: "chat.completion.chunk", Created: call.started.Unix(), Model: call.service.Name(),
+			ID: call.mark.RequestID, Object: "chat.completion.chunk", Created: call.started.Unix(), Model: call.service.Name(),
 			Choices: []engine.ChunkChoice{{}},
 		},
 		onFirstToken: func() {},
@@ -236,7 +236,7 @@
 const maxBufferedBytes = 8 << 10
 
 // Token adds an event for a token that the caller does not have yet. It returns
-// chat.ErrJoin if a regenerated token differs from the one that the caller has.
+// chat.ErrMismatch if the regenerated tokens differ from those that the caller has.
 func (s *eventSink) Token(t stream.Token) error {
 	isNew, mark, err := s.joiner.Next(t)
 	if err != nil || !isNew {
@@ -313,7 +313,7 @@
 
 // finish writes the last chunk and the marker that the response is complete.
 func (s *eventSink) finish(result stream.Result, withUsage bool) {
-	reason := result.Finish
+	reason := result.FinishReason
 	s.chunk.Choices[0] = engine.ChunkChoice{FinishReason: &reason}
 	if s.appendChunk("") != nil {
 		return
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -193,7 +193,7 @@
 	collector := chat.NewCollector("1", received)
 	onStart(collector)
 	result, err := g.runner.Run(ctx, request, collector)
-	return job.Result{Text: collector.Text(), Finish: result.Finish}, err
+	return job.Result{Text: collector.Text(), Finish: result.FinishReason}, err
 }
 
 // do sends a request, with a valid key if it has none, and returns the response.
