--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -99,7 +99,8 @@
 // InFlight returns how many requests are being served.
 func (a *API) InFlight() int64 { return a.inFlight.Load() }
 
-// recoverPanic responds to a panic with an error, if no response has been started.
+// recoverPanic responds to a panic with an error, whose status and headers are sent only if no
+// response was started before.
 func (a *API) recoverPanic(w http.ResponseWriter, r *http.Request, next http.HandlerFunc) {
 	defer func() {
 		recovered := recover()
--- a/pkg/callerapi/callerapi_test.go
+++ b/pkg/callerapi/callerapi_test.go
@@ -126,7 +126,7 @@
 		if _, err := io.ReadFull(response.Body, events); err != nil {
 			t.Fatal(err)
 		}
-		text, mark := readEvents(string(events))
+		text, lastEventID := readEvents(string(events))
 		first.server.CloseClientConnections()
 		if engineDies {
 			site.memoryEngines.Kill("e0")
@@ -135,7 +135,7 @@
 			second = replacement.newEntry(t, "n2")
 		}
 		request, _ = http.NewRequest("POST", second.server.URL+"/v1/chat/completions", bytes.NewReader(body))
-		request.Header.Set("Last-Event-ID", mark)
+		request.Header.Set("Last-Event-ID", lastEventID)
 		rest, err := io.ReadAll(second.do(t, request).Body)
 		if err != nil {
 			t.Fatal(err)
@@ -151,7 +151,7 @@
 }
 
 // readEvents returns the text of the complete events and the ID of the last one.
-func readEvents(events string) (text, mark string) {
+func readEvents(events string) (text, lastEventID string) {
 	parts := strings.Split(events, "\n\n")
 	for _, event := range parts[:len(parts)-1] {
 		id, data, ok := strings.Cut(event, "\n")
@@ -167,10 +167,10 @@
 		}
 		if json.Unmarshal([]byte(strings.TrimPrefix(data, "data: ")), &chunk) == nil && len(chunk.Choices) > 0 {
 			text += chunk.Choices[0].Delta.Content
-			mark = strings.TrimPrefix(id, "id: ")
+			lastEventID = strings.TrimPrefix(id, "id: ")
 		}
 	}
-	return text, mark
+	return text, lastEventID
 }
 
 // TestPlainCallEndsAreToldApart checks the reported outcome and the number of runs of a call
--- a/pkg/callerapi/chat.go
+++ b/pkg/callerapi/chat.go
@@ -66,7 +66,7 @@
 	team               fleet.Team
 	body               chat.Body
 	request            stream.Request
-	mark               chat.Cursor
+	cursor             chat.Cursor
 	firstTokenDeadline time.Time
 	started            time.Time
 }
@@ -88,15 +88,15 @@
 		return chatCall{}, err
 	}
 	now := time.Now()
-	call := chatCall{service: s, team: team, body: body, started: now, mark: chat.Cursor{RequestID: newID()}}
+	call := chatCall{service: s, team: team, body: body, started: now, cursor: chat.Cursor{RequestID: newID()}}
 	if lastEventID := r.Header.Get(headerLastEventID); lastEventID != "" {
-		call.mark, err = chat.ParseCursor(lastEventID)
+		call.cursor, err = chat.ParseCursor(lastEventID)
 		if err != nil {
 			return chatCall{}, code.New(code.BadHeader, headerLastEventID+" "+err.Error())
 		}
 	}
-	call.request = body.Request(call.mark.RequestID, s)
-	call.request.LastEndpointID = call.mark.EndpointID
+	call.request = body.Request(call.cursor.RequestID, s)
+	call.request.LastEndpointID = call.cursor.EndpointID
 	call.request.Prompt.Deadline = now.Add(s.Deadline())
 	call.request.EndpointTimeout = queueTimeout(s)
 	call.request.Strategy = strategyOf(c)
@@ -201,10 +201,10 @@
 	controller *http.ResponseController
 	timeout    time.Duration
 	// deadline is the current write deadline of the connection.
-	deadline   time.Time
-	joiner     *chat.ReplayFilter
-	chunk      engine.Chunk
-	headerSent bool
+	deadline     time.Time
+	replayFilter *chat.ReplayFilter
+	chunk        engine.Chunk
+	headerSent   bool
 	// firstTokenSeen is set once onFirstToken was called.
 	firstTokenSeen bool
 	onFirstToken   func()
@@ -216,9 +216,9 @@
 
 func newEventSink(w http.ResponseWriter, timeout time.Duration, call chatCall) *eventSink {
 	s := &eventSink{
-		w: w, controller: http.NewResponseController(w), timeout: timeout, joiner: chat.NewReplayFilter(call.mark),
+		w: w, controller: http.NewResponseController(w), timeout: timeout, replayFilter: chat.NewReplayFilter(call.cursor),
 		chunk: engine.Chunk{
-			ID: call.mark.RequestID, Object: "chat.completion.chunk", Created: call.started.Unix(), Model: call.service.Name(),
+			ID: call.cursor.RequestID, Object: "chat.completion.chunk", Created: call.started.Unix(), Model: call.service.Name(),
 			Choices: []engine.ChunkChoice{{}},
 		},
 		onFirstToken: func() {},
@@ -238,7 +238,7 @@
 // Token adds an event for a token that the caller does not have yet. It returns
 // chat.ErrMismatch if the regenerated tokens differ from those that the caller has.
 func (s *eventSink) Token(t stream.Token) error {
-	isNew, mark, err := s.joiner.Next(t)
+	isNew, cursor, err := s.replayFilter.Next(t)
 	if err != nil || !isNew {
 		return err
 	}
@@ -246,12 +246,12 @@
 		s.firstTokenSeen = true
 		s.onFirstToken()
 	}
-	if mark.Offset == 1 {
+	if cursor.Offset == 1 {
 		s.chunk.Choices[0] = engine.ChunkChoice{Delta: engine.ChunkDelta{Role: "assistant", Content: t.Text}}
-		return s.appendChunk(mark.String())
+		return s.appendChunk(cursor.String())
 	}
 	s.buffer = append(s.buffer, "id: "...)
-	s.buffer = mark.Append(s.buffer)
+	s.buffer = cursor.Append(s.buffer)
 	s.buffer = append(s.buffer, '\n')
 	s.buffer = append(s.buffer, s.tokenPrefix...)
 	s.buffer = gjson.AppendJSONString(s.buffer, t.Text)
