--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -24,8 +24,8 @@
 type Links interface {
 	// SendTo sends a message over the link to a node and reports whether there is a link.
 	SendTo(node string, message peer.Message) bool
-	// Ensure starts to open a link to a node if there is none.
-	Ensure(node membership.Node)
+	// EnsureLink starts to open a link to a node if there is none.
+	EnsureLink(node membership.Node)
 }
 
 // Parameters of commits through another entry.
@@ -105,7 +105,7 @@
 	}
 	if answer, ok := c.commitRemotely(ctx, committer, rows); ok {
 		switch answer.Outcome {
-		case peer.AcceptDone:
+		case peer.AcceptCommitted:
 			c.updateCounts(func(counts *Counts) { counts.Forwarded++ })
 			return table.Done{Version: answer.Version}
 		case peer.AcceptConflict:
@@ -155,7 +155,7 @@
 		message.Rows = append(message.Rows, peer.AcceptRow{Key: row.Key, Value: row.Value})
 	}
 	if !c.links.SendTo(node.ID, message) {
-		c.links.Ensure(node)
+		c.links.EnsureLink(node)
 		return peer.Accepted{}, false
 	}
 	timer := time.NewTimer(answerTimeout)
@@ -202,7 +202,7 @@
 	answer := peer.Accepted{Request: m.Request, Outcome: peer.AcceptUnknown}
 	switch outcome := c.local.Commit(ctx, rows).(type) {
 	case table.Done:
-		answer.Outcome, answer.Version = peer.AcceptDone, outcome.Version
+		answer.Outcome, answer.Version = peer.AcceptCommitted, outcome.Version
 	case table.Refused:
 		answer.Outcome = peer.AcceptRefused
 		if len(outcome.Conflicts) > 0 {
--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -47,7 +47,7 @@
 	return true
 }
 
-func (l links) Ensure(membership.Node) {}
+func (l links) EnsureLink(membership.Node) {}
 
 func newDataCenter(entries int, window time.Duration) *dataCenter {
 	d := &dataCenter{rows: tables.New(), committers: map[string]*accept.Committer{}, batchers: map[string]*job.Batcher{}, drop: func(peer.Message) bool { return false }}
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	logger := process.NewLog(settings.logLevel, settings.id)
+	logger := process.NewLogger(settings.logLevel, settings.id)
 	tracer, err := process.NewTracer(context.WithoutCancel(ctx), settings.tracing, "ironhollow-control", settings.id)
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if config := a.tls.OuterServer(); config != nil {
+	if config := a.tls.ExternalServer(); config != nil {
 		operators = tls.NewListener(operators, config)
 	}
 	admin, err := process.Listen("[node] admin-address", a.settings.adminAddress)
@@ -90,7 +90,7 @@
 	}
 	const readTime = 30 * time.Second
 	process.Serve(process.NewServer(a.operatorMux(), readTime), operators, faults)
-	process.Serve(process.NewServer(process.Admin(a.registry, a.ready), readTime), admin, faults)
+	process.Serve(process.NewServer(process.AdminMux(a.registry, a.ready), readTime), admin, faults)
 	return nil
 }
 
@@ -104,7 +104,7 @@
 var errNotReady = errors.New("not attached to an entry, and no configuration yet")
 
 func (a *App) ready() error {
-	if a.config.Current().Revision() == 0 && a.peers.Linked() == 0 {
+	if a.config.Current().Revision() == 0 && a.peers.LinkCount() == 0 {
 		return errNotReady
 	}
 	return nil
@@ -178,10 +178,10 @@
 	if before == 0 {
 		fresh := config.New()
 		if a.store.Load(ctx, fresh) == nil {
-			a.tell(peer.News{Changes: fresh.After(0)})
+			a.tell(peer.Update{Changes: fresh.After(0)})
 		}
 	} else if changes, err := a.store.Changes(ctx, before); err == nil {
-		a.tell(peer.News{Changes: changes})
+		a.tell(peer.Update{Changes: changes})
 	}
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	logger := process.NewLog(settings.logLevel, settings.node.ID)
+	logger := process.NewLogger(settings.logLevel, settings.node.ID)
 	tracer, err := process.NewTracer(context.WithoutCancel(ctx), settings.tracing, "ironhollow-entry", settings.node.ID)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 		process.Serve(server, listener, faults)
 		return nil
 	}
-	if err := open("[node] caller-address", a.self.CallerAddress, a.api, a.settings.readTimeout, a.tls.OuterServer()); err != nil {
+	if err := open("[node] caller-address", a.self.CallerAddress, a.api, a.settings.readTimeout, a.tls.ExternalServer()); err != nil {
 		return nil, err
 	}
 	if err := open("[node] peer-address", a.self.PeerAddress, a.peerMux(), 0, a.tls.PeerServer()); err != nil {
@@ -140,7 +140,7 @@
 }
 
 func (a *App) dialSeeds(ctx context.Context) {
-	if a.peers.Linked() > 0 {
+	if a.peers.LinkCount() > 0 {
 		return
 	}
 	for _, seed := range a.settings.seeds {
@@ -162,7 +162,7 @@
 		if membership.IncarnationOfOwner(owner) >= a.self.Incarnation {
 			continue
 		}
-		if taken, _, err := a.worker.Recover(ctx, owner, job.Part{Of: 1}); err == nil && taken > 0 {
+		if taken, _, err := a.worker.Recover(ctx, owner, job.Shard{Count: 1}); err == nil && taken > 0 {
 			a.log.Info().Str("owner", owner).Int("jobs", taken).Msg("jobs of an earlier start taken up")
 		}
 	}
--- a/pkg/plainservice/plainservice.go
+++ b/pkg/plainservice/plainservice.go
@@ -76,7 +76,7 @@
 
 // noticeOf reads what the status and the headers of a response say about its endpoint.
 func noticeOf(response *http.Response) endpoint.Notice {
-	notice := httpx.NoticeOf(response.StatusCode, response.Header)
+	notice := httpx.ParseNotice(response.StatusCode, response.Header)
 	notice.Refused = response.Header.Get(HeaderNotRun) != ""
 	notice.Leaving, _ = strconv.ParseBool(response.Header.Get(HeaderLeaving))
 	return notice
--- a/pkg/storeclock/clock.go
+++ b/pkg/storeclock/clock.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"ironhollow/pkg/steady"
+	"ironhollow/pkg/boottime"
 )
 
 // Clock is the clock of the process, with an estimate of the store's clock. It is safe for
@@ -23,21 +23,21 @@
 }
 
 // New returns a clock that starts now.
-func New() *Clock { return &Clock{start: steady.Now()} }
+func New() *Clock { return &Clock{start: boottime.Now()} }
 
 // Uptime returns the time since the clock was started.
-func (c *Clock) Uptime() time.Duration { return steady.Since(c.start) }
+func (c *Clock) Uptime() time.Duration { return boottime.Since(c.start) }
 
 // Now returns the time of day at the start plus the time since then, so that adjustments of the
 // system clock have no effect.
-func (c *Clock) Now() time.Time { return c.start.Add(steady.Since(c.start)) }
+func (c *Clock) Now() time.Time { return c.start.Add(boottime.Since(c.start)) }
 
 // Observe updates the estimate with the store's clock in an answer that has just arrived. The delay
 // of an answer lowers the estimate, so the highest one is kept.
 func (c *Clock) Observe(storeTime time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	storeTimeAtStart := storeTime - steady.Since(c.start)
+	storeTimeAtStart := storeTime - boottime.Since(c.start)
 	if !c.known || storeTimeAtStart > c.storeTimeAtStart {
 		c.storeTimeAtStart = storeTimeAtStart
 		c.known = true
@@ -48,7 +48,7 @@
 func (c *Clock) StoreTime() (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.storeTimeAtStart + steady.Since(c.start), c.known
+	return c.storeTimeAtStart + boottime.Since(c.start), c.known
 }
 
 // Offset returns this host's time of day minus the store's clock, or false before the first answer.
