--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -159,15 +159,15 @@
 						d.rows.SetFaults(nil)
 						row, ok, _ := d.rows.Get(context.Background(), "job/k")
 						done := 0
-						for id, outcome := range outcomes {
+						for id, outcomeType := range outcomes {
 							owns := ok && string(row.Value) == id+"k"
-							if outcome == "table.Done" {
+							if outcomeType == "table.Done" {
 								done++
 								if !owns {
 									t.Errorf("outcome at %s: got Done, but the row is %q", id, row.Value)
 								}
 							}
-							if outcome == "table.Refused" && owns {
+							if outcomeType == "table.Refused" && owns {
 								t.Errorf("outcome at %s: got Refused, but the row is its own", id)
 							}
 						}
