--- a/pkg/lab/engine.go
+++ b/pkg/lab/engine.go
@@ -4,21 +4,21 @@
 	"time"
 )
 
-// Engine says how fast an engine is. It runs a batch step by step: each step makes a
+// EngineParams says how fast an engine is. It runs a batch step by step: each step makes a
 // token of every answer and reads a chunk of the prompts that wait, in their order.
-type Engine struct {
-	// Batch is how many requests run at once, Queue how many more may wait.
-	Batch, Queue int
-	// Chunk is the prompt tokens read in a step at most.
-	Chunk int
-	// Step is the time of a step, StepSlot what each running request adds.
-	Step, StepSlot time.Duration
-	// Prefill is the time of a prompt token; Pair what each token before it adds.
-	Prefill, Pair time.Duration
-	// First is how long a first token takes beside its step.
-	First time.Duration
-	// Memory is the tokens kept of prompts that were read.
-	Memory int
+type EngineParams struct {
+	// BatchSize is how many requests run at once, QueueSize how many more may wait.
+	BatchSize, QueueSize int
+	// PrefillChunk is the prompt tokens read in a step at most.
+	PrefillChunk int
+	// StepTime is the time of a step, StepTimePerRequest what each running request adds.
+	StepTime, StepTimePerRequest time.Duration
+	// PrefillTimePerToken is the time of a prompt token; AttentionTimePerPair what each token before it adds.
+	PrefillTimePerToken, AttentionTimePerPair time.Duration
+	// OutputDelay is how long a first token takes beside its step.
+	OutputDelay time.Duration
+	// CacheTokens is the tokens kept of prompts that were read.
+	CacheTokens int
 }
 
 // run is a request at an engine.
@@ -32,7 +32,7 @@
 
 // engine is one endpoint's engine.
 type engine struct {
-	figures  Engine
+	figures  EngineParams
 	play     *play
 	running  []*run
 	waiting  []*run
@@ -42,13 +42,13 @@
 	gone bool
 }
 
-func newEngine(p *play, figures Engine) *engine {
-	return &engine{figures: figures, play: p, kept: newMemory(figures.Memory)}
+func newEngine(p *play, figures EngineParams) *engine {
+	return &engine{figures: figures, play: p, kept: newMemory(figures.CacheTokens)}
 }
 
 // accept takes a request; it reports false where the engine is full.
 func (e *engine) accept(r *run) bool {
-	if e.gone || len(e.running)+len(e.waiting) >= e.figures.Batch+e.figures.Queue {
+	if e.gone || len(e.running)+len(e.waiting) >= e.figures.BatchSize+e.figures.QueueSize {
 		return false
 	}
 	e.waiting = append(e.waiting, r)
@@ -60,7 +60,7 @@
 
 // step begins a step of the batch.
 func (e *engine) step() {
-	for len(e.waiting) > 0 && len(e.running) < e.figures.Batch {
+	for len(e.waiting) > 0 && len(e.running) < e.figures.BatchSize {
 		e.admit(e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
@@ -68,14 +68,14 @@
 	if !e.stepping {
 		return
 	}
-	left := e.figures.Chunk
-	took := e.figures.Step + time.Duration(len(e.running))*e.figures.StepSlot
+	left := e.figures.PrefillChunk
+	took := e.figures.StepTime + time.Duration(len(e.running))*e.figures.StepTimePerRequest
 	read := make([]int, len(e.running))
 	for i, r := range e.running {
 		read[i] = min(r.todo, left)
 		left -= read[i]
 		pairs := read[i] * (r.context + read[i]/2)
-		took += time.Duration(read[i])*e.figures.Prefill + time.Duration(pairs)*e.figures.Pair
+		took += time.Duration(read[i])*e.figures.PrefillTimePerToken + time.Duration(pairs)*e.figures.AttentionTimePerPair
 	}
 	e.play.after(took, func() { e.stepped(read) })
 }
@@ -102,14 +102,14 @@
 		switch {
 		case reading && r.todo == 0:
 			e.kept.add(r.prefix, r.covered)
-			e.play.after(e.figures.First, r.first)
+			e.play.after(e.figures.OutputDelay, r.first)
 			r.made = 1
 		case !reading:
 			r.made++
 			r.context++
 		}
 		if r.made > 0 && r.made >= r.answer {
-			e.play.after(e.figures.First, r.done)
+			e.play.after(e.figures.OutputDelay, r.done)
 			continue
 		}
 		still = append(still, r)
--- a/pkg/lab/host.go
+++ b/pkg/lab/host.go
@@ -95,12 +95,12 @@
 	told.Sequence = h.sequence
 	placed := h.router.DrainPlacements()
 	for _, other := range h.play.hosts {
-		if other == h || h.play.random.Float64() < h.play.fleet.Loss {
+		if other == h || h.play.random.Float64() < h.play.fleet.DatagramLoss {
 			continue
 		}
 		copied := told
 		copied.Loads = append([]roster.Load(nil), told.Loads...)
-		h.play.after(h.play.fleet.Way, func() { other.hear(copied, placed, brief) })
+		h.play.after(h.play.fleet.NetworkDelay, func() { other.hear(copied, placed, brief) })
 	}
 }
 
@@ -132,7 +132,7 @@
 		return
 	}
 	h.urgent()
-	h.play.after(h.play.fleet.Way, func() { h.send(r, choice) })
+	h.play.after(h.play.fleet.NetworkDelay, func() { h.send(r, choice) })
 }
 
 // comeBackNoEndpoint is what callers are told where no endpoint serves.
@@ -158,7 +158,7 @@
 		h.play.served(r, choice)
 	}
 	at.done = func() {
-		result := route.Result{PrefillDone: true, FirstToken: first - sent + h.play.fleet.Way, Tokens: r.answer - 1, Decode: h.play.line.Now() - first}
+		result := route.Result{PrefillDone: true, FirstToken: first - sent + h.play.fleet.NetworkDelay, Tokens: r.answer - 1, Decode: h.play.line.Now() - first}
 		router.Done(choice, result, h.play.time())
 	}
 	if !h.play.engines[choice.Endpoint.ID].accept(at) {
--- a/pkg/lab/lab_test.go
+++ b/pkg/lab/lab_test.go
@@ -14,29 +14,29 @@
 // credit is a model for loan files on hosts of one region: 16 take callers.
 func credit() lab.Fleet {
 	return lab.Fleet{
-		Hosts: 16, Endpoints: 78, DataCenters: 6, Way: time.Millisecond, Loss: 0.005,
-		Engine: lab.Engine{
-			Batch: 64, Queue: 134, Chunk: 4096, Step: 5950 * time.Microsecond, StepSlot: 44500 * time.Nanosecond,
-			Prefill: 19720 * time.Nanosecond, Pair: 0, First: 10 * time.Millisecond, Memory: 583_000,
+		Hosts: 16, Endpoints: 78, DataCenters: 6, NetworkDelay: time.Millisecond, DatagramLoss: 0.005,
+		Engine: lab.EngineParams{
+			BatchSize: 64, QueueSize: 134, PrefillChunk: 4096, StepTime: 5950 * time.Microsecond, StepTimePerRequest: 44500 * time.Nanosecond,
+			PrefillTimePerToken: 19720 * time.Nanosecond, AttentionTimePerPair: 0, OutputDelay: 10 * time.Millisecond, CacheTokens: 583_000,
 		},
 	}
 }
 
 // files is full reviews of many files, each met for the first time during the run,
 // summaries and short questions.
-func files() []lab.Kind {
-	return []lab.Kind{
+func files() []lab.RequestKind {
+	return []lab.RequestKind{
 		{
-			Name: "review", Rate: 99.5, Parts: []lab.Part{{Tokens: 13_300, Spread: 0.7, Things: 661}}, Own: 3720, OwnSpread: 1.1,
-			Answer: 120, Objective: time.Second, Limit: 15 * time.Second, Priority: 1, Worth: 3,
+			Name: "review", Rate: 99.5, SharedParts: []lab.PromptPart{{MeanTokens: 13_300, Spread: 0.7, Variants: 661}}, OwnTokens: 3720, OwnTokensSpread: 1.1,
+			AnswerTokens: 120, Objective: time.Second, Timeout: 15 * time.Second, Priority: 1, Value: 3,
 		},
 		{
-			Name: "summary", Rate: 43.7, Parts: []lab.Part{{Tokens: 2520, Spread: 0.4, Things: 4}, {Tokens: 3780, Spread: 0.7, Things: 291}},
-			Own: 2890, OwnSpread: 1, Answer: 52, Objective: time.Second, Limit: 8 * time.Second, Worth: 2.5,
+			Name: "summary", Rate: 43.7, SharedParts: []lab.PromptPart{{MeanTokens: 2520, Spread: 0.4, Variants: 4}, {MeanTokens: 3780, Spread: 0.7, Variants: 291}},
+			OwnTokens: 2890, OwnTokensSpread: 1, AnswerTokens: 52, Objective: time.Second, Timeout: 8 * time.Second, Value: 2.5,
 		},
 		{
-			Name: "question", Rate: 123, Parts: []lab.Part{{Tokens: 210, Spread: 0.4, Things: 39}, {Tokens: 140, Spread: 0.7, Things: 549}},
-			Own: 1110, OwnSpread: 1, Answer: 172, Objective: 800 * time.Millisecond, Limit: 15 * time.Second, Priority: 2, Worth: 0.34,
+			Name: "question", Rate: 123, SharedParts: []lab.PromptPart{{MeanTokens: 210, Spread: 0.4, Variants: 39}, {MeanTokens: 140, Spread: 0.7, Variants: 549}},
+			OwnTokens: 1110, OwnTokensSpread: 1, AnswerTokens: 172, Objective: 800 * time.Millisecond, Timeout: 15 * time.Second, Priority: 2, Value: 0.34,
 		},
 	}
 }
@@ -46,19 +46,19 @@
 // as read there, 0.947 to 0.956 of the reviews had their first token within a second
 // (seeds 1 to 3) and 1 in 100 of all first tokens came 1.2 s later than reckoned.
 func TestNewFiles(t *testing.T) {
-	load := lab.Load{Kinds: files(), Lasts: 20 * time.Second, Settle: 3 * time.Second}
+	load := lab.Workload{Kinds: files(), Duration: 20 * time.Second, WarmUp: 3 * time.Second}
 	eachSeed(t, credit(), load, func(o *lab.Outcome) {
-		atLeast(t, "reviews in time", o.Of("review").InTimeShare(), 0.97)
-		atLeast(t, "summaries in time", o.Of("summary").InTimeShare(), 0.99)
-		atLeast(t, "questions in time", o.Of("question").InTimeShare(), 0.99)
-		if got, want := o.OffAt(0.99), 400*time.Millisecond; got > want {
+		atLeast(t, "reviews in time", o.ForKind("review").OnTimeShare(), 0.97)
+		atLeast(t, "summaries in time", o.ForKind("summary").OnTimeShare(), 0.99)
+		atLeast(t, "questions in time", o.ForKind("question").OnTimeShare(), 0.99)
+		if got, want := o.WaitErrorQuantile(0.99), 400*time.Millisecond; got > want {
 			t.Errorf("1 in 100 first tokens later than reckoned: got %v, want %v at most", got, want)
 		}
 	})
 }
 
 // eachSeed plays a load with each seed, prints what callers got, and checks it.
-func eachSeed(t *testing.T, fleet lab.Fleet, load lab.Load, check func(*lab.Outcome)) {
+func eachSeed(t *testing.T, fleet lab.Fleet, load lab.Workload, check func(*lab.Outcome)) {
 	t.Helper()
 	for seed := range *seeds {
 		o := lab.Run(fleet, load, uint64(seed+1))
@@ -76,7 +76,7 @@
 
 // A run of a seed gives the same each time.
 func TestRunsRepeat(t *testing.T) {
-	load := lab.Load{Kinds: files(), Lasts: 3 * time.Second, Settle: time.Second}
+	load := lab.Workload{Kinds: files(), Duration: 3 * time.Second, WarmUp: time.Second}
 	first, second := lab.Run(credit(), load, 7), lab.Run(credit(), load, 7)
 	if got, want := second.String(), first.String(); got != want {
 		t.Errorf("second run: got\n%s\nwant\n%s", got, want)
@@ -97,15 +97,15 @@
 	}{{78, 0.965, 10}, {50, 0.95, 40}, {34, 0.78, 650}, {24, 0.5, 1900}} {
 		fleet := credit()
 		fleet.Endpoints = c.engines
-		load := lab.Load{
-			Kinds: files(), Lasts: 20 * time.Second, Settle: 3 * time.Second,
-			Bursts: []lab.Burst{{At: 8 * time.Second, For: 3 * time.Second, Times: 1.7}},
+		load := lab.Workload{
+			Kinds: files(), Duration: 20 * time.Second, WarmUp: 3 * time.Second,
+			Bursts: []lab.Burst{{Start: 8 * time.Second, Duration: 3 * time.Second, Factor: 1.7}},
 		}
 		eachSeed(t, fleet, load, func(o *lab.Outcome) {
-			summary, review, question := o.Of("summary"), o.Of("review"), o.Of("question")
-			atLeast(t, "worth earned", o.EarnedShare(), c.earned)
-			atLeast(t, "summaries in time, the most urgent", summary.InTimeShare(), review.InTimeShare())
-			if got := summary.Lost + review.Lost + question.Lost; got > c.lost {
+			summary, review, question := o.ForKind("summary"), o.ForKind("review"), o.ForKind("question")
+			atLeast(t, "worth earned", o.EarnedValueShare(), c.earned)
+			atLeast(t, "summaries in time, the most urgent", summary.OnTimeShare(), review.OnTimeShare())
+			if got := summary.Failed + review.Failed + question.Failed; got > c.lost {
 				t.Errorf("%d engines: got %d requests that got nothing, want %d at most", c.engines, got, c.lost)
 			}
 		})
@@ -117,11 +117,11 @@
 func TestDataCentersLost(t *testing.T) {
 	fleet := credit()
 	fleet.Endpoints = 96
-	load := lab.Load{
-		Kinds: files(), Lasts: 18 * time.Second, Settle: 3 * time.Second, Lost: []time.Duration{6 * time.Second, 10 * time.Second},
+	load := lab.Workload{
+		Kinds: files(), Duration: 18 * time.Second, WarmUp: 3 * time.Second, DataCenterFailures: []time.Duration{6 * time.Second, 10 * time.Second},
 	}
 	eachSeed(t, fleet, load, func(o *lab.Outcome) {
-		atLeast(t, "worth earned", o.EarnedShare(), 0.94)
+		atLeast(t, "worth earned", o.EarnedValueShare(), 0.94)
 	})
 }
 
@@ -131,12 +131,12 @@
 func TestHostsStartAnew(t *testing.T) {
 	fleet := credit()
 	fleet.Endpoints = 60
-	load := lab.Load{
-		Kinds: files(), Lasts: 20 * time.Second, Settle: 3 * time.Second, Restarts: []time.Duration{9 * time.Second, 13 * time.Second},
+	load := lab.Workload{
+		Kinds: files(), Duration: 20 * time.Second, WarmUp: 3 * time.Second, HostRestarts: []time.Duration{9 * time.Second, 13 * time.Second},
 	}
 	eachSeed(t, fleet, load, func(o *lab.Outcome) {
-		atLeast(t, "worth earned", o.EarnedShare(), 0.955)
-		if got, want := o.ReadAgain, 6_000_000; got > want {
+		atLeast(t, "worth earned", o.EarnedValueShare(), 0.955)
+		if got, want := o.RecomputedTokens, 6_000_000; got > want {
 			t.Errorf("shared tokens read again: got %d, want %d at most", got, want)
 		}
 	})
--- a/pkg/lab/play.go
+++ b/pkg/lab/play.go
@@ -15,25 +15,25 @@
 	// Hosts is how many take callers, Endpoints how many engines there are; both
 	// are spread over DataCenters.
 	Hosts, Endpoints, DataCenters int
-	Engine                        Engine
-	// Way is the time of a datagram or a request between two hosts, Loss the part
+	Engine                        EngineParams
+	// NetworkDelay is the time of a datagram or a request between two hosts, Loss the part
 	// of the datagrams that do not arrive.
-	Way  time.Duration
-	Loss float64
+	NetworkDelay time.Duration
+	DatagramLoss float64
 }
 
-// Load is what is asked of a fleet.
-type Load struct {
-	Kinds  []Kind
+// Workload is what is asked of a fleet.
+type Workload struct {
+	Kinds  []RequestKind
 	Bursts []Burst
-	// Lasts is how long requests come; those of the time up to Settle are not
+	// Duration is how long requests come; those of the time up to WarmUp are not
 	// counted, in which hosts learn how fast the engines are.
-	Lasts, Settle time.Duration
-	// Lost is when the engines of a data centre end, in turn.
-	Lost []time.Duration
-	// Restarts is when all hosts start anew and have forgotten what they knew; what
+	Duration, WarmUp time.Duration
+	// DataCenterFailures is when the engines of a data centre end, in turn.
+	DataCenterFailures []time.Duration
+	// HostRestarts is when all hosts start anew and have forgotten what they knew; what
 	// runs at the engines goes on.
-	Restarts []time.Duration
+	HostRestarts []time.Duration
 }
 
 // play is one run.
@@ -55,22 +55,22 @@
 func (p *play) time() time.Time { return epoch.Add(p.line.Now()) }
 
 // Run plays a load and returns what callers got. The same seed gives the same.
-func Run(fleet Fleet, load Load, seed uint64) *Outcome {
+func Run(fleet Fleet, load Workload, seed uint64) *Outcome {
 	p := &play{
 		fleet: fleet, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*engine{}, read: map[uint64]bool{},
-		settle: load.Settle, outcome: newOutcome(),
+		settle: load.WarmUp, outcome: newOutcome(),
 	}
 	p.build()
-	for _, r := range arrivals(load.Kinds, load.Bursts, load.Lasts, rand.New(rand.NewPCG(seed, 2))) {
+	for _, r := range arrivals(load.Kinds, load.Bursts, load.Duration, rand.New(rand.NewPCG(seed, 2))) {
 		p.after(r.asked, func() { p.ask(r) })
 	}
-	for i, at := range load.Lost {
+	for i, at := range load.DataCenterFailures {
 		p.after(at, func() { p.lose(p.dataCenter(i)) })
 	}
-	for _, at := range load.Restarts {
+	for _, at := range load.HostRestarts {
 		p.after(at, p.restart)
 	}
-	p.line.Run(load.Lasts+drainTime, nil)
+	p.line.Run(load.Duration+drainTime, nil)
 	p.outcome.close()
 	return p.outcome
 }
@@ -87,7 +87,7 @@
 	for i := range p.fleet.Endpoints {
 		info := endpoint.Info{
 			ID: fmt.Sprintf("e%04d", i), Incarnation: 1, Counter: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: service,
-			DataCenter: p.dataCenter(i), Slots: p.fleet.Engine.Batch, Engine: true,
+			DataCenter: p.dataCenter(i), Slots: p.fleet.Engine.BatchSize, Engine: true,
 		}
 		p.engines[info.ID] = newEngine(p, p.fleet.Engine)
 		for _, h := range p.hosts {
@@ -128,30 +128,30 @@
 
 func (p *play) ask(r *request) {
 	if r.asked >= p.settle && !r.returned {
-		o := p.outcome.of(r.kind.Name)
-		o.Asked++
-		o.Worth += r.worth()
+		o := p.outcome.getOrCreate(r.kind.Name)
+		o.Requests++
+		o.MaxValue += r.worth()
 	}
 	p.hosts[p.random.IntN(len(p.hosts))].serve(r)
 }
 
 // refused lets a caller come back once, as told.
 func (p *play) refused(r *request, comeBack time.Duration) {
-	left := r.asked + r.kind.Limit - p.line.Now()
+	left := r.asked + r.kind.Timeout - p.line.Now()
 	if r.returned || comeBack > left/3 {
 		p.lost(r)
 		return
 	}
 	r.returned = true
 	if r.asked >= p.settle {
-		p.outcome.of(r.kind.Name).SentBack++
+		p.outcome.getOrCreate(r.kind.Name).Retried++
 	}
 	p.after(comeBack, func() { p.ask(r) })
 }
 
 func (p *play) lost(r *request) {
 	if r.asked >= p.settle {
-		p.outcome.of(r.kind.Name).Lost++
+		p.outcome.getOrCreate(r.kind.Name).Failed++
 	}
 }
 
@@ -160,14 +160,14 @@
 	if r.asked < p.settle {
 		return
 	}
-	o := p.outcome.of(r.kind.Name)
+	o := p.outcome.getOrCreate(r.kind.Name)
 	first := p.line.Now() - r.asked
-	o.First = append(o.First, first)
+	o.FirstTokenTimes = append(o.FirstTokenTimes, first)
 	if first <= r.kind.Objective {
-		o.InTime++
-		o.Earned += r.worth()
+		o.OnTime++
+		o.EarnedValue += r.worth()
 	} else {
-		o.Earned += lateWorth * r.worth()
+		o.EarnedValue += lateWorth * r.worth()
 	}
 	p.outcome.reckoned(choice.Wait, p.time().Sub(choice.Sent()))
 }
@@ -178,11 +178,11 @@
 	if r.asked < p.settle {
 		return
 	}
-	p.outcome.Read += r.promptTokens() - held
+	p.outcome.PrefillTokens += r.promptTokens() - held
 	before := 0
 	for i, hash := range r.prefix[:len(r.prefix)-1] {
 		if r.covered[i] > held && p.read[hash] {
-			p.outcome.ReadAgain += r.covered[i] - max(before, held)
+			p.outcome.RecomputedTokens += r.covered[i] - max(before, held)
 		}
 		before = r.covered[i]
 		p.read[hash] = true
--- a/pkg/lab/traffic.go
+++ b/pkg/lab/traffic.go
@@ -14,54 +14,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is a part of a prompt that several requests have alike.
-type Part struct {
-	// Tokens is the mean length; lengths spread by Spread (of a lognormal
+// PromptPart is a part of a prompt that several requests have alike.
+type PromptPart struct {
+	// MeanTokens is the mean length; lengths spread by Spread (of a lognormal
 	// distribution) over Things different parts.
-	Tokens, Spread float64
-	Things         int
+	MeanTokens, Spread float64
+	Variants           int
 }
 
-// Kind is one kind of request.
-type Kind struct {
+// RequestKind is one kind of request.
+type RequestKind struct {
 	Name string
 	// Rate is requests a second over all callers.
 	Rate float64
-	// Parts are the shared parts, from the prompt's start.
-	Parts []Part
-	// Own is the mean tokens of the part that no other request has, with OwnSpread.
-	Own, OwnSpread float64
-	// Answer is the mean tokens of the answer.
-	Answer    float64
-	Objective time.Duration
-	// Limit is how long callers wait in all.
-	Limit    time.Duration
+	// SharedParts are the shared parts, from the prompt's start.
+	SharedParts []PromptPart
+	// OwnTokens is the mean tokens of the part that no other request has, with OwnTokensSpread.
+	OwnTokens, OwnTokensSpread float64
+	// AnswerTokens is the mean tokens of the answer.
+	AnswerTokens float64
+	Objective    time.Duration
+	// Timeout is how long callers wait in all.
+	Timeout  time.Duration
 	Priority int
-	// Worth is what an answer within the objective is worth to a caller of the mean
+	// Value is what an answer within the objective is worth to a caller of the mean
 	// size; a late one is worth a tenth.
-	Worth float64
+	Value float64
 }
 
 // mean is the mean size of a request, where a token made counts as much as
 // madeWeight tokens read.
-func (k *Kind) mean() float64 {
-	sum := k.Own + madeWeight*k.Answer
-	for _, p := range k.Parts {
-		sum += p.Tokens
+func (k *RequestKind) mean() float64 {
+	sum := k.OwnTokens + madeWeight*k.AnswerTokens
+	for _, p := range k.SharedParts {
+		sum += p.MeanTokens
 	}
 	return sum
 }
 
 // Burst is a time in which a kind comes more often, all kinds where Kind is empty.
 type Burst struct {
-	At, For time.Duration
-	Kind    string
-	Times   float64
+	Start, Duration time.Duration
+	Kind            string
+	Factor          float64
 }
 
 // request is one request of a caller.
 type request struct {
-	kind  *Kind
+	kind  *RequestKind
 	asked time.Duration
 	// prefix and covered are the hashes of the parts and the tokens up to each one's
 	// end; the last part is the request's own.
@@ -87,7 +87,7 @@
 // worth is what an answer within the objective is worth.
 func (r *request) worth() float64 {
 	size := float64(r.promptTokens()) + madeWeight*float64(r.answer)
-	return r.kind.Worth * (baseWorth + (1-baseWorth)*size/r.kind.mean())
+	return r.kind.Value * (baseWorth + (1-baseWorth)*size/r.kind.mean())
 }
 
 // largest is by how many times a length may be above its mean.
@@ -100,7 +100,7 @@
 }
 
 // arrivals draws the requests of a run, in order of time.
-func arrivals(kinds []Kind, bursts []Burst, lasts time.Duration, random *rand.Rand) []*request {
+func arrivals(kinds []RequestKind, bursts []Burst, lasts time.Duration, random *rand.Rand) []*request {
 	var list []*request
 	at := time.Duration(0)
 	for {
@@ -116,17 +116,17 @@
 	}
 }
 
-func (k *Kind) rateAt(bursts []Burst, at time.Duration) float64 {
+func (k *RequestKind) rateAt(bursts []Burst, at time.Duration) float64 {
 	rate := k.Rate
 	for _, b := range bursts {
-		if at >= b.At && at < b.At+b.For && (b.Kind == "" || b.Kind == k.Name) {
-			rate *= b.Times
+		if at >= b.Start && at < b.Start+b.Duration && (b.Kind == "" || b.Kind == k.Name) {
+			rate *= b.Factor
 		}
 	}
 	return rate
 }
 
-func pick(kinds []Kind, bursts []Burst, at time.Duration, random *rand.Rand) *Kind {
+func pick(kinds []RequestKind, bursts []Burst, at time.Duration, random *rand.Rand) *RequestKind {
 	total := 0.0
 	for i := range kinds {
 		total += kinds[i].rateAt(bursts, at)
@@ -141,20 +141,20 @@
 }
 
 // draw draws one request. The length of a shared part follows from which it is.
-func draw(k *Kind, at time.Duration, random *rand.Rand) *request {
+func draw(k *RequestKind, at time.Duration, random *rand.Rand) *request {
 	r := &request{kind: k, asked: at}
 	covered := 0
 	path := k.Name
-	for _, p := range k.Parts {
-		path = fmt.Sprintf("%s/%d", path, random.IntN(p.Things))
+	for _, p := range k.SharedParts {
+		path = fmt.Sprintf("%s/%d", path, random.IntN(p.Variants))
 		hash := xxhash.Sum64String(path)
-		covered += lognormal(rand.New(rand.NewPCG(hash, 1)), p.Tokens, p.Spread)
+		covered += lognormal(rand.New(rand.NewPCG(hash, 1)), p.MeanTokens, p.Spread)
 		r.prefix = append(r.prefix, hash)
 		r.covered = append(r.covered, covered)
 	}
 	r.prefix = append(r.prefix, random.Uint64())
-	r.covered = append(r.covered, covered+lognormal(random, k.Own, k.OwnSpread))
-	r.answer = lognormal(random, k.Answer, answerSpread)
+	r.covered = append(r.covered, covered+lognormal(random, k.OwnTokens, k.OwnTokensSpread))
+	r.answer = lognormal(random, k.AnswerTokens, answerSpread)
 	r.hint = max(int(float64(r.answer)*math.Exp(hintSpread*random.NormFloat64())), 1)
 	return r
 }
--- a/pkg/rolloutlab/host.go
+++ b/pkg/rolloutlab/host.go
@@ -108,7 +108,7 @@
 	}
 	inPeriod := p.line.Now() >= warmUp && p.line.Now() < warmUp+p.site.Period
 	if inPeriod {
-		p.outcome.Asked++
+		p.outcome.Requests++
 	}
 	id := strconv.Itoa(number)
 	route := p.draw()
@@ -121,13 +121,13 @@
 		}
 	}
 	if e == nil {
-		p.outcome.Unserved++
+		p.outcome.UnservedRequests++
 		return
 	}
 	if e.info.Release == target && p.line.Now() >= h.harmedUntil {
 		p.sentAt = append(p.sentAt, p.line.Now())
 		if inPeriod {
-			p.outcome.Tried++
+			p.outcome.TargetRequests++
 		}
 	}
 	h.send(e, route, kind)
@@ -137,10 +137,10 @@
 func (p *play) draw() int {
 	x := p.random.Float64()
 	for i, r := range p.site.Routes {
-		if x < r.Part {
+		if x < r.Share {
 			return i
 		}
-		x -= r.Part
+		x -= r.Share
 	}
 	return 0
 }
@@ -168,17 +168,17 @@
 	p := h.play
 	r := p.site.Routes[route]
 	e.running++
-	took := time.Duration(float64(r.Mean) * math.Exp(r.Spread*p.random.NormFloat64()-r.Spread*r.Spread/2))
+	took := time.Duration(float64(r.MeanTime) * math.Exp(r.Spread*p.random.NormFloat64()-r.Spread*r.Spread/2))
 	took = time.Duration(float64(took) * max(1, float64(e.running)/slots))
-	failed := p.random.Float64() < r.Fails || e.grey && p.random.Float64() < 0.4
+	failed := p.random.Float64() < r.FailureRate || e.grey && p.random.Float64() < 0.4
 	if e.slow {
 		took *= 4
 	}
 	bad := e.info.Release == target && p.isBad(e, route)
-	if bad && p.site.Target.Slow > 0 {
-		took = time.Duration(float64(took) * p.site.Target.Slow)
+	if bad && p.site.Target.SlowFactor > 0 {
+		took = time.Duration(float64(took) * p.site.Target.SlowFactor)
 	}
-	failed = failed || bad && p.site.Target.Slow == 0
+	failed = failed || bad && p.site.Target.SlowFactor == 0
 	split, incarnation := h.split, h.incarnation
 	sent := split.StartAttempt(service, &e.info, kind, 0, p.time())
 	p.after(took, func() {
@@ -197,13 +197,13 @@
 // isBad reports whether the target harms an answer.
 func (p *play) isBad(e *server, route int) bool {
 	b := p.site.Target
-	begins := warmUp + time.Duration(b.After*float64(p.site.Period))
+	begins := warmUp + time.Duration(b.StartsAfter*float64(p.site.Period))
 	switch {
-	case p.line.Now() < begins, p.random.Float64() >= b.Harmed:
+	case p.line.Now() < begins, p.random.Float64() >= b.BadShare:
 		return false
-	case b.UnderLoad && float64(e.running) < max(0.7*p.carry, 1):
+	case b.OnlyUnderLoad && float64(e.running) < max(0.7*p.carry, 1):
 		return false
-	case b.OneRoute && route != len(p.site.Routes)-1:
+	case b.OnlyRarestRoute && route != len(p.site.Routes)-1:
 		return false
 	}
 	return true
@@ -236,7 +236,7 @@
 			p.row, p.hasRow = rollout.State{Order: order, Phase: rollout.Trying, Started: p.line.Now()}, true
 		}
 		d := &desk{host: h.number, heard: map[string]time.Duration{}}
-		d.owner = rollout.NewOwner(p.row, p.site.Bounds, p.site.Judge, p.epoch, p.line.Now())
+		d.owner = rollout.NewOwner(p.row, p.site.Bounds, p.site.Test, p.epoch, p.line.Now())
 		p.owner = d
 		p.after(0, func() { p.step(d) })
 		p.after(0, func() { p.round(d) })
@@ -301,7 +301,7 @@
 	}
 	p.row.Phase, p.row.Reason = s.Write, s.Reason
 	if s.Write.Ended() {
-		p.outcome.Ended = p.line.Now() - warmUp
+		p.outcome.EndedAfter = p.line.Now() - warmUp
 	}
 	if s.Write == rollout.Completed {
 		p.end(before)
--- a/pkg/rolloutlab/lab_test.go
+++ b/pkg/rolloutlab/lab_test.go
@@ -22,36 +22,36 @@
 
 // drawSite draws a roll-out: half of the versions good, services of 4 and of 60
 // endpoints, 5 to 400 requests a second, periods of 6 to 60 s, no fault, one or two.
-func drawSite(seed uint64) rolloutlab.Site {
+func drawSite(seed uint64) rolloutlab.Scenario {
 	random := rand.New(rand.NewPCG(seed, 99))
-	s := rolloutlab.Site{
+	s := rolloutlab.Scenario{
 		Hosts: 4 + random.IntN(9), Endpoints: 60, Rate: 5 * float64(uint(1)<<random.IntN(7)) * (1 + 0.25*random.Float64()),
 		Period: time.Duration(6+random.IntN(55)) * time.Second,
-		Bounds: rollout.Bounds{Share: 0.1, Slack: 50}, Judge: rollout.DefaultBayesTest(),
+		Bounds: rollout.Bounds{Share: 0.1, Slack: 50}, Test: rollout.DefaultBayesTest(),
 	}
-	s.Boot = time.Duration(random.Float64() * min(4, 0.3*s.Period.Seconds()) * float64(time.Second))
+	s.BootTime = time.Duration(random.Float64() * min(4, 0.3*s.Period.Seconds()) * float64(time.Second))
 	s.Routes = []rolloutlab.Route{
-		{Part: 0.55, Fails: 0.01, Mean: 700 * time.Millisecond, Spread: 0.4},
-		{Part: 0.3, Fails: 0.004, Mean: 300 * time.Millisecond, Spread: 0.5},
-		{Part: 0.15, Fails: 0.01, Mean: 900 * time.Millisecond, Spread: 0.4},
+		{Share: 0.55, FailureRate: 0.01, MeanTime: 700 * time.Millisecond, Spread: 0.4},
+		{Share: 0.3, FailureRate: 0.004, MeanTime: 300 * time.Millisecond, Spread: 0.5},
+		{Share: 0.15, FailureRate: 0.01, MeanTime: 900 * time.Millisecond, Spread: 0.4},
 	}
 	if random.IntN(2) == 0 {
 		s.Endpoints = 4
 		s.Routes = []rolloutlab.Route{
-			{Part: 0.81, Fails: 0.004, Mean: 60 * time.Millisecond, Spread: 0.5},
-			{Part: 0.19, Fails: 0.14, Mean: 60 * time.Millisecond, Spread: 0.5},
+			{Share: 0.81, FailureRate: 0.004, MeanTime: 60 * time.Millisecond, Spread: 0.5},
+			{Share: 0.19, FailureRate: 0.14, MeanTime: 60 * time.Millisecond, Spread: 0.5},
 		}
 	}
 	if seed%2 == 1 {
-		s.Target = rolloutlab.Badness{Harmed: 0.3 + 0.6*random.Float64()}
+		s.Target = rolloutlab.Defect{BadShare: 0.3 + 0.6*random.Float64()}
 		if random.IntN(2) == 0 {
-			s.Target.Slow = 3 + 3*random.Float64()
+			s.Target.SlowFactor = 3 + 3*random.Float64()
 		}
 		if random.IntN(3) == 0 {
-			s.Target.After = 0.1 + 0.5*random.Float64()
+			s.Target.StartsAfter = 0.1 + 0.5*random.Float64()
 		}
-		s.Target.UnderLoad = random.IntN(4) == 0
-		s.Target.OneRoute = random.IntN(4) == 0
+		s.Target.OnlyUnderLoad = random.IntN(4) == 0
+		s.Target.OnlyRarestRoute = random.IntN(4) == 0
 	}
 	for range random.IntN(3) {
 		s.Faults = append(s.Faults, rolloutlab.Faults[random.IntN(len(rolloutlab.Faults))])
@@ -62,15 +62,15 @@
 // played is a roll-out and how it ended.
 type played struct {
 	seed    uint64
-	site    rolloutlab.Site
+	site    rolloutlab.Scenario
 	outcome rolloutlab.Outcome
 }
 
 func (p played) String() string {
 	s := p.site
 	return fmt.Sprintf("seed %d: %v (%.2f, slow %.1f, after %.2f), %d hosts, %d endpoints, %.0f/s, period %v, boot %v, faults %v: %v",
-		p.seed, s.Target, s.Target.Harmed, s.Target.Slow, s.Target.After, s.Hosts, s.Endpoints, s.Rate, s.Period,
-		s.Boot.Round(time.Millisecond), s.Faults, p.outcome)
+		p.seed, s.Target, s.Target.BadShare, s.Target.SlowFactor, s.Target.StartsAfter, s.Hosts, s.Endpoints, s.Rate, s.Period,
+		s.BootTime.Round(time.Millisecond), s.Faults, p.outcome)
 }
 
 func playAll(count, first int) []played {
@@ -112,7 +112,7 @@
 			c.add(p)
 		}
 		o := p.outcome
-		wrong := p.site.Target.Bad() && (o.Phase != rollout.Reverted || o.Exposed()) || !p.site.Target.Bad() && o.Phase != rollout.Completed || o.Cut > 0 || o.Ended > p.site.Period
+		wrong := p.site.Target.IsBad() && (o.Phase != rollout.Reverted || o.Exposed()) || !p.site.Target.IsBad() && o.Phase != rollout.Completed || o.CutRequests > 0 || o.EndedAfter > p.site.Period
 		if wrong || *seeds < 4 {
 			t.Log(p)
 		}
@@ -153,16 +153,16 @@
 
 func (c *tally) add(p played) {
 	o := p.outcome
-	if o.Ended == 0 {
+	if o.EndedAfter == 0 {
 		c.undecided++
 	}
-	if o.Ended > p.site.Period {
+	if o.EndedAfter > p.site.Period {
 		c.late++
 	}
-	if o.Cut > 0 {
+	if o.CutRequests > 0 {
 		c.cut++
 	}
-	if !p.site.Target.Bad() {
+	if !p.site.Target.IsBad() {
 		c.good++
 		c.reverted += btoi(o.Phase == rollout.Reverted)
 		if len(p.site.Faults) == 0 {
@@ -203,7 +203,7 @@
 	exposed, bad := 0, 0
 	for seed := uint64(1); seed < 40; seed += 2 {
 		site := drawSite(seed)
-		site.Judge.PriorBad = 1e-30
+		site.Test.PriorBad = 1e-30
 		o := rolloutlab.Run(site, seed)
 		bad++
 		exposed += btoi(o.Exposed())
--- a/pkg/rolloutlab/play.go
+++ b/pkg/rolloutlab/play.go
@@ -51,7 +51,7 @@
 
 // play is one run.
 type play struct {
-	site    Site
+	site    Scenario
 	random  *rand.Rand
 	line    timeline.Timeline
 	outcome Outcome
@@ -76,14 +76,14 @@
 func (p *play) time() time.Time { return epochTime.Add(p.line.Now()) }
 
 // Run plays a roll-out. The same seed gives the same.
-func Run(site Site, seed uint64) Outcome {
+func Run(site Scenario, seed uint64) Outcome {
 	p := &play{site: site, random: rand.New(rand.NewPCG(seed, 0)), storeBad: map[Fault]bool{}}
 	for i := range site.Hosts {
 		p.hosts = append(p.hosts, p.newHost(i))
 	}
 	mean := 0.0
 	for _, r := range site.Routes {
-		mean += r.Part * r.Mean.Seconds()
+		mean += r.Share * r.MeanTime.Seconds()
 	}
 	p.carry = site.Rate * mean / float64(site.Endpoints)
 	for i := range site.Endpoints {
@@ -99,7 +99,7 @@
 
 // isOver reports whether the order has ended so long ago that nothing of it follows.
 func (p *play) isOver() bool {
-	ended := p.outcome.Ended
+	ended := p.outcome.EndedAfter
 	return ended > 0 && p.line.Now() > warmUp+max(ended, p.site.Period)+rollbackTime
 }
 
@@ -107,10 +107,10 @@
 func (p *play) judge() {
 	o := &p.outcome
 	o.Phase = p.row.Phase
-	o.Why = p.row.Reason
-	o.Allowed = p.site.Bounds.Share*float64(o.Asked) + p.site.Bounds.Slack
-	if !p.site.Target.Bad() {
-		o.Allowed = math.Inf(1)
+	o.Reason = p.row.Reason
+	o.AllowedRequests = p.site.Bounds.Share*float64(o.Requests) + p.site.Bounds.Slack
+	if !p.site.Target.IsBad() {
+		o.AllowedRequests = math.Inf(1)
 		return
 	}
 	if len(p.sentAt) > 0 {
@@ -126,7 +126,7 @@
 	}
 	for _, at := range p.sentAt {
 		if at > p.badAt[rollbackAnswers-1]+rollbackTime {
-			o.LateTried++
+			o.LateTargetRequests++
 		}
 	}
 }
@@ -137,7 +137,7 @@
 	for _, h := range p.hosts {
 		p.after(time.Duration(p.random.IntN(100))*time.Millisecond, func() { h.hearOrder(order) })
 	}
-	p.after(p.site.Boot, func() {
+	p.after(p.site.BootTime, func() {
 		for i := range p.site.Endpoints {
 			p.endpoints = append(p.endpoints, p.newServer(fmt.Sprintf("b%03d", i), target))
 		}
@@ -183,7 +183,7 @@
 		if e.info.Release == release && !e.gone {
 			e.gone = true
 			if release == before {
-				p.outcome.Cut += e.running
+				p.outcome.CutRequests += e.running
 			}
 		}
 	}
@@ -205,7 +205,7 @@
 		}
 	case HostKilled:
 		h.kill()
-	case HostFrozen, HostCut:
+	case HostFrozen, HostPartitioned:
 		h.harmed(faultTime)
 		h.frozen = h.frozen || f == HostFrozen
 		h.cut = true
--- a/pkg/rolloutlab/site.go
+++ b/pkg/rolloutlab/site.go
@@ -11,38 +11,38 @@
 	"ironhollow/pkg/rollout"
 )
 
-// Badness is how a version is bad.
-type Badness struct {
-	// Harmed is the part of its answers that are bad, 0 for a good version; Slow makes
-	// these Slow times as long, 0 makes them fail.
-	Harmed, Slow float64
-	// After is the part of the period after which it begins.
-	After float64
-	// UnderLoad says that only endpoints that carry what the others carry show it.
-	UnderLoad bool
-	// OneRoute says that only the requests of the rarest route show it.
-	OneRoute bool
+// Defect is how a version is bad.
+type Defect struct {
+	// BadShare is the part of its answers that are bad, 0 for a good version; SlowFactor makes
+	// these SlowFactor times as long, 0 makes them fail.
+	BadShare, SlowFactor float64
+	// StartsAfter is the part of the period after which it begins.
+	StartsAfter float64
+	// OnlyUnderLoad says that only endpoints that carry what the others carry show it.
+	OnlyUnderLoad bool
+	// OnlyRarestRoute says that only the requests of the rarest route show it.
+	OnlyRarestRoute bool
 }
 
-// Bad reports whether the version is bad.
-func (b Badness) Bad() bool { return b.Harmed > 0 }
+// IsBad reports whether the version is bad.
+func (b Defect) IsBad() bool { return b.BadShare > 0 }
 
 // String names the badness.
-func (b Badness) String() string {
-	if !b.Bad() {
+func (b Defect) String() string {
+	if !b.IsBad() {
 		return "good"
 	}
 	name := "fails"
-	if b.Slow > 0 {
+	if b.SlowFactor > 0 {
 		name = "slow"
 	}
-	if b.After > 0 {
+	if b.StartsAfter > 0 {
 		name += ", later"
 	}
-	if b.UnderLoad {
+	if b.OnlyUnderLoad {
 		name += ", under load"
 	}
-	if b.OneRoute {
+	if b.OnlyRarestRoute {
 		name += ", one route"
 	}
 	return name
@@ -62,8 +62,8 @@
 	OwnerKilled Fault = "owner-killed"
 	HostKilled  Fault = "host-killed"
 	HostFrozen  Fault = "host-frozen"
-	// HostCut loses all datagrams of a host and the store.
-	HostCut Fault = "host-cut"
+	// HostPartitioned loses all datagrams of a host and the store.
+	HostPartitioned Fault = "host-cut"
 	// StoreDown refuses writes, StoreLate does them and answers nothing.
 	StoreDown Fault = "store-down"
 	StoreLate Fault = "store-late"
@@ -72,61 +72,63 @@
 )
 
 // Faults are all of them.
-var Faults = []Fault{Grey, Slow, Burst, OwnerKilled, HostKilled, HostFrozen, HostCut, StoreDown, StoreLate, Reclaim}
+var Faults = []Fault{Grey, Slow, Burst, OwnerKilled, HostKilled, HostFrozen, HostPartitioned, StoreDown, StoreLate, Reclaim}
 
 // touchesEndpoints reports whether a fault is one of endpoints.
 func (f Fault) touchesEndpoints() bool { return f == Grey || f == Slow || f == Reclaim }
 
-// Site is what a roll-out is played on.
-type Site struct {
+// Scenario is what a roll-out is played on.
+type Scenario struct {
 	Hosts, Endpoints int
 	// Rate is the requests a second, over routes of unequal parts.
 	Rate   float64
 	Routes []Route
 	Period time.Duration
-	// Boot is how long after the order the target's endpoints are there.
-	Boot   time.Duration
-	Target Badness
-	Faults []Fault
-	Bounds rollout.Bounds
-	Judge  rollout.BayesTest
+	// BootTime is how long after the order the target's endpoints are there.
+	BootTime time.Duration
+	Target   Defect
+	Faults   []Fault
+	Bounds   rollout.Bounds
+	Test     rollout.BayesTest
 }
 
 // Route is one kind of request.
 type Route struct {
-	// Part is of all requests, Fails the part of the answers that fail by themselves.
-	Part, Fails float64
-	// Mean is how long an answer takes, Spread of its logarithm.
-	Mean   time.Duration
-	Spread float64
+	// Share is of all requests, FailureRate the part of the answers that fail by themselves.
+	Share, FailureRate float64
+	// MeanTime is how long an answer takes, Spread of its logarithm.
+	MeanTime time.Duration
+	Spread   float64
 }
 
 // Outcome is how a roll-out ended.
 type Outcome struct {
 	Phase rollout.Phase
-	// Ended is when it ended after the order, 0 if it did not.
-	Ended time.Duration
-	Why   string
-	// Asked is the requests between the order and the limit, Tried those of them that
+	// EndedAfter is when it ended after the order, 0 if it did not.
+	EndedAfter time.Duration
+	Reason     string
+	// Requests is the requests between the order and the limit, TargetRequests those of them that
 	// hosts in touch sent to the target; Allowed is what a bad version may get.
-	Asked, Tried int
-	Allowed      float64
-	// LateTried is requests sent by hosts in touch later than the users allow after the
+	Requests, TargetRequests int
+	AllowedRequests          float64
+	// LateTargetRequests is requests sent by hosts in touch later than the users allow after the
 	// target's 50th bad answer.
-	LateTried int
+	LateTargetRequests int
 	// BadAnswers are the target's until its last request was sent.
 	BadAnswers int
-	// Cut is the requests that ran at the others when these were ended.
-	Cut int
-	// Unserved is requests that found no endpoint.
-	Unserved int
+	// CutRequests is the requests that ran at the others when these were ended.
+	CutRequests int
+	// UnservedRequests is requests that found no endpoint.
+	UnservedRequests int
 }
 
 // Exposed reports whether a bad version got more than it may.
-func (o Outcome) Exposed() bool { return float64(o.Tried) > o.Allowed || o.LateTried > 0 }
+func (o Outcome) Exposed() bool {
+	return float64(o.TargetRequests) > o.AllowedRequests || o.LateTargetRequests > 0
+}
 
 // String is an outcome for a test's log.
 func (o Outcome) String() string {
 	return fmt.Sprintf("%v after %v (%s); tried %d of %d, allowed %.0f, late %d; %d bad answers, %d cut, %d unserved",
-		o.Phase, o.Ended.Round(time.Millisecond), o.Why, o.Tried, o.Asked, o.Allowed, o.LateTried, o.BadAnswers, o.Cut, o.Unserved)
+		o.Phase, o.EndedAfter.Round(time.Millisecond), o.Reason, o.TargetRequests, o.Requests, o.AllowedRequests, o.LateTargetRequests, o.BadAnswers, o.CutRequests, o.UnservedRequests)
 }
