--- a/pkg/lab/engine.go
+++ b/pkg/lab/engine.go
@@ -4,63 +4,68 @@
 	"time"
 )
 
-// EngineParams says how fast an engine is. It runs a batch step by step: each step makes a
-// token of every answer and reads a chunk of the prompts that wait, in their order.
+// EngineParams describes the speed and capacity of a simulated engine with continuous batching.
+// Each step generates one token for every request that is past its prefill, and prefills a chunk of
+// the remaining prompt tokens in the order of admission.
 type EngineParams struct {
-	// BatchSize is how many requests run at once, QueueSize how many more may wait.
+	// BatchSize is the number of requests that run at once, QueueSize the number of further
+	// requests that may wait.
 	BatchSize, QueueSize int
-	// PrefillChunk is the prompt tokens read in a step at most.
+	// PrefillChunk is the maximum number of prompt tokens that a step prefills.
 	PrefillChunk int
-	// StepTime is the time of a step, StepTimePerRequest what each running request adds.
+	// StepTime is the fixed duration of a step, StepTimePerRequest the addition for each running
+	// request.
 	StepTime, StepTimePerRequest time.Duration
-	// PrefillTimePerToken is the time of a prompt token; AttentionTimePerPair what each token before it adds.
+	// PrefillTimePerToken is the prefill time of a prompt token, AttentionTimePerPair the addition
+	// for each token that precedes it in the context.
 	PrefillTimePerToken, AttentionTimePerPair time.Duration
-	// OutputDelay is how long a first token takes beside its step.
+	// OutputDelay is the time between the end of a step and the arrival of its first or last token.
 	OutputDelay time.Duration
-	// CacheTokens is the tokens kept of prompts that were read.
+	// CacheTokens is the capacity of the prefix cache in tokens.
 	CacheTokens int
 }
 
-// run is a request at an engine.
-type run struct {
+// engineRequest is a request that is queued or running at an engine.
+type engineRequest struct {
 	*request
-	// todo is the prompt tokens not read yet, context those that are.
-	todo, context int
-	made          int
-	first, done   func()
+	// uncachedTokens is the number of prompt tokens that are not prefilled yet, contextTokens the
+	// number of tokens in the context.
+	uncachedTokens, contextTokens int
+	generatedTokens               int
+	onFirstToken, onDone          func()
 }
 
-// engine is one endpoint's engine.
+// engine simulates the engine of one endpoint.
 type engine struct {
-	figures  EngineParams
-	play     *play
-	running  []*run
-	waiting  []*run
-	kept     *memory
+	params   EngineParams
+	sim      *simulation
+	running  []*engineRequest
+	waiting  []*engineRequest
+	cache    *prefixCache
 	stepping bool
-	// gone says that the engine has ended; its runs are broken off.
-	gone bool
+	// stopped means that the engine has ended; its running requests are never completed.
+	stopped bool
 }
 
-func newEngine(p *play, figures EngineParams) *engine {
-	return &engine{figures: figures, play: p, kept: newMemory(figures.CacheTokens)}
+func newEngine(s *simulation, params EngineParams) *engine {
+	return &engine{params: params, sim: s, cache: newPrefixCache(params.CacheTokens)}
 }
 
-// accept takes a request; it reports false where the engine is full.
-func (e *engine) accept(r *run) bool {
-	if e.gone || len(e.running)+len(e.waiting) >= e.figures.BatchSize+e.figures.QueueSize {
+// tryEnqueue queues a request. It returns false if the engine is full or stopped.
+func (e *engine) tryEnqueue(r *engineRequest) bool {
+	if e.stopped || len(e.running)+len(e.waiting) >= e.params.BatchSize+e.params.QueueSize {
 		return false
 	}
 	e.waiting = append(e.waiting, r)
 	if !e.stepping {
-		e.step()
+		e.startStep()
 	}
 	return true
 }
 
-// step begins a step of the batch.
-func (e *engine) step() {
-	for len(e.waiting) > 0 && len(e.running) < e.figures.BatchSize {
+// startStep admits queued requests to the batch and starts a step if the batch is not empty.
+func (e *engine) startStep() {
+	for len(e.waiting) > 0 && len(e.running) < e.params.BatchSize {
 		e.admit(e.waiting[0])
 		e.waiting = e.waiting[1:]
 	}
@@ -68,110 +73,112 @@
 	if !e.stepping {
 		return
 	}
-	left := e.figures.PrefillChunk
-	took := e.figures.StepTime + time.Duration(len(e.running))*e.figures.StepTimePerRequest
-	read := make([]int, len(e.running))
+	chunkLeft := e.params.PrefillChunk
+	duration := e.params.StepTime + time.Duration(len(e.running))*e.params.StepTimePerRequest
+	prefilled := make([]int, len(e.running))
 	for i, r := range e.running {
-		read[i] = min(r.todo, left)
-		left -= read[i]
-		pairs := read[i] * (r.context + read[i]/2)
-		took += time.Duration(read[i])*e.figures.PrefillTimePerToken + time.Duration(pairs)*e.figures.AttentionTimePerPair
+		prefilled[i] = min(r.uncachedTokens, chunkLeft)
+		chunkLeft -= prefilled[i]
+		pairs := prefilled[i] * (r.contextTokens + prefilled[i]/2)
+		duration += time.Duration(prefilled[i])*e.params.PrefillTimePerToken + time.Duration(pairs)*e.params.AttentionTimePerPair
 	}
-	e.play.after(took, func() { e.stepped(read) })
+	e.sim.after(duration, func() { e.finishStep(prefilled) })
 }
 
-// admit looks what is kept of a prompt and counts what is read again.
-func (e *engine) admit(r *run) {
-	held := e.kept.covered(r.prefix, r.covered)
-	r.context = held
-	r.todo = r.promptTokens() - held
-	e.play.noteRead(r, held)
+// admit moves a request into the batch. The part of its prompt that is cached needs no prefill.
+func (e *engine) admit(r *engineRequest) {
+	cached := e.cache.cachedTokens(r.prefixHashes, r.prefixTokens)
+	r.contextTokens = cached
+	r.uncachedTokens = r.promptTokens() - cached
+	e.sim.recordPrefill(r, cached)
 	e.running = append(e.running, r)
 }
 
-// stepped ends a step.
-func (e *engine) stepped(read []int) {
-	if e.gone {
+// finishStep applies the results of a step and starts the next one. prefilled is the number of
+// prompt tokens prefilled for each running request.
+func (e *engine) finishStep(prefilled []int) {
+	if e.stopped {
 		return
 	}
-	still := e.running[:0]
+	unfinished := e.running[:0]
 	for i, r := range e.running {
-		reading := r.todo > 0
-		r.todo -= read[i]
-		r.context += read[i]
+		prefilling := r.uncachedTokens > 0
+		r.uncachedTokens -= prefilled[i]
+		r.contextTokens += prefilled[i]
 		switch {
-		case reading && r.todo == 0:
-			e.kept.add(r.prefix, r.covered)
-			e.play.after(e.figures.OutputDelay, r.first)
-			r.made = 1
-		case !reading:
-			r.made++
-			r.context++
+		case prefilling && r.uncachedTokens == 0:
+			e.cache.add(r.prefixHashes, r.prefixTokens)
+			e.sim.after(e.params.OutputDelay, r.onFirstToken)
+			r.generatedTokens = 1
+		case !prefilling:
+			r.generatedTokens++
+			r.contextTokens++
 		}
-		if r.made > 0 && r.made >= r.answer {
-			e.play.after(e.figures.OutputDelay, r.done)
+		if r.generatedTokens > 0 && r.generatedTokens >= r.answerTokens {
+			e.sim.after(e.params.OutputDelay, r.onDone)
 			continue
 		}
-		still = append(still, r)
+		unfinished = append(unfinished, r)
 	}
-	e.running = still
-	e.step()
+	e.running = unfinished
+	e.startStep()
 }
 
-// memory is the prompts' parts that an engine keeps, those unused for longest
-// given up first.
-type memory struct {
-	size, held int
-	parts      map[uint64]*part
-	uses       int
+// prefixCache holds blocks of prompts by prefix hash and evicts the least recently used ones.
+type prefixCache struct {
+	capacity, tokens int
+	blocks           map[uint64]*cacheBlock
+	useCount         int
 }
 
-type part struct {
-	tokens, used int
+type cacheBlock struct {
+	tokens, lastUse int
 }
 
-func newMemory(size int) *memory { return &memory{size: size, parts: map[uint64]*part{}} }
+func newPrefixCache(capacity int) *prefixCache {
+	return &prefixCache{capacity: capacity, blocks: map[uint64]*cacheBlock{}}
+}
 
-// covered returns the tokens that are kept of a prompt, from its start.
-func (m *memory) covered(prefix []uint64, covered []int) int {
-	held := 0
-	for i, hash := range prefix {
-		p, ok := m.parts[hash]
+// cachedTokens returns the number of tokens in the longest cached prefix of a prompt.
+func (c *prefixCache) cachedTokens(hashes []uint64, ends []int) int {
+	cached := 0
+	for i, hash := range hashes {
+		block, ok := c.blocks[hash]
 		if !ok {
 			break
 		}
-		m.uses++
-		p.used = m.uses
-		held = covered[i]
+		c.useCount++
+		block.lastUse = c.useCount
+		cached = ends[i]
 	}
-	return held
+	return cached
 }
 
-func (m *memory) add(prefix []uint64, covered []int) {
-	before := 0
-	for i, hash := range prefix {
-		m.uses++
-		if p, ok := m.parts[hash]; ok {
-			p.used = m.uses
+func (c *prefixCache) add(hashes []uint64, ends []int) {
+	previousEnd := 0
+	for i, hash := range hashes {
+		c.useCount++
+		if block, ok := c.blocks[hash]; ok {
+			block.lastUse = c.useCount
 		} else {
-			m.parts[hash] = &part{tokens: covered[i] - before, used: m.uses}
-			m.held += covered[i] - before
+			c.blocks[hash] = &cacheBlock{tokens: ends[i] - previousEnd, lastUse: c.useCount}
+			c.tokens += ends[i] - previousEnd
 		}
-		before = covered[i]
+		previousEnd = ends[i]
 	}
-	for m.held > m.size {
-		m.dropOldest()
+	for c.tokens > c.capacity {
+		c.evictLeastRecentlyUsed()
 	}
 }
 
-func (m *memory) dropOldest() {
+func (c *prefixCache) evictLeastRecentlyUsed() {
 	var oldest uint64
-	least := m.uses + 1
-	for hash, p := range m.parts {
-		if p.used < least {
-			oldest, least = hash, p.used
+	oldestUse := c.useCount + 1
+	for hash, block := range c.blocks {
+		if block.lastUse < oldestUse {
+			oldest, oldestUse = hash, block.lastUse
 		}
 	}
-	m.held -= m.parts[oldest].tokens
-	delete(m.parts, oldest)
+	c.tokens -= c.blocks[oldest].tokens
+	delete(c.blocks, oldest)
 }
--- a/pkg/lab/host.go
+++ b/pkg/lab/host.go
@@ -13,156 +13,156 @@
 	"ironhollow/pkg/route"
 )
 
-// service is the target of all requests.
+// service is the service that all requests are for.
 const service = "model"
 
-// host is one that callers are told, with the decisions as shipped.
+// host is an advertised host. It runs the production code for routing, admission and load exchange.
 type host struct {
-	play *play
-	// number is the host's, lives counts its process's starts.
-	number, lives int
-	self          roster.Host
-	directory     *endpoint.Directory
-	router        *route.Router
-	members       *roster.Roster
-	loads         *loadsync.Sync
-	pace          gossip.RoundScheduler
-	sequence      int64
-	// briefAt is when the next brief datagram may leave.
-	briefAt time.Duration
-	// briefDue says that one waits for that.
-	briefDue bool
+	sim *simulation
+	// number is the index of the host, starts the number of times that its process was started.
+	number, starts int
+	self           roster.Host
+	directory      *endpoint.Directory
+	router         *route.Router
+	members        *roster.Roster
+	loads          *loadsync.Sync
+	scheduler      gossip.RoundScheduler
+	sequence       int64
+	// nextBriefAt is the earliest time at which the next brief datagram may be sent.
+	nextBriefAt time.Duration
+	// briefScheduled means that a brief datagram is to be sent at that time.
+	briefScheduled bool
 }
 
-func newHost(p *play, number int) *host {
+func newHost(s *simulation, number int) *host {
 	name := fmt.Sprintf("h%03d", number)
 	h := &host{
-		play: p, number: number,
-		self: roster.Host{Node: name, DataCenter: p.dataCenter(number), PeerAddress: name, Millicores: 800},
+		sim: s, number: number,
+		self: roster.Host{Node: name, DataCenter: s.dataCenter(number), PeerAddress: name, Millicores: 800},
 	}
 	h.start(endpoint.NewDirectory())
 	return h
 }
 
-// prior is what a process holds of engines before any answer.
-var prior = route.EngineSpeed{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanRequestTime: time.Second}
+// initialEngineSpeed is the engine speed that a process assumes until answers are measured.
+var initialEngineSpeed = route.EngineSpeed{TokenGap: 7 * time.Millisecond, Prefill: 20 * time.Microsecond, MeanRequestTime: time.Second}
 
-// start begins a life of the host's process, of which it knows nothing but the
-// endpoints.
+// start starts the host's process. The new process knows the endpoints and nothing else.
 func (h *host) start(directory *endpoint.Directory) {
-	h.lives++
-	h.self.Incarnation = fmt.Sprintf("%s.%d", h.self.Node, h.lives)
+	h.starts++
+	h.self.Incarnation = fmt.Sprintf("%s.%d", h.self.Node, h.starts)
 	h.sequence = 0
 	h.directory = directory
-	home := route.Location{Node: h.self.Node, DataCenter: h.self.DataCenter}
-	h.router = route.NewWithEngineSpeed(directory, hazard.New(), home, h.play.seed+uint64(h.number), prior)
-	h.members = roster.New(silence, gossip.Interval)
+	location := route.Location{Node: h.self.Node, DataCenter: h.self.DataCenter}
+	h.router = route.NewWithEngineSpeed(directory, hazard.New(), location, h.sim.seed+uint64(h.number), initialEngineSpeed)
+	h.members = roster.New(silenceTimeout, gossip.Interval)
 	h.loads = loadsync.New(h.router, h.members, h.self.Incarnation)
 }
 
-// silence is how long a host may be unheard.
-const silence = 3200 * time.Millisecond
+// silenceTimeout is the time without a datagram after which a host is considered dead.
+const silenceTimeout = 3200 * time.Millisecond
 
-// round tells all others what is under way here, and takes in what they told.
-func (h *host) round() {
-	pause, _ := h.pace.NextForCounts(len(h.play.hosts)-1, 0)
-	h.tell(roster.Status{Host: h.self, Loads: h.loads.LocalLoads()}, false)
-	h.loads.UpdateRouter(h.play.time())
-	h.play.after(pause, h.round)
+// sendStatus sends this host's load to all other hosts, applies what they have sent to the router,
+// and schedules the next status.
+func (h *host) sendStatus() {
+	interval, _ := h.scheduler.NextForCounts(len(h.sim.hosts)-1, 0)
+	h.broadcast(roster.Status{Host: h.self, Loads: h.loads.LocalLoads()}, false)
+	h.loads.UpdateRouter(h.sim.time())
+	h.sim.after(interval, h.sendStatus)
 }
 
-// urgent tells at once of endpoints whose queue has just grown, within the pace of
-// brief datagrams.
-func (h *host) urgent() {
-	if h.briefDue || len(h.router.Urgent()) == 0 {
+// scheduleBrief sends a brief datagram about endpoints whose queue this host has just made longer,
+// as soon as the minimum interval between brief datagrams allows.
+func (h *host) scheduleBrief() {
+	if h.briefScheduled || len(h.router.Urgent()) == 0 {
 		return
 	}
-	h.briefDue = true
-	h.play.after(max(h.briefAt-h.play.line.Now(), 0), func() {
-		h.briefDue = false
-		h.briefAt = h.play.line.Now() + gossip.UrgentInterval(len(h.play.hosts)-1)
+	h.briefScheduled = true
+	h.sim.after(max(h.nextBriefAt-h.sim.clock.Now(), 0), func() {
+		h.briefScheduled = false
+		h.nextBriefAt = h.sim.clock.Now() + gossip.UrgentInterval(len(h.sim.hosts)-1)
 		var endpoints []string
 		for len(h.router.Urgent()) > 0 {
 			endpoints = append(endpoints, <-h.router.Urgent())
 		}
-		h.tell(roster.Status{Host: roster.Host{Incarnation: h.self.Incarnation}, Loads: h.loads.LocalLoadsAt(endpoints)}, true)
+		h.broadcast(roster.Status{Host: roster.Host{Incarnation: h.self.Incarnation}, Loads: h.loads.LocalLoadsAt(endpoints)}, true)
 	})
 }
 
-// tell sends a datagram to all others; some are lost.
-func (h *host) tell(told roster.Status, brief bool) {
+// broadcast sends a datagram to all other hosts; some are lost.
+func (h *host) broadcast(status roster.Status, brief bool) {
 	h.sequence++
-	told.Sequence = h.sequence
-	placed := h.router.DrainPlacements()
-	for _, other := range h.play.hosts {
-		if other == h || h.play.random.Float64() < h.play.fleet.DatagramLoss {
+	status.Sequence = h.sequence
+	placements := h.router.DrainPlacements()
+	for _, other := range h.sim.hosts {
+		if other == h || h.sim.random.Float64() < h.sim.fleet.DatagramLoss {
 			continue
 		}
-		copied := told
-		copied.Loads = append([]roster.Load(nil), told.Loads...)
-		h.play.after(h.play.fleet.NetworkDelay, func() { other.hear(copied, placed, brief) })
+		copied := status
+		copied.Loads = append([]roster.Load(nil), status.Loads...)
+		h.sim.after(h.sim.fleet.NetworkDelay, func() { other.receive(copied, placements, brief) })
 	}
 }
 
-func (h *host) hear(told roster.Status, placed []route.Placement, brief bool) {
-	now := h.play.time()
+func (h *host) receive(status roster.Status, placements []route.Placement, brief bool) {
+	now := h.sim.time()
 	if brief {
-		h.loads.ApplyBrief(told.Incarnation, told.Sequence, told.Loads, placed, now)
+		h.loads.ApplyBrief(status.Incarnation, status.Sequence, status.Loads, placements, now)
 		return
 	}
-	h.members.ApplyStatus(told, now)
-	h.loads.ApplyPlacements(placed)
+	h.members.ApplyStatus(status, now)
+	h.loads.ApplyPlacements(placements)
 }
 
-// serve chooses an endpoint for a request, or refuses it.
+// serve chooses an endpoint for a request or rejects it.
 func (h *host) serve(r *request) {
-	comeBack := comeBackNoEndpoint
+	retryAfter := retryAfterNoEndpoint
 	q := query(r)
 	q.Accepts = func(c route.Choice) bool {
 		stream := admission.Stream{Objective: r.kind.Objective, Priority: r.kind.Priority}
 		wait, late := stream.ShouldReject(admission.EstimateOf(c))
 		if late {
-			comeBack = wait
+			retryAfter = wait
 		}
 		return !late
 	}
-	choice, ok := h.router.Choose(q, route.Expected, h.play.time())
+	choice, ok := h.router.Choose(q, route.Expected, h.sim.time())
 	if !ok {
-		h.play.refused(r, comeBack)
+		h.sim.retryOrFail(r, retryAfter)
 		return
 	}
-	h.urgent()
-	h.play.after(h.play.fleet.NetworkDelay, func() { h.send(r, choice) })
+	h.scheduleBrief()
+	h.sim.after(h.sim.fleet.NetworkDelay, func() { h.send(r, choice) })
 }
 
-// comeBackNoEndpoint is what callers are told where no endpoint serves.
-const comeBackNoEndpoint = 300 * time.Millisecond
+// retryAfterNoEndpoint is the delay after which a caller retries if no endpoint takes requests.
+const retryAfterNoEndpoint = 300 * time.Millisecond
 
 func query(r *request) route.Query {
 	return route.Query{
-		Target: route.Target{Service: service}, PrefixHashes: r.prefix, PrefixTokens: r.covered, SharedPrefixes: len(r.prefix) - 1,
-		PromptTokens: r.promptTokens(), AnswerTokens: r.hint,
+		Target: route.Target{Service: service}, PrefixHashes: r.prefixHashes, PrefixTokens: r.prefixTokens, SharedPrefixes: len(r.prefixHashes) - 1,
+		PromptTokens: r.promptTokens(), AnswerTokens: r.answerTokensHint,
 	}
 }
 
-// send gives a request to its endpoint's engine.
+// send passes a request to its endpoint's engine.
 func (h *host) send(r *request, choice route.Choice) {
-	sent := h.play.line.Now()
-	// A process that has started anew knows nothing of what it sent before.
+	sentAt := h.sim.clock.Now()
+	// A restarted process has a new router, which does not count requests sent before the restart.
 	router := h.router
-	at := &run{request: r}
-	var first time.Duration
-	at.first = func() {
-		first = h.play.line.Now()
+	attempt := &engineRequest{request: r}
+	var firstTokenAt time.Duration
+	attempt.onFirstToken = func() {
+		firstTokenAt = h.sim.clock.Now()
 		router.PrefillDone(choice)
-		h.play.served(r, choice)
+		h.sim.recordFirstToken(r, choice)
 	}
-	at.done = func() {
-		result := route.Result{PrefillDone: true, FirstToken: first - sent + h.play.fleet.NetworkDelay, Tokens: r.answer - 1, Decode: h.play.line.Now() - first}
-		router.Done(choice, result, h.play.time())
+	attempt.onDone = func() {
+		result := route.Result{PrefillDone: true, FirstToken: firstTokenAt - sentAt + h.sim.fleet.NetworkDelay, Tokens: r.answerTokens - 1, Decode: h.sim.clock.Now() - firstTokenAt}
+		router.Done(choice, result, h.sim.time())
 	}
-	if !h.play.engines[choice.Endpoint.ID].accept(at) {
-		router.Done(choice, route.Result{Failed: true}, h.play.time())
-		h.play.lost(r)
+	if !h.sim.engines[choice.Endpoint.ID].tryEnqueue(attempt) {
+		router.Done(choice, route.Result{Failed: true}, h.sim.time())
+		h.sim.recordFailure(r)
 	}
 }
--- a/pkg/lab/outcome.go
+++ b/pkg/lab/outcome.go
@@ -8,80 +8,84 @@
 	"time"
 )
 
-// Outcome is what callers got.
+// Outcome is the result of a run as callers see it.
 type Outcome struct {
 	kinds map[string]*KindOutcome
-	// PrefillTokens is the prompt tokens that engines read, RecomputedTokens those of shared parts
-	// that some engine had read before.
+	// PrefillTokens is the number of prompt tokens that engines prefilled, RecomputedTokens the
+	// number of those in shared parts that an engine had prefilled before.
 	PrefillTokens, RecomputedTokens int
-	// off are the first tokens' times less what was reckoned.
-	off []time.Duration
+	// waitErrors are the measured times to the first token minus the estimated ones.
+	waitErrors []time.Duration
 }
 
-// KindOutcome is what callers of one kind got.
+// KindOutcome is the result for requests of one kind.
 type KindOutcome struct {
-	// Requests counts requests, OnTime those with a first token within the objective,
-	// Retried those that were refused once, Failed those that got nothing.
+	// Requests is the number of requests, OnTime of those whose first token came within the
+	// objective, Retried of those that were rejected and sent again, Failed of those that got no
+	// answer because the retry was rejected, there was no time for one, or the engine was full.
 	Requests, OnTime, Retried, Failed int
-	// MaxValue is what all answers in time would have been worth, EarnedValue what was.
+	// MaxValue is the value of the requests if all answers had been on time, EarnedValue the value
+	// of the actual answers.
 	MaxValue, EarnedValue float64
-	// FirstTokenTimes is the times to the first token, from the first try.
+	// FirstTokenTimes are the times from the first try to the first token.
 	FirstTokenTimes []time.Duration
 }
 
 func newOutcome() *Outcome { return &Outcome{kinds: map[string]*KindOutcome{}} }
 
 func (o *Outcome) getOrCreate(kind string) *KindOutcome {
-	g, ok := o.kinds[kind]
+	k, ok := o.kinds[kind]
 	if !ok {
-		g = &KindOutcome{}
-		o.kinds[kind] = g
+		k = &KindOutcome{}
+		o.kinds[kind] = k
 	}
-	return g
+	return k
 }
 
-// EarnedValueShare is the part of the worth that was earned, over all kinds.
+// EarnedValueShare returns the earned fraction of the maximum value over all kinds.
 func (o *Outcome) EarnedValueShare() float64 {
-	worth, earned := 0.0, 0.0
-	for _, g := range o.kinds {
-		worth += g.MaxValue
-		earned += g.EarnedValue
+	maxValue, earned := 0.0, 0.0
+	for _, k := range o.kinds {
+		maxValue += k.MaxValue
+		earned += k.EarnedValue
 	}
-	return earned / worth
+	return earned / maxValue
 }
 
-// ForKind returns what callers of a kind got.
+// ForKind returns the result for requests of one kind.
 func (o *Outcome) ForKind(kind string) KindOutcome { return *o.getOrCreate(kind) }
 
-func (o *Outcome) reckoned(wait, took time.Duration) { o.off = append(o.off, took-wait) }
+func (o *Outcome) addWaitError(estimated, measured time.Duration) {
+	o.waitErrors = append(o.waitErrors, measured-estimated)
+}
 
-func (o *Outcome) close() {
-	for _, g := range o.kinds {
-		slices.Sort(g.FirstTokenTimes)
+func (o *Outcome) sortTimes() {
+	for _, k := range o.kinds {
+		slices.Sort(k.FirstTokenTimes)
 	}
-	slices.Sort(o.off)
+	slices.Sort(o.waitErrors)
 }
 
-// OnTimeShare is the part that got a first token within the objective.
-func (g KindOutcome) OnTimeShare() float64 { return float64(g.OnTime) / float64(max(g.Requests, 1)) }
+// OnTimeShare returns the fraction of requests whose first token came within the objective.
+func (k KindOutcome) OnTimeShare() float64 { return float64(k.OnTime) / float64(max(k.Requests, 1)) }
 
-// FirstTokenQuantile returns a quantile of the times to the first token, 0 if there is none.
-func (g KindOutcome) FirstTokenQuantile(part float64) time.Duration {
-	return quantile(g.FirstTokenTimes, part)
+// FirstTokenQuantile returns a quantile of the times to the first token, 0 if there are none.
+func (k KindOutcome) FirstTokenQuantile(q float64) time.Duration {
+	return quantile(k.FirstTokenTimes, q)
 }
 
-// WaitErrorQuantile returns a quantile of how much later first tokens came than was reckoned
+// WaitErrorQuantile returns a quantile of the delay of first tokens relative to the estimate made
 // when the endpoint was chosen.
-func (o *Outcome) WaitErrorQuantile(part float64) time.Duration { return quantile(o.off, part) }
+func (o *Outcome) WaitErrorQuantile(q float64) time.Duration { return quantile(o.waitErrors, q) }
 
-func quantile(sorted []time.Duration, part float64) time.Duration {
+func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
-	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// String returns a table for people.
+// String formats the outcome as a table for test logs.
 func (o *Outcome) String() string {
 	var b strings.Builder
 	names := make([]string, 0, len(o.kinds))
@@ -90,11 +94,11 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		g := o.kinds[name]
-		fmt.Fprintf(&b, "%-12s asked %5d in time %.3f sent back %4d lost %4d first p50 %4d p90 %4d p99 %4d ms\n", name, g.Requests, g.OnTimeShare(),
-			g.Retried, g.Failed, g.FirstTokenQuantile(0.5).Milliseconds(), g.FirstTokenQuantile(0.9).Milliseconds(), g.FirstTokenQuantile(0.99).Milliseconds())
+		k := o.kinds[name]
+		fmt.Fprintf(&b, "%-12s requests %5d on time %.3f retried %4d failed %4d first token p50 %4d p90 %4d p99 %4d ms\n", name, k.Requests, k.OnTimeShare(),
+			k.Retried, k.Failed, k.FirstTokenQuantile(0.5).Milliseconds(), k.FirstTokenQuantile(0.9).Milliseconds(), k.FirstTokenQuantile(0.99).Milliseconds())
 	}
-	fmt.Fprintf(&b, "earned %.3f; tokens read %.1fM, again %.2fM; later than reckoned p50 %d p90 %d p99 %d ms", o.EarnedValueShare(), float64(o.PrefillTokens)/1e6, float64(o.RecomputedTokens)/1e6,
+	fmt.Fprintf(&b, "earned value %.3f; prefill tokens %.1fM, recomputed %.2fM; wait error p50 %d p90 %d p99 %d ms", o.EarnedValueShare(), float64(o.PrefillTokens)/1e6, float64(o.RecomputedTokens)/1e6,
 		o.WaitErrorQuantile(0.5).Milliseconds(), o.WaitErrorQuantile(0.9).Milliseconds(), o.WaitErrorQuantile(0.99).Milliseconds())
 	return b.String()
 }
--- a/pkg/lab/play.go
+++ b/pkg/lab/play.go
@@ -10,114 +10,115 @@
 	"ironhollow/pkg/timeline"
 )
 
-// Fleet is what a load is played against.
+// Fleet describes the hosts and engines of a simulation.
 type Fleet struct {
-	// Hosts is how many take callers, Endpoints how many engines there are; both
-	// are spread over DataCenters.
+	// Hosts is the number of hosts that callers connect to, Endpoints the number of engines. Both
+	// are spread evenly over DataCenters data centres.
 	Hosts, Endpoints, DataCenters int
 	Engine                        EngineParams
-	// NetworkDelay is the time of a datagram or a request between two hosts, Loss the part
-	// of the datagrams that do not arrive.
+	// NetworkDelay is the one-way delay of datagrams and requests between two hosts, DatagramLoss
+	// the fraction of datagrams that are lost.
 	NetworkDelay time.Duration
 	DatagramLoss float64
 }
 
-// Workload is what is asked of a fleet.
+// Workload describes the requests and failures of a run.
 type Workload struct {
 	Kinds  []RequestKind
 	Bursts []Burst
-	// Duration is how long requests come; those of the time up to WarmUp are not
-	// counted, in which hosts learn how fast the engines are.
+	// Duration is the time during which requests arrive. Requests that arrive before WarmUp are not
+	// counted, because hosts still measure the speed of the engines.
 	Duration, WarmUp time.Duration
-	// DataCenterFailures is when the engines of a data centre end, in turn.
+	// DataCenterFailures are the times at which the engines of the first, second and following data
+	// centres stop.
 	DataCenterFailures []time.Duration
-	// HostRestarts is when all hosts start anew and have forgotten what they knew; what
-	// runs at the engines goes on.
+	// HostRestarts are the times at which all hosts restart and lose their state. Requests that are
+	// running at engines continue.
 	HostRestarts []time.Duration
 }
 
-// play is one run.
-type play struct {
-	fleet   Fleet
-	seed    uint64
-	random  *rand.Rand
-	line    timeline.Timeline
-	hosts   []*host
-	engines map[string]*engine
-	read    map[uint64]bool
-	settle  time.Duration
-	outcome *Outcome
+// simulation is the state of one run.
+type simulation struct {
+	fleet     Fleet
+	seed      uint64
+	random    *rand.Rand
+	clock     timeline.Timeline
+	hosts     []*host
+	engines   map[string]*engine
+	prefilled map[uint64]bool
+	warmUp    time.Duration
+	outcome   *Outcome
 }
 
-// epoch is the time of day at which runs begin.
+// epoch is the wall-clock time at which runs start.
 var epoch = time.Date(2024, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (p *play) time() time.Time { return epoch.Add(p.line.Now()) }
+func (s *simulation) time() time.Time { return epoch.Add(s.clock.Now()) }
 
-// Run plays a load and returns what callers got. The same seed gives the same.
-func Run(fleet Fleet, load Workload, seed uint64) *Outcome {
-	p := &play{
-		fleet: fleet, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*engine{}, read: map[uint64]bool{},
-		settle: load.WarmUp, outcome: newOutcome(),
+// Run simulates a workload and returns the outcome. The same seed gives the same outcome.
+func Run(fleet Fleet, workload Workload, seed uint64) *Outcome {
+	s := &simulation{
+		fleet: fleet, seed: seed, random: rand.New(rand.NewPCG(seed, 1)), engines: map[string]*engine{}, prefilled: map[uint64]bool{},
+		warmUp: workload.WarmUp, outcome: newOutcome(),
 	}
-	p.build()
-	for _, r := range arrivals(load.Kinds, load.Bursts, load.Duration, rand.New(rand.NewPCG(seed, 2))) {
-		p.after(r.asked, func() { p.ask(r) })
+	s.addHostsAndEngines()
+	for _, r := range arrivals(workload.Kinds, workload.Bursts, workload.Duration, rand.New(rand.NewPCG(seed, 2))) {
+		s.after(r.arrivedAt, func() { s.sendToHost(r) })
 	}
-	for i, at := range load.DataCenterFailures {
-		p.after(at, func() { p.lose(p.dataCenter(i)) })
+	for i, at := range workload.DataCenterFailures {
+		s.after(at, func() { s.failDataCenter(s.dataCenter(i)) })
 	}
-	for _, at := range load.HostRestarts {
-		p.after(at, p.restart)
+	for _, at := range workload.HostRestarts {
+		s.after(at, s.restart)
 	}
-	p.line.Run(load.Duration+drainTime, nil)
-	p.outcome.close()
-	return p.outcome
+	s.clock.Run(workload.Duration+drainTime, nil)
+	s.outcome.sortTimes()
+	return s.outcome
 }
 
-// drainTime is how long a run goes on after the last request.
+// drainTime is how long a run continues after the last arrival.
 const drainTime = 20 * time.Second
 
-func (p *play) dataCenter(i int) string { return fmt.Sprintf("dc%d", i%p.fleet.DataCenters) }
+func (s *simulation) dataCenter(i int) string { return fmt.Sprintf("dc%d", i%s.fleet.DataCenters) }
 
-func (p *play) build() {
-	for i := range p.fleet.Hosts {
-		p.hosts = append(p.hosts, newHost(p, i))
+func (s *simulation) addHostsAndEngines() {
+	for i := range s.fleet.Hosts {
+		s.hosts = append(s.hosts, newHost(s, i))
 	}
-	for i := range p.fleet.Endpoints {
+	for i := range s.fleet.Endpoints {
 		info := endpoint.Info{
 			ID: fmt.Sprintf("e%04d", i), Incarnation: 1, Counter: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: service,
-			DataCenter: p.dataCenter(i), Slots: p.fleet.Engine.BatchSize, Engine: true,
+			DataCenter: s.dataCenter(i), Slots: s.fleet.Engine.BatchSize, Engine: true,
 		}
-		p.engines[info.ID] = newEngine(p, p.fleet.Engine)
-		for _, h := range p.hosts {
+		s.engines[info.ID] = newEngine(s, s.fleet.Engine)
+		for _, h := range s.hosts {
 			h.directory.Merge(info)
 		}
 	}
-	for i, h := range p.hosts {
-		// Rounds of different hosts fall at different times.
-		p.after(time.Duration(i)*time.Millisecond, h.round)
+	for i, h := range s.hosts {
+		// Spread the status rounds of the hosts over time.
+		s.after(time.Duration(i)*time.Millisecond, h.sendStatus)
 	}
 }
 
-// lose ends the engines of a data centre; hosts know it at once, callers of what
-// ran there get nothing.
-func (p *play) lose(dataCenter string) {
-	for _, info := range p.hosts[0].directory.View().Infos() {
+// failDataCenter stops the engines of a data centre. Hosts are notified at once; requests that were
+// running there get no answer.
+func (s *simulation) failDataCenter(dataCenter string) {
+	for _, info := range s.hosts[0].directory.View().Infos() {
 		if info.DataCenter != dataCenter {
 			continue
 		}
-		p.engines[info.ID].gone = true
+		s.engines[info.ID].stopped = true
 		info.State = endpoint.Gone
-		for _, h := range p.hosts {
+		for _, h := range s.hosts {
 			h.directory.Merge(info)
 		}
 	}
 }
 
-// restart starts all hosts anew.
-func (p *play) restart() {
-	for _, h := range p.hosts {
+// restart restarts the processes of all hosts.
+func (s *simulation) restart() {
+	for _, h := range s.hosts {
 		directory := endpoint.NewDirectory()
 		for _, info := range h.directory.View().Infos() {
 			directory.Merge(info)
@@ -126,68 +127,69 @@
 	}
 }
 
-func (p *play) ask(r *request) {
-	if r.asked >= p.settle && !r.returned {
-		o := p.outcome.getOrCreate(r.kind.Name)
+func (s *simulation) sendToHost(r *request) {
+	if r.arrivedAt >= s.warmUp && !r.retried {
+		o := s.outcome.getOrCreate(r.kind.Name)
 		o.Requests++
-		o.MaxValue += r.worth()
+		o.MaxValue += r.value()
 	}
-	p.hosts[p.random.IntN(len(p.hosts))].serve(r)
+	s.hosts[s.random.IntN(len(s.hosts))].serve(r)
 }
 
-// refused lets a caller come back once, as told.
-func (p *play) refused(r *request, comeBack time.Duration) {
-	left := r.asked + r.kind.Timeout - p.line.Now()
-	if r.returned || comeBack > left/3 {
-		p.lost(r)
+// retryOrFail sends a rejected request again after retryAfter. It fails if it was rejected before,
+// or if the delay takes more than a third of the remaining time.
+func (s *simulation) retryOrFail(r *request, retryAfter time.Duration) {
+	remaining := r.arrivedAt + r.kind.Timeout - s.clock.Now()
+	if r.retried || retryAfter > remaining/3 {
+		s.recordFailure(r)
 		return
 	}
-	r.returned = true
-	if r.asked >= p.settle {
-		p.outcome.getOrCreate(r.kind.Name).Retried++
+	r.retried = true
+	if r.arrivedAt >= s.warmUp {
+		s.outcome.getOrCreate(r.kind.Name).Retried++
 	}
-	p.after(comeBack, func() { p.ask(r) })
+	s.after(retryAfter, func() { s.sendToHost(r) })
 }
 
-func (p *play) lost(r *request) {
-	if r.asked >= p.settle {
-		p.outcome.getOrCreate(r.kind.Name).Failed++
+func (s *simulation) recordFailure(r *request) {
+	if r.arrivedAt >= s.warmUp {
+		s.outcome.getOrCreate(r.kind.Name).Failed++
 	}
 }
 
-// served notes a first token.
-func (p *play) served(r *request, choice route.Choice) {
-	if r.asked < p.settle {
+// recordFirstToken counts a first token and its value.
+func (s *simulation) recordFirstToken(r *request, choice route.Choice) {
+	if r.arrivedAt < s.warmUp {
 		return
 	}
-	o := p.outcome.getOrCreate(r.kind.Name)
-	first := p.line.Now() - r.asked
-	o.FirstTokenTimes = append(o.FirstTokenTimes, first)
-	if first <= r.kind.Objective {
+	o := s.outcome.getOrCreate(r.kind.Name)
+	elapsed := s.clock.Now() - r.arrivedAt
+	o.FirstTokenTimes = append(o.FirstTokenTimes, elapsed)
+	if elapsed <= r.kind.Objective {
 		o.OnTime++
-		o.EarnedValue += r.worth()
+		o.EarnedValue += r.value()
 	} else {
-		o.EarnedValue += lateWorth * r.worth()
+		o.EarnedValue += lateValueShare * r.value()
 	}
-	p.outcome.reckoned(choice.Wait, p.time().Sub(choice.Sent()))
+	s.outcome.addWaitError(choice.Wait, s.time().Sub(choice.Sent()))
 }
 
-// noteRead counts the tokens of a prompt that an engine reads, and of shared parts
-// those that some engine had read before.
-func (p *play) noteRead(r *run, held int) {
-	if r.asked < p.settle {
+// recordPrefill counts the prompt tokens that an engine prefills, and those in shared parts that an
+// engine has prefilled before.
+func (s *simulation) recordPrefill(r *engineRequest, cached int) {
+	if r.arrivedAt < s.warmUp {
 		return
 	}
-	p.outcome.PrefillTokens += r.promptTokens() - held
-	before := 0
-	for i, hash := range r.prefix[:len(r.prefix)-1] {
-		if r.covered[i] > held && p.read[hash] {
-			p.outcome.RecomputedTokens += r.covered[i] - max(before, held)
+	s.outcome.PrefillTokens += r.promptTokens() - cached
+	previousEnd := 0
+	for i, hash := range r.prefixHashes[:len(r.prefixHashes)-1] {
+		if r.prefixTokens[i] > cached && s.prefilled[hash] {
+			s.outcome.RecomputedTokens += r.prefixTokens[i] - max(previousEnd, cached)
 		}
-		before = r.covered[i]
-		p.read[hash] = true
+		previousEnd = r.prefixTokens[i]
+		s.prefilled[hash] = true
 	}
 }
 
-// after calls do in virtual time.
-func (p *play) after(pause time.Duration, do func()) { p.line.After(pause, do) }
+// after schedules a call in virtual time.
+func (s *simulation) after(delay time.Duration, do func()) { s.clock.After(delay, do) }
--- a/pkg/rolloutlab/host.go
+++ b/pkg/rolloutlab/host.go
@@ -10,36 +10,37 @@
 	"ironhollow/pkg/rollout"
 )
 
-// server is one endpoint.
-type server struct {
-	info             endpoint.Info
-	running          int
-	gone, grey, slow bool
+// simEndpoint is a simulated endpoint.
+type simEndpoint struct {
+	info                endpoint.Info
+	running             int
+	stopped, grey, slow bool
 }
 
-// slots is how many requests an endpoint runs before they wait.
-const slots = 16
+// slotsPerEndpoint is the number of requests that an endpoint runs without slowing down.
+const slotsPerEndpoint = 16
 
-func (p *play) newServer(id, release string) *server {
-	return &server{info: endpoint.Info{ID: id, Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: service, Release: release}}
+func (s *simulation) newEndpoint(id, release string) *simEndpoint {
+	return &simEndpoint{info: endpoint.Info{ID: id, Incarnation: 1, State: endpoint.Live, Kind: endpoint.Plain, Service: service, Release: release}}
 }
 
-// host splits its requests.
+// host is a simulated host, which splits its requests between the versions.
 type host struct {
-	play        *play
+	sim         *simulation
 	number      int
 	incarnation string
-	split       *rollout.Splitter
+	splitter    *rollout.Splitter
 	order       rollout.Order
-	// harmedUntil is until when it does not count as in touch.
-	harmedUntil      time.Duration
-	frozen, cut      bool
-	down, hasOrder   bool
-	starts, requests int
+	// impairedUntil is the time until which the host counts as out of contact with the owner, so
+	// that its requests do not count against the bounds.
+	impairedUntil       time.Duration
+	frozen, partitioned bool
+	down, hasOrder      bool
+	starts, requests    int
 }
 
-func (p *play) newHost(i int) *host {
-	h := &host{play: p, number: i}
+func (s *simulation) newHost(i int) *host {
+	h := &host{sim: s, number: i}
 	h.start()
 	return h
 }
@@ -47,244 +48,246 @@
 func (h *host) start() {
 	h.starts++
 	h.incarnation = fmt.Sprintf("h%d.%d", h.number, h.starts)
-	h.split = rollout.New(h.play.site.Bounds)
+	h.splitter = rollout.New(h.sim.scenario.Bounds)
 }
 
-func (h *host) harmed(lasting time.Duration) {
-	h.harmedUntil = max(h.harmedUntil, h.play.line.Now()+lasting+touchTime)
+func (h *host) markImpaired(duration time.Duration) {
+	h.impairedUntil = max(h.impairedUntil, h.sim.clock.Now()+duration+recoveryTime)
 }
 
-// kill ends the process; another starts a moment later and hears of the order anew.
+// kill stops the process. It is restarted after restartTime and receives the order again.
 func (h *host) kill() {
 	if h.down {
 		return
 	}
-	p := h.play
+	s := h.sim
 	h.down = true
-	h.harmed(restartTime)
-	if p.owner != nil && p.owner.host == h.number {
-		p.owner = nil
+	h.markImpaired(restartTime)
+	if s.owner != nil && s.owner.host == h.number {
+		s.owner = nil
 		order := h.order
-		p.after(leaseTime, func() { p.takeOver(order) })
+		s.after(leaseDuration, func() { s.takeOver(order) })
 	}
-	p.after(restartTime, func() {
+	s.after(restartTime, func() {
 		h.down = false
 		h.start()
-		p.survey()
+		s.updateEndpoints()
 		if h.hasOrder {
-			h.split.AddOrder(h.order, true)
+			h.splitter.AddOrder(h.order, true)
 			h.readRow()
-			p.survey()
+			s.updateEndpoints()
 		}
 	})
 }
 
-func (h *host) hearOrder(o rollout.Order) {
+func (h *host) receiveOrder(o rollout.Order) {
 	h.order, h.hasOrder = o, true
 	if !h.down {
-		h.split.AddOrder(o, false)
-		h.play.survey()
-		h.feed()
+		h.splitter.AddOrder(o, false)
+		h.sim.updateEndpoints()
+		h.pollRow()
 	}
 }
 
-// feed reads the row now and then.
-func (h *host) feed() {
+// pollRow reads the order's row at fixed intervals.
+func (h *host) pollRow() {
 	h.readRow()
-	h.play.after(feedTime, h.feed)
+	h.sim.after(feedInterval, h.pollRow)
 }
 
 func (h *host) readRow() {
-	if h.play.hasRow && !h.cut && !h.down && !h.play.storeBad[StoreDown] {
-		h.split.ApplyState(h.play.row, h.play.time())
+	if h.sim.hasRow && !h.partitioned && !h.down && !h.sim.storeFaults[StoreDown] {
+		h.splitter.ApplyState(h.sim.row, h.sim.time())
 	}
 }
 
-// serve sends a request.
+// serve routes a request and sends it to an endpoint.
 func (h *host) serve(number int) {
-	p := h.play
+	s := h.sim
 	if h.down || h.frozen {
 		return
 	}
-	inPeriod := p.line.Now() >= warmUp && p.line.Now() < warmUp+p.site.Period
+	inPeriod := s.clock.Now() >= warmUp && s.clock.Now() < warmUp+s.scenario.Period
 	if inPeriod {
-		p.outcome.Requests++
+		s.outcome.Requests++
 	}
 	id := strconv.Itoa(number)
-	route := p.draw()
+	route := s.drawRoute()
 	kind := rollout.KindOf("route" + strconv.Itoa(route))
-	side := h.split.SubsetFor(service, kind, id, p.time())
-	e := h.choose(side)
+	subset := h.splitter.SubsetFor(service, kind, id, s.time())
+	e := h.chooseEndpoint(subset)
 	if e == nil {
-		if instead, ok := h.split.Fallback(service, side, p.time()); ok {
-			e = h.choose(instead)
+		if fallback, ok := h.splitter.Fallback(service, subset, s.time()); ok {
+			e = h.chooseEndpoint(fallback)
 		}
 	}
 	if e == nil {
-		p.outcome.UnservedRequests++
+		s.outcome.UnservedRequests++
 		return
 	}
-	if e.info.Release == target && p.line.Now() >= h.harmedUntil {
-		p.sentAt = append(p.sentAt, p.line.Now())
+	if e.info.Release == targetVersion && s.clock.Now() >= h.impairedUntil {
+		s.targetSendTimes = append(s.targetSendTimes, s.clock.Now())
 		if inPeriod {
-			p.outcome.TargetRequests++
+			s.outcome.TargetRequests++
 		}
 	}
 	h.send(e, route, kind)
 }
 
-// draw picks a route by its part.
-func (p *play) draw() int {
-	x := p.random.Float64()
-	for i, r := range p.site.Routes {
-		if x < r.Share {
+// drawRoute draws a route by its share of the requests.
+func (s *simulation) drawRoute() int {
+	x := s.random.Float64()
+	for i, r := range s.scenario.Routes {
+		if x < r.TrafficShare {
 			return i
 		}
-		x -= r.Share
+		x -= r.TrafficShare
 	}
 	return 0
 }
 
-// choose picks the less busy of two endpoints of a side.
-func (h *host) choose(side rollout.Subset) *server {
-	rule := h.split.Rule(service, side)
-	var allowed []*server
-	for _, e := range h.play.endpoints {
-		if !e.gone && rule.Allows(&e.info) {
+// chooseEndpoint draws two endpoints of a subset and returns the one with fewer requests in
+// progress.
+func (h *host) chooseEndpoint(subset rollout.Subset) *simEndpoint {
+	rule := h.splitter.Rule(service, subset)
+	var allowed []*simEndpoint
+	for _, e := range h.sim.endpoints {
+		if !e.stopped && rule.Allows(&e.info) {
 			allowed = append(allowed, e)
 		}
 	}
 	if len(allowed) == 0 {
 		return nil
 	}
-	a, b := allowed[h.play.random.IntN(len(allowed))], allowed[h.play.random.IntN(len(allowed))]
+	a, b := allowed[h.sim.random.IntN(len(allowed))], allowed[h.sim.random.IntN(len(allowed))]
 	if b.running < a.running {
 		return b
 	}
 	return a
 }
 
-func (h *host) send(e *server, route int, kind rollout.Kind) {
-	p := h.play
-	r := p.site.Routes[route]
+func (h *host) send(e *simEndpoint, route int, kind rollout.Kind) {
+	s := h.sim
+	r := s.scenario.Routes[route]
 	e.running++
-	took := time.Duration(float64(r.MeanTime) * math.Exp(r.Spread*p.random.NormFloat64()-r.Spread*r.Spread/2))
-	took = time.Duration(float64(took) * max(1, float64(e.running)/slots))
-	failed := p.random.Float64() < r.FailureRate || e.grey && p.random.Float64() < 0.4
+	took := time.Duration(float64(r.MeanTime) * math.Exp(r.Spread*s.random.NormFloat64()-r.Spread*r.Spread/2))
+	took = time.Duration(float64(took) * max(1, float64(e.running)/slotsPerEndpoint))
+	failed := s.random.Float64() < r.FailureRate || e.grey && s.random.Float64() < 0.4
 	if e.slow {
 		took *= 4
 	}
-	bad := e.info.Release == target && p.isBad(e, route)
-	if bad && p.site.Target.SlowFactor > 0 {
-		took = time.Duration(float64(took) * p.site.Target.SlowFactor)
+	bad := e.info.Release == targetVersion && s.isBad(e, route)
+	if bad && s.scenario.Target.SlowFactor > 0 {
+		took = time.Duration(float64(took) * s.scenario.Target.SlowFactor)
 	}
-	failed = failed || bad && p.site.Target.SlowFactor == 0
-	split, incarnation := h.split, h.incarnation
-	sent := split.StartAttempt(service, &e.info, kind, 0, p.time())
-	p.after(took, func() {
+	failed = failed || bad && s.scenario.Target.SlowFactor == 0
+	splitter, incarnation := h.splitter, h.incarnation
+	attempt := splitter.StartAttempt(service, &e.info, kind, 0, s.time())
+	s.after(took, func() {
 		e.running--
 		if bad {
-			p.badAt = append(p.badAt, p.line.Now())
+			s.badAnswerTimes = append(s.badAnswerTimes, s.clock.Now())
 		}
 		if incarnation != h.incarnation {
 			return
 		}
-		split.RecordAnswer(sent, failed || e.gone, p.time())
-		split.FinishAttempt(sent, p.time())
+		splitter.RecordAnswer(attempt, failed || e.stopped, s.time())
+		splitter.FinishAttempt(attempt, s.time())
 	})
 }
 
-// isBad reports whether the target harms an answer.
-func (p *play) isBad(e *server, route int) bool {
-	b := p.site.Target
-	begins := warmUp + time.Duration(b.StartsAfter*float64(p.site.Period))
+// isBad reports whether an answer of the target is bad because of its defect.
+func (s *simulation) isBad(e *simEndpoint, route int) bool {
+	defect := s.scenario.Target
+	badFrom := warmUp + time.Duration(defect.StartsAfter*float64(s.scenario.Period))
 	switch {
-	case p.line.Now() < begins, p.random.Float64() >= b.BadShare:
+	case s.clock.Now() < badFrom, s.random.Float64() >= defect.BadShare:
 		return false
-	case b.OnlyUnderLoad && float64(e.running) < max(0.7*p.carry, 1):
+	case defect.OnlyUnderLoad && float64(e.running) < max(0.7*s.meanInFlight, 1):
 		return false
-	case b.OnlyRarestRoute && route != len(p.site.Routes)-1:
+	case defect.OnlyRarestRoute && route != len(s.scenario.Routes)-1:
 		return false
 	}
 	return true
 }
 
-// desk is the owner at its host.
-type desk struct {
+// ownerProcess is the owner of the order on its host.
+type ownerProcess struct {
 	host    int
 	owner   *rollout.Owner
 	writing bool
-	// heard is when each host was last heard.
-	heard map[string]time.Duration
+	// lastReportAt holds the time of the last report of each host by incarnation.
+	lastReportAt map[string]time.Duration
 }
 
-// takeOver makes a host that is well the owner.
-func (p *play) takeOver(order rollout.Order) {
-	if p.owner != nil {
+// takeOver makes the first healthy host the owner and retries while there is none or the store is
+// down.
+func (s *simulation) takeOver(order rollout.Order) {
+	if s.owner != nil {
 		return
 	}
-	if p.storeBad[StoreDown] {
-		p.after(stepTime, func() { p.takeOver(order) })
+	if s.storeFaults[StoreDown] {
+		s.after(stepInterval, func() { s.takeOver(order) })
 		return
 	}
-	for _, h := range p.hosts {
-		if h.down || h.frozen || h.cut || !h.hasOrder {
+	for _, h := range s.hosts {
+		if h.down || h.frozen || h.partitioned || !h.hasOrder {
 			continue
 		}
-		p.epoch++
-		if !p.hasRow {
-			p.row, p.hasRow = rollout.State{Order: order, Phase: rollout.Trying, Started: p.line.Now()}, true
+		s.epoch++
+		if !s.hasRow {
+			s.row, s.hasRow = rollout.State{Order: order, Phase: rollout.Trying, Started: s.clock.Now()}, true
 		}
-		d := &desk{host: h.number, heard: map[string]time.Duration{}}
-		d.owner = rollout.NewOwner(p.row, p.site.Bounds, p.site.Test, p.epoch, p.line.Now())
-		p.owner = d
-		p.after(0, func() { p.step(d) })
-		p.after(0, func() { p.round(d) })
+		d := &ownerProcess{host: h.number, lastReportAt: map[string]time.Duration{}}
+		d.owner = rollout.NewOwner(s.row, s.scenario.Bounds, s.scenario.Test, s.epoch, s.clock.Now())
+		s.owner = d
+		s.after(0, func() { s.runOwner(d) })
+		s.after(0, func() { s.exchangeReports(d) })
 		return
 	}
-	p.after(stepTime, func() { p.takeOver(order) })
+	s.after(stepInterval, func() { s.takeOver(order) })
 }
 
-// step lets the owner decide.
-func (p *play) step(d *desk) {
-	if p.owner != d {
+// runOwner runs one step of the owner and schedules the next one.
+func (s *simulation) runOwner(d *ownerProcess) {
+	if s.owner != d {
 		return
 	}
-	h := p.hosts[d.host]
-	if h.frozen || h.cut {
-		// Its lease lapses; another takes over.
-		p.owner = nil
+	h := s.hosts[d.host]
+	if h.frozen || h.partitioned {
+		// The owner cannot renew its lease, so another host takes over when the lease expires.
+		s.owner = nil
 		order := h.order
-		p.after(leaseTime, func() { p.takeOver(order) })
+		s.after(leaseDuration, func() { s.takeOver(order) })
 		return
 	}
-	d.live(p)
-	s := d.owner.Next(p.fleet(d), p.line.Now())
-	if s.Write != 0 && !d.writing {
+	d.dropSilentHosts(s)
+	step := d.owner.Next(s.fleet(d), s.clock.Now())
+	if step.Write != 0 && !d.writing {
 		d.writing = true
-		epoch := p.epoch
-		p.after(writeTime, func() { p.written(d, epoch, s) })
+		epoch := s.epoch
+		s.after(storeWriteTime, func() { s.finishWrite(d, epoch, step) })
 	}
-	p.after(stepTime, func() { p.step(d) })
+	s.after(stepInterval, func() { s.runOwner(d) })
 }
 
-func (d *desk) live(p *play) {
-	for incarnation, at := range d.heard {
-		if p.line.Now()-at > silence {
-			delete(d.heard, incarnation)
+func (d *ownerProcess) dropSilentHosts(s *simulation) {
+	for incarnation, at := range d.lastReportAt {
+		if s.clock.Now()-at > silenceTimeout {
+			delete(d.lastReportAt, incarnation)
 		}
 	}
 }
 
-func (p *play) fleet(d *desk) rollout.Fleet {
-	f := rollout.Fleet{Advertised: len(p.hosts)}
-	for incarnation := range d.heard {
+func (s *simulation) fleet(d *ownerProcess) rollout.Fleet {
+	f := rollout.Fleet{Advertised: len(s.hosts)}
+	for incarnation := range d.lastReportAt {
 		f.Live = append(f.Live, incarnation)
 	}
-	for _, e := range p.endpoints {
+	for _, e := range s.endpoints {
 		switch {
-		case e.gone:
-		case e.info.Release == target:
+		case e.stopped:
+		case e.info.Release == targetVersion:
 			f.TargetEndpoints++
 		default:
 			f.OtherEndpoints++
@@ -293,51 +296,52 @@
 	return f
 }
 
-// written ends a write of the row.
-func (p *play) written(d *desk, epoch int64, s rollout.Step) {
+// finishWrite applies a write of the row, unless the store is down, the owner was replaced or the
+// order has ended.
+func (s *simulation) finishWrite(d *ownerProcess, epoch int64, step rollout.Step) {
 	d.writing = false
-	if p.storeBad[StoreDown] || epoch != p.epoch || p.row.Phase.Ended() {
+	if s.storeFaults[StoreDown] || epoch != s.epoch || s.row.Phase.Ended() {
 		return
 	}
-	p.row.Phase, p.row.Reason = s.Write, s.Reason
-	if s.Write.Ended() {
-		p.outcome.EndedAfter = p.line.Now() - warmUp
+	s.row.Phase, s.row.Reason = step.Write, step.Reason
+	if step.Write.Ended() {
+		s.outcome.EndedAfter = s.clock.Now() - warmUp
 	}
-	if s.Write == rollout.Completed {
-		p.end(before)
+	if step.Write == rollout.Completed {
+		s.stopEndpoints(previousVersion)
 	}
-	if s.Write == rollout.Reverted {
-		p.after(2*time.Second, func() { p.end(target) })
+	if step.Write == rollout.Reverted {
+		s.after(2*time.Second, func() { s.stopEndpoints(targetVersion) })
 	}
-	late := time.Duration(0)
-	if p.storeBad[StoreLate] {
-		late = time.Second
+	delay := time.Duration(0)
+	if s.storeFaults[StoreLate] {
+		delay = time.Second
 	}
-	p.after(late, func() { d.owner.SetPhase(s.Write, s.Reason) })
+	s.after(delay, func() { d.owner.SetPhase(step.Write, step.Reason) })
 }
 
-// round tells all hosts the owner's word and takes their reports.
-func (p *play) round(d *desk) {
-	if p.owner != d {
+// exchangeReports sends the owner's directive to all hosts and applies their reports.
+func (s *simulation) exchangeReports(d *ownerProcess) {
+	if s.owner != d {
 		return
 	}
-	w := d.owner.Next(p.fleet(d), p.line.Now()).Directive
-	for _, h := range p.hosts {
-		if h.down || h.frozen || h.cut || p.random.Float64() < lossPart {
+	directive := d.owner.Next(s.fleet(d), s.clock.Now()).Directive
+	for _, h := range s.hosts {
+		if h.down || h.frozen || h.partitioned || s.random.Float64() < datagramLoss {
 			continue
 		}
-		split, incarnation := h.split, h.incarnation
-		p.after(wayTime, func() {
-			split.ApplyDirective(w, p.time())
-			report, ok := split.Report(service, orderID, p.time())
-			if !ok || p.random.Float64() < lossPart {
+		splitter, incarnation := h.splitter, h.incarnation
+		s.after(networkDelay, func() {
+			splitter.ApplyDirective(directive, s.time())
+			report, ok := splitter.Report(service, orderID, s.time())
+			if !ok || s.random.Float64() < datagramLoss {
 				return
 			}
-			p.after(wayTime, func() {
-				d.heard[incarnation] = p.line.Now()
-				d.owner.ApplyReport(incarnation, report, p.line.Now())
+			s.after(networkDelay, func() {
+				d.lastReportAt[incarnation] = s.clock.Now()
+				d.owner.ApplyReport(incarnation, report, s.clock.Now())
 			})
 		})
 	}
-	p.after(roundTime, func() { p.round(d) })
+	s.after(roundInterval, func() { s.exchangeReports(d) })
 }
--- a/pkg/rolloutlab/lab_test.go
+++ b/pkg/rolloutlab/lab_test.go
@@ -14,15 +14,15 @@
 	"ironhollow/pkg/rolloutlab"
 )
 
-// seeds is for more runs by hand, firstSeed for one of them.
+// seeds can be raised for manual runs; firstSeed selects where they start.
 var (
-	seeds     = flag.Int("seeds", 120, "roll-outs that are played")
-	firstSeed = flag.Int("first", 0, "the first seed")
+	seeds     = flag.Int("seeds", 120, "number of roll-outs")
+	firstSeed = flag.Int("first", 0, "first seed")
 )
 
-// drawSite draws a roll-out: half of the versions good, services of 4 and of 60
-// endpoints, 5 to 400 requests a second, periods of 6 to 60 s, no fault, one or two.
-func drawSite(seed uint64) rolloutlab.Scenario {
+// drawScenario draws a scenario: half of the versions are good, services have 4 or 60 endpoints, 5
+// to 400 requests per second and periods of 6 to 60 s, with zero to two faults.
+func drawScenario(seed uint64) rolloutlab.Scenario {
 	random := rand.New(rand.NewPCG(seed, 99))
 	s := rolloutlab.Scenario{
 		Hosts: 4 + random.IntN(9), Endpoints: 60, Rate: 5 * float64(uint(1)<<random.IntN(7)) * (1 + 0.25*random.Float64()),
@@ -31,15 +31,15 @@
 	}
 	s.BootTime = time.Duration(random.Float64() * min(4, 0.3*s.Period.Seconds()) * float64(time.Second))
 	s.Routes = []rolloutlab.Route{
-		{Share: 0.55, FailureRate: 0.01, MeanTime: 700 * time.Millisecond, Spread: 0.4},
-		{Share: 0.3, FailureRate: 0.004, MeanTime: 300 * time.Millisecond, Spread: 0.5},
-		{Share: 0.15, FailureRate: 0.01, MeanTime: 900 * time.Millisecond, Spread: 0.4},
+		{TrafficShare: 0.55, FailureRate: 0.01, MeanTime: 700 * time.Millisecond, Spread: 0.4},
+		{TrafficShare: 0.3, FailureRate: 0.004, MeanTime: 300 * time.Millisecond, Spread: 0.5},
+		{TrafficShare: 0.15, FailureRate: 0.01, MeanTime: 900 * time.Millisecond, Spread: 0.4},
 	}
 	if random.IntN(2) == 0 {
 		s.Endpoints = 4
 		s.Routes = []rolloutlab.Route{
-			{Share: 0.81, FailureRate: 0.004, MeanTime: 60 * time.Millisecond, Spread: 0.5},
-			{Share: 0.19, FailureRate: 0.14, MeanTime: 60 * time.Millisecond, Spread: 0.5},
+			{TrafficShare: 0.81, FailureRate: 0.004, MeanTime: 60 * time.Millisecond, Spread: 0.5},
+			{TrafficShare: 0.19, FailureRate: 0.14, MeanTime: 60 * time.Millisecond, Spread: 0.5},
 		}
 	}
 	if seed%2 == 1 {
@@ -59,62 +59,62 @@
 	return s
 }
 
-// played is a roll-out and how it ended.
-type played struct {
-	seed    uint64
-	site    rolloutlab.Scenario
-	outcome rolloutlab.Outcome
+// result is a roll-out with its outcome.
+type result struct {
+	seed     uint64
+	scenario rolloutlab.Scenario
+	outcome  rolloutlab.Outcome
 }
 
-func (p played) String() string {
-	s := p.site
+func (r result) String() string {
+	s := r.scenario
 	return fmt.Sprintf("seed %d: %v (%.2f, slow %.1f, after %.2f), %d hosts, %d endpoints, %.0f/s, period %v, boot %v, faults %v: %v",
-		p.seed, s.Target, s.Target.BadShare, s.Target.SlowFactor, s.Target.StartsAfter, s.Hosts, s.Endpoints, s.Rate, s.Period,
-		s.BootTime.Round(time.Millisecond), s.Faults, p.outcome)
+		r.seed, s.Target, s.Target.BadShare, s.Target.SlowFactor, s.Target.StartsAfter, s.Hosts, s.Endpoints, s.Rate, s.Period,
+		s.BootTime.Round(time.Millisecond), s.Faults, r.outcome)
 }
 
-func playAll(count, first int) []played {
-	list := make([]played, count)
+func runAll(count, first int) []result {
+	results := make([]result, count)
 	var group sync.WaitGroup
 	limit := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for i := range list {
+	for i := range results {
 		limit <- struct{}{}
 		group.Go(func() {
 			defer func() { <-limit }()
 			seed := uint64(first + i)
-			site := drawSite(seed)
-			list[i] = played{seed, site, rolloutlab.Run(site, seed)}
+			scenario := drawScenario(seed)
+			results[i] = result{seed, scenario, rolloutlab.Run(scenario, seed)}
 		})
 	}
 	group.Wait()
-	return list
+	return results
 }
 
-// tally is what a set of roll-outs came to.
+// tally counts the outcomes of a set of roll-outs.
 type tally struct {
 	good, bad                              int
 	reverted, revertedClean, clean         int
 	completedBad, exposed, undecided, late int
 	cut                                    int
-	badAnswers                             []int
+	badAnswerCounts                        []int
 }
 
 func TestRollouts(t *testing.T) {
 	var sum tally
 	byKind := map[string]*tally{}
-	for _, p := range playAll(*seeds, *firstSeed) {
-		k, ok := byKind[p.site.Target.String()]
+	for _, r := range runAll(*seeds, *firstSeed) {
+		k, ok := byKind[r.scenario.Target.String()]
 		if !ok {
 			k = &tally{}
-			byKind[p.site.Target.String()] = k
+			byKind[r.scenario.Target.String()] = k
 		}
 		for _, c := range []*tally{&sum, k} {
-			c.add(p)
+			c.add(r)
 		}
-		o := p.outcome
-		wrong := p.site.Target.IsBad() && (o.Phase != rollout.Reverted || o.Exposed()) || !p.site.Target.IsBad() && o.Phase != rollout.Completed || o.CutRequests > 0 || o.EndedAfter > p.site.Period
+		o := r.outcome
+		wrong := r.scenario.Target.IsBad() && (o.Phase != rollout.Reverted || o.Exposed()) || !r.scenario.Target.IsBad() && o.Phase != rollout.Completed || o.CutRequests > 0 || o.EndedAfter > r.scenario.Period
 		if wrong || *seeds < 4 {
-			t.Log(p)
+			t.Log(r)
 		}
 	}
 	for name, k := range byKind {
@@ -124,48 +124,48 @@
 	sum.check(t)
 }
 
-// check holds a set of roll-outs to what 2,000 of them came to, with room for chance in
-// a smaller one: 57 bad versions completed and 30 exposed of 1,000, 31 good ones reverted
-// of 1,000, 28 late and 6 that cut requests of 2,000.
+// check compares the counts with those of 2,000 roll-outs, with a margin for chance in smaller
+// sets: of 1,000 bad versions 57 completed and 30 were exposed, of 1,000 good ones 31 were
+// reverted, and of all 2,000 roll-outs 28 ended late and 6 cut requests.
 func (c *tally) check(t *testing.T) {
 	t.Helper()
 	all := c.good + c.bad
 	for _, b := range []struct {
-		what       string
-		got, of    int
-		part, room float64
+		what          string
+		got, of       int
+		share, margin float64
 	}{
 		{"bad versions completed", c.completedBad, c.bad, 0.07, 3},
-		{"bad versions that got more than they may", c.exposed, c.bad, 0.04, 2},
+		{"bad versions exposed beyond the bounds", c.exposed, c.bad, 0.04, 2},
 		{"good versions reverted", c.reverted, c.good, 0.04, 3},
-		{"late ends", c.late, all, 0.02, 3},
-		{"ends that cut requests", c.cut, all, 0.005, 1},
-		{"no end", c.undecided, all, 0, 0},
+		{"roll-outs ended late", c.late, all, 0.02, 3},
+		{"roll-outs that cut requests", c.cut, all, 0.005, 1},
+		{"roll-outs without a decision", c.undecided, all, 0, 0},
 	} {
-		if want := b.part*float64(b.of) + b.room; float64(b.got) > want {
-			t.Errorf("%s: got %d of %d, want %.1f at most", b.what, b.got, b.of, want)
+		if want := b.share*float64(b.of) + b.margin; float64(b.got) > want {
+			t.Errorf("%s: got %d of %d, want at most %.1f", b.what, b.got, b.of, want)
 		}
 	}
-	if got := c.median(); got > 20 {
-		t.Errorf("median of a bad version's bad answers: got %d, want 20 at most", got)
+	if got := c.medianBadAnswers(); got > 20 {
+		t.Errorf("median number of bad answers of bad versions: got %d, want at most 20", got)
 	}
 }
 
-func (c *tally) add(p played) {
-	o := p.outcome
+func (c *tally) add(r result) {
+	o := r.outcome
 	if o.EndedAfter == 0 {
 		c.undecided++
 	}
-	if o.EndedAfter > p.site.Period {
+	if o.EndedAfter > r.scenario.Period {
 		c.late++
 	}
 	if o.CutRequests > 0 {
 		c.cut++
 	}
-	if !p.site.Target.IsBad() {
+	if !r.scenario.Target.IsBad() {
 		c.good++
 		c.reverted += btoi(o.Phase == rollout.Reverted)
-		if len(p.site.Faults) == 0 {
+		if len(r.scenario.Faults) == 0 {
 			c.clean++
 			c.revertedClean += btoi(o.Phase == rollout.Reverted)
 		}
@@ -174,16 +174,16 @@
 	c.bad++
 	c.completedBad += btoi(o.Phase == rollout.Completed)
 	c.exposed += btoi(o.Exposed())
-	c.badAnswers = append(c.badAnswers, o.BadAnswers)
+	c.badAnswerCounts = append(c.badAnswerCounts, o.BadAnswers)
 }
 
-// median is that of the bad answers of bad versions.
-func (c *tally) median() int {
-	if len(c.badAnswers) == 0 {
+// medianBadAnswers returns the median number of bad answers of bad versions.
+func (c *tally) medianBadAnswers() int {
+	if len(c.badAnswerCounts) == 0 {
 		return 0
 	}
-	slices.Sort(c.badAnswers)
-	return c.badAnswers[len(c.badAnswers)/2]
+	slices.Sort(c.badAnswerCounts)
+	return c.badAnswerCounts[len(c.badAnswerCounts)/2]
 }
 
 func btoi(b bool) int {
@@ -195,20 +195,21 @@
 
 func (c *tally) String() string {
 	return fmt.Sprintf("good %d (reverted %d; without faults %d of %d), bad %d (completed %d, exposed %d, median of bad answers %d); undecided %d, late %d, cut %d",
-		c.good, c.reverted, c.revertedClean, c.clean, c.bad, c.completedBad, c.exposed, c.median(), c.undecided, c.late, c.cut)
+		c.good, c.reverted, c.revertedClean, c.clean, c.bad, c.completedBad, c.exposed, c.medianBadAnswers(), c.undecided, c.late, c.cut)
 }
 
-// A judge that never reverts is caught: most bad versions get more than they may.
-func TestNoJudgeIsSeen(t *testing.T) {
+// Guards against an exposure check that finds nothing: if the statistical test never reverts, most
+// bad versions have to count as exposed.
+func TestBadVersionsAreExposedWithoutTest(t *testing.T) {
 	exposed, bad := 0, 0
 	for seed := uint64(1); seed < 40; seed += 2 {
-		site := drawSite(seed)
-		site.Test.PriorBad = 1e-30
-		o := rolloutlab.Run(site, seed)
+		scenario := drawScenario(seed)
+		scenario.Test.PriorBad = 1e-30
+		o := rolloutlab.Run(scenario, seed)
 		bad++
 		exposed += btoi(o.Exposed())
 	}
 	if exposed < bad/2 {
-		t.Errorf("without a judge: got %d of %d bad versions exposed, want half at least", exposed, bad)
+		t.Errorf("without a working test: got %d of %d bad versions exposed, want at least half", exposed, bad)
 	}
 }
--- a/pkg/rolloutlab/play.go
+++ b/pkg/rolloutlab/play.go
@@ -11,219 +11,222 @@
 	"ironhollow/pkg/timeline"
 )
 
-// Names of a run.
+// Names and IDs of a run.
 const (
-	service = "svc"
-	before  = "v1"
-	target  = "v2"
-	orderID = 7
+	service         = "svc"
+	previousVersion = "v1"
+	targetVersion   = "v2"
+	orderID         = 7
 )
 
-// Times of a run.
+// Durations and rates of a run.
 const (
-	// warmUp is how long requests come before the order.
+	// warmUp is how long requests arrive before the order.
 	warmUp = 20 * time.Second
-	// roundTime is the time between two datagrams of a host about an order.
-	roundTime = 250 * time.Millisecond
-	stepTime  = 100 * time.Millisecond
-	wayTime   = 2 * time.Millisecond
-	// lossPart is the part of the datagrams that do not arrive.
-	lossPart = 0.01
-	// leaseTime is how long after an owner's last word another takes over.
-	leaseTime = 3 * time.Second
-	writeTime = 15 * time.Millisecond
-	// feedTime is how late hosts hear of rows by their feeds.
-	feedTime = 1500 * time.Millisecond
-	// silence is how long a host is held to live unheard.
-	silence = 3200 * time.Millisecond
-	// restartTime is how long a killed process is away.
+	// roundInterval is the time between two rounds of directives and reports about an order.
+	roundInterval = 250 * time.Millisecond
+	stepInterval  = 100 * time.Millisecond
+	networkDelay  = 2 * time.Millisecond
+	// datagramLoss is the fraction of datagrams that are lost.
+	datagramLoss = 0.01
+	// leaseDuration is the time between the last action of a failed owner and the takeover by
+	// another host.
+	leaseDuration  = 3 * time.Second
+	storeWriteTime = 15 * time.Millisecond
+	// feedInterval is the time between two reads of the row, and so the longest delay until a host
+	// sees a change.
+	feedInterval = 1500 * time.Millisecond
+	// silenceTimeout is the time without a report after which the owner considers a host dead.
+	silenceTimeout = 3200 * time.Millisecond
+	// restartTime is how long a killed process is down.
 	restartTime = time.Second
-	// faultTime is how long a fault lasts.
-	faultTime = 4 * time.Second
-	// touchTime is how long a host must have been well to count as in touch.
-	touchTime = 4 * time.Second
-	// rollbackTime and rollbackAnswers are the users' bound on sends to a bad version.
-	rollbackTime    = 5 * time.Second
-	rollbackAnswers = 50
-	// tail is how long a run goes on after the limit.
-	tail = 20 * time.Second
+	// faultDuration is how long a fault lasts.
+	faultDuration = 4 * time.Second
+	// recoveryTime is how long a host must be without a fault before it counts as in contact again.
+	recoveryTime = 4 * time.Second
+	// maxRollbackTime and maxBadAnswers are the users' bound on a bad version: hosts in contact
+	// send it no request later than maxRollbackTime after its bad answer number maxBadAnswers.
+	maxRollbackTime = 5 * time.Second
+	maxBadAnswers   = 50
+	// drainTime is how long a run continues at most after the end of the period.
+	drainTime = 20 * time.Second
 )
 
-// play is one run.
-type play struct {
-	site    Scenario
-	random  *rand.Rand
-	line    timeline.Timeline
-	outcome Outcome
-
-	hosts     []*host
-	endpoints []*server
-	owner     *desk
-	epoch     int64
-	row       rollout.State
-	hasRow    bool
-	storeBad  map[Fault]bool
-	// badAt is when the target's answers were bad.
-	badAt  []time.Duration
-	sentAt []time.Duration
-	carry  float64
-	burst  bool
+// simulation is the state of one run.
+type simulation struct {
+	scenario Scenario
+	random   *rand.Rand
+	clock    timeline.Timeline
+	outcome  Outcome
+
+	hosts       []*host
+	endpoints   []*simEndpoint
+	owner       *ownerProcess
+	epoch       int64
+	row         rollout.State
+	hasRow      bool
+	storeFaults map[Fault]bool
+	// badAnswerTimes are the times of the target's bad answers.
+	badAnswerTimes  []time.Duration
+	targetSendTimes []time.Duration
+	meanInFlight    float64
+	burst           bool
 }
 
-// epochTime is the time of day at which runs begin.
-var epochTime = time.Date(2024, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the wall-clock time at which runs start.
+var startTime = time.Date(2024, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (p *play) time() time.Time { return epochTime.Add(p.line.Now()) }
+func (s *simulation) time() time.Time { return startTime.Add(s.clock.Now()) }
 
-// Run plays a roll-out. The same seed gives the same.
-func Run(site Scenario, seed uint64) Outcome {
-	p := &play{site: site, random: rand.New(rand.NewPCG(seed, 0)), storeBad: map[Fault]bool{}}
-	for i := range site.Hosts {
-		p.hosts = append(p.hosts, p.newHost(i))
+// Run simulates a roll-out and returns its outcome. The same seed gives the same outcome.
+func Run(scenario Scenario, seed uint64) Outcome {
+	s := &simulation{scenario: scenario, random: rand.New(rand.NewPCG(seed, 0)), storeFaults: map[Fault]bool{}}
+	for i := range scenario.Hosts {
+		s.hosts = append(s.hosts, s.newHost(i))
 	}
 	mean := 0.0
-	for _, r := range site.Routes {
-		mean += r.Share * r.MeanTime.Seconds()
-	}
-	p.carry = site.Rate * mean / float64(site.Endpoints)
-	for i := range site.Endpoints {
-		p.endpoints = append(p.endpoints, p.newServer(fmt.Sprintf("a%03d", i), before))
-	}
-	p.survey()
-	p.arrive()
-	p.after(warmUp, p.ordered)
-	p.line.Run(warmUp+site.Period+tail, p.isOver)
-	p.judge()
-	return p.outcome
+	for _, r := range scenario.Routes {
+		mean += r.TrafficShare * r.MeanTime.Seconds()
+	}
+	s.meanInFlight = scenario.Rate * mean / float64(scenario.Endpoints)
+	for i := range scenario.Endpoints {
+		s.endpoints = append(s.endpoints, s.newEndpoint(fmt.Sprintf("a%03d", i), previousVersion))
+	}
+	s.updateEndpoints()
+	s.scheduleRequest()
+	s.after(warmUp, s.startRollout)
+	s.clock.Run(warmUp+scenario.Period+drainTime, s.isOver)
+	s.evaluate()
+	return s.outcome
 }
 
-// isOver reports whether the order has ended so long ago that nothing of it follows.
-func (p *play) isOver() bool {
-	ended := p.outcome.EndedAfter
-	return ended > 0 && p.line.Now() > warmUp+max(ended, p.site.Period)+rollbackTime
+// isOver reports whether the order has ended and no later event can change the outcome.
+func (s *simulation) isOver() bool {
+	ended := s.outcome.EndedAfter
+	return ended > 0 && s.clock.Now() > warmUp+max(ended, s.scenario.Period)+maxRollbackTime
 }
 
-// judge works out what the users' bounds say of the run.
-func (p *play) judge() {
-	o := &p.outcome
-	o.Phase = p.row.Phase
-	o.Reason = p.row.Reason
-	o.AllowedRequests = p.site.Bounds.Share*float64(o.Requests) + p.site.Bounds.Slack
-	if !p.site.Target.IsBad() {
+// evaluate compares the run with the users' bounds.
+func (s *simulation) evaluate() {
+	o := &s.outcome
+	o.Phase = s.row.Phase
+	o.Reason = s.row.Reason
+	o.AllowedRequests = s.scenario.Bounds.Share*float64(o.Requests) + s.scenario.Bounds.Slack
+	if !s.scenario.Target.IsBad() {
 		o.AllowedRequests = math.Inf(1)
 		return
 	}
-	if len(p.sentAt) > 0 {
-		last := p.sentAt[len(p.sentAt)-1]
-		for _, at := range p.badAt {
+	if len(s.targetSendTimes) > 0 {
+		last := s.targetSendTimes[len(s.targetSendTimes)-1]
+		for _, at := range s.badAnswerTimes {
 			if at <= last {
 				o.BadAnswers++
 			}
 		}
 	}
-	if len(p.badAt) < rollbackAnswers {
+	if len(s.badAnswerTimes) < maxBadAnswers {
 		return
 	}
-	for _, at := range p.sentAt {
-		if at > p.badAt[rollbackAnswers-1]+rollbackTime {
+	for _, at := range s.targetSendTimes {
+		if at > s.badAnswerTimes[maxBadAnswers-1]+maxRollbackTime {
 			o.LateTargetRequests++
 		}
 	}
 }
 
-// ordered is the operator's order.
-func (p *play) ordered() {
-	order := rollout.Order{Service: service, Target: target, Period: p.site.Period, ID: orderID}
-	for _, h := range p.hosts {
-		p.after(time.Duration(p.random.IntN(100))*time.Millisecond, func() { h.hearOrder(order) })
+// startRollout places the operator's order, starts the target's endpoints and schedules the faults.
+func (s *simulation) startRollout() {
+	order := rollout.Order{Service: service, Target: targetVersion, Period: s.scenario.Period, ID: orderID}
+	for _, h := range s.hosts {
+		s.after(time.Duration(s.random.IntN(100))*time.Millisecond, func() { h.receiveOrder(order) })
 	}
-	p.after(p.site.BootTime, func() {
-		for i := range p.site.Endpoints {
-			p.endpoints = append(p.endpoints, p.newServer(fmt.Sprintf("b%03d", i), target))
+	s.after(s.scenario.BootTime, func() {
+		for i := range s.scenario.Endpoints {
+			s.endpoints = append(s.endpoints, s.newEndpoint(fmt.Sprintf("b%03d", i), targetVersion))
 		}
-		p.survey()
+		s.updateEndpoints()
 	})
-	p.after(50*time.Millisecond, func() { p.takeOver(order) })
-	for _, f := range p.site.Faults {
-		p.after(time.Duration(p.random.Float64()*float64(p.site.Period)), func() { p.inject(f) })
+	s.after(50*time.Millisecond, func() { s.takeOver(order) })
+	for _, f := range s.scenario.Faults {
+		s.after(time.Duration(s.random.Float64()*float64(s.scenario.Period)), func() { s.inject(f) })
 	}
 }
 
-// arrive makes the next request.
-func (p *play) arrive() {
-	rate := p.site.Rate
-	if p.burst {
+// scheduleRequest schedules the next request.
+func (s *simulation) scheduleRequest() {
+	rate := s.scenario.Rate
+	if s.burst {
 		rate *= 1.7
 	}
-	p.after(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		p.hosts[p.random.IntN(len(p.hosts))].serve(p.line.Scheduled())
-		p.arrive()
+	s.after(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		s.hosts[s.random.IntN(len(s.hosts))].serve(s.clock.Scheduled())
+		s.scheduleRequest()
 	})
 }
 
-// survey lets all hosts see the endpoints as they are.
-func (p *play) survey() {
+// updateEndpoints gives all hosts the current list of endpoints.
+func (s *simulation) updateEndpoints() {
 	var infos []endpoint.Info
-	for _, e := range p.endpoints {
-		if !e.gone {
+	for _, e := range s.endpoints {
+		if !e.stopped {
 			infos = append(infos, e.info)
 		}
 	}
-	for _, h := range p.hosts {
+	for _, h := range s.hosts {
 		for _, info := range infos {
-			h.split.ObserveRelease(service, info.Release, p.time())
+			h.splitter.ObserveRelease(service, info.Release, s.time())
 		}
-		h.split.UpdateEndpoints(infos, true, p.time())
+		h.splitter.UpdateEndpoints(infos, true, s.time())
 	}
 }
 
-// end ends the endpoints of a version at once.
-func (p *play) end(release string) {
-	for _, e := range p.endpoints {
-		if e.info.Release == release && !e.gone {
-			e.gone = true
-			if release == before {
-				p.outcome.CutRequests += e.running
+// stopEndpoints stops all endpoints of a version at once.
+func (s *simulation) stopEndpoints(release string) {
+	for _, e := range s.endpoints {
+		if e.info.Release == release && !e.stopped {
+			e.stopped = true
+			if release == previousVersion {
+				s.outcome.CutRequests += e.running
 			}
 		}
 	}
-	p.survey()
+	s.updateEndpoints()
 }
 
-// inject begins a fault.
-func (p *play) inject(f Fault) {
-	h := p.hosts[p.random.IntN(len(p.hosts))]
+// inject starts a fault.
+func (s *simulation) inject(f Fault) {
+	h := s.hosts[s.random.IntN(len(s.hosts))]
 	switch f {
 	case Grey, Slow, Reclaim:
-		p.harm(f)
+		s.impairEndpoints(f)
 	case Burst:
-		p.burst = true
-		p.after(faultTime, func() { p.burst = false })
+		s.burst = true
+		s.after(faultDuration, func() { s.burst = false })
 	case OwnerKilled:
-		if p.owner != nil {
-			p.hosts[p.owner.host].kill()
+		if s.owner != nil {
+			s.hosts[s.owner.host].kill()
 		}
 	case HostKilled:
 		h.kill()
 	case HostFrozen, HostPartitioned:
-		h.harmed(faultTime)
+		h.markImpaired(faultDuration)
 		h.frozen = h.frozen || f == HostFrozen
-		h.cut = true
-		p.after(faultTime, func() { h.frozen, h.cut = false, false })
+		h.partitioned = true
+		s.after(faultDuration, func() { h.frozen, h.partitioned = false, false })
 	case StoreDown, StoreLate:
-		p.storeBad[f] = true
-		p.after(faultTime, func() { p.storeBad[f] = false })
+		s.storeFaults[f] = true
+		s.after(faultDuration, func() { s.storeFaults[f] = false })
 	}
 }
 
-// harm harms some endpoints of either version.
-func (p *play) harm(f Fault) {
-	part := 0.15
+// impairEndpoints applies a fault to a random part of the endpoints of both versions.
+func (s *simulation) impairEndpoints(f Fault) {
+	share := 0.15
 	if f == Reclaim {
-		part = 0.25
+		share = 0.25
 	}
-	for _, e := range p.endpoints {
-		if e.gone || p.random.Float64() >= part {
+	for _, e := range s.endpoints {
+		if e.stopped || s.random.Float64() >= share {
 			continue
 		}
 		switch f {
@@ -232,12 +235,12 @@
 		case Slow:
 			e.slow = true
 		case Reclaim:
-			e.gone = true
+			e.stopped = true
 		}
-		p.after(faultTime, func() { e.grey, e.slow = false, false })
+		s.after(faultDuration, func() { e.grey, e.slow = false, false })
 	}
-	p.survey()
+	s.updateEndpoints()
 }
 
-// after calls do in virtual time.
-func (p *play) after(pause time.Duration, do func()) { p.line.After(pause, do) }
+// after schedules a call in virtual time.
+func (s *simulation) after(delay time.Duration, do func()) { s.clock.After(delay, do) }
--- a/pkg/rolloutlab/site.go
+++ b/pkg/rolloutlab/site.go
@@ -1,7 +1,7 @@
-// Package rolloutlab plays roll-outs of versions in virtual time against the decisions
-// as shipped (package rollout): hosts that split their requests and tell each other by
-// datagrams, an owner that may die, a store that may be away, endpoints with faults of
-// their own, and versions that are good or bad in the ways that users name.
+// Package rolloutlab simulates roll-outs of versions in virtual time against the production code in
+// package rollout. Hosts that split their requests and exchange datagrams, an owner that can fail,
+// a store that can be down and endpoints with faults of their own are simulated. Versions are good,
+// or bad in one of the ways that users have described.
 package rolloutlab
 
 import (
@@ -11,80 +11,82 @@
 	"ironhollow/pkg/rollout"
 )
 
-// Defect is how a version is bad.
+// Defect describes how a version is bad.
 type Defect struct {
-	// BadShare is the part of its answers that are bad, 0 for a good version; SlowFactor makes
-	// these SlowFactor times as long, 0 makes them fail.
+	// BadShare is the fraction of answers that are bad, 0 for a good version. Bad answers take
+	// SlowFactor times as long, or fail if SlowFactor is 0.
 	BadShare, SlowFactor float64
-	// StartsAfter is the part of the period after which it begins.
+	// StartsAfter is the fraction of the period after which the defect appears.
 	StartsAfter float64
-	// OnlyUnderLoad says that only endpoints that carry what the others carry show it.
+	// OnlyUnderLoad limits the defect to endpoints that carry about as many requests as those of
+	// the other version.
 	OnlyUnderLoad bool
-	// OnlyRarestRoute says that only the requests of the rarest route show it.
+	// OnlyRarestRoute limits the defect to requests of the rarest route.
 	OnlyRarestRoute bool
 }
 
 // IsBad reports whether the version is bad.
-func (b Defect) IsBad() bool { return b.BadShare > 0 }
+func (d Defect) IsBad() bool { return d.BadShare > 0 }
 
-// String names the badness.
-func (b Defect) String() string {
-	if !b.IsBad() {
+// String names the defect.
+func (d Defect) String() string {
+	if !d.IsBad() {
 		return "good"
 	}
 	name := "fails"
-	if b.SlowFactor > 0 {
+	if d.SlowFactor > 0 {
 		name = "slow"
 	}
-	if b.StartsAfter > 0 {
+	if d.StartsAfter > 0 {
 		name += ", later"
 	}
-	if b.OnlyUnderLoad {
+	if d.OnlyUnderLoad {
 		name += ", under load"
 	}
-	if b.OnlyRarestRoute {
+	if d.OnlyRarestRoute {
 		name += ", one route"
 	}
 	return name
 }
 
-// Fault is something that goes wrong beside the version.
+// Fault is a fault that is independent of the version.
 type Fault string
 
 // The faults.
 const (
-	// Grey endpoints fail a part of their answers, Slow ones take four times as long.
+	// Grey endpoints fail part of their answers, Slow ones take four times as long.
 	Grey Fault = "grey"
 	Slow Fault = "slow"
-	// Burst is more requests for a time.
+	// Burst raises the request rate for a time.
 	Burst Fault = "burst"
-	// OwnerKilled and HostKilled end processes, which start anew; Frozen ones stand still.
+	// OwnerKilled and HostKilled kill a process, which is then restarted; HostFrozen suspends one.
 	OwnerKilled Fault = "owner-killed"
 	HostKilled  Fault = "host-killed"
 	HostFrozen  Fault = "host-frozen"
-	// HostPartitioned loses all datagrams of a host and the store.
+	// HostPartitioned cuts a host off from all datagrams and from the store.
 	HostPartitioned Fault = "host-cut"
-	// StoreDown refuses writes, StoreLate does them and answers nothing.
+	// StoreDown makes the store reject reads and writes, StoreLate makes it apply writes but answer
+	// late.
 	StoreDown Fault = "store-down"
 	StoreLate Fault = "store-late"
-	// Reclaim takes a quarter of the endpoints of either version.
+	// Reclaim stops a quarter of the endpoints of either version.
 	Reclaim Fault = "reclaim"
 )
 
-// Faults are all of them.
+// Faults lists all faults.
 var Faults = []Fault{Grey, Slow, Burst, OwnerKilled, HostKilled, HostFrozen, HostPartitioned, StoreDown, StoreLate, Reclaim}
 
-// touchesEndpoints reports whether a fault is one of endpoints.
-func (f Fault) touchesEndpoints() bool { return f == Grey || f == Slow || f == Reclaim }
+// affectsEndpoints reports whether a fault is injected into endpoints.
+func (f Fault) affectsEndpoints() bool { return f == Grey || f == Slow || f == Reclaim }
 
-// Scenario is what a roll-out is played on.
+// Scenario describes the fleet, the load, the target version and the faults of a roll-out.
 type Scenario struct {
 	Hosts, Endpoints int
-	// Rate is the requests a second, over routes of unequal parts.
+	// Rate is the number of requests per second over all routes.
 	Rate   float64
 	Routes []Route
 	Period time.Duration
-	// BootTime is how long after the order the target's endpoints are there.
+	// BootTime is the time from the order until the target's endpoints are ready.
 	BootTime time.Duration
 	Target   Defect
 	Faults   []Fault
@@ -92,42 +94,45 @@
 	Test     rollout.BayesTest
 }
 
-// Route is one kind of request.
+// Route describes one kind of request.
 type Route struct {
-	// Share is of all requests, FailureRate the part of the answers that fail by themselves.
-	Share, FailureRate float64
-	// MeanTime is how long an answer takes, Spread of its logarithm.
+	// TrafficShare is the fraction of all requests, FailureRate the fraction of answers that fail
+	// regardless of the version.
+	TrafficShare, FailureRate float64
+	// MeanTime is the mean duration of a request, Spread the standard deviation of its logarithm.
 	MeanTime time.Duration
 	Spread   float64
 }
 
-// Outcome is how a roll-out ended.
+// Outcome is the result of a roll-out.
 type Outcome struct {
 	Phase rollout.Phase
-	// EndedAfter is when it ended after the order, 0 if it did not.
+	// EndedAfter is the time from the order to its end, 0 if it did not end.
 	EndedAfter time.Duration
 	Reason     string
-	// Requests is the requests between the order and the limit, TargetRequests those of them that
-	// hosts in touch sent to the target; Allowed is what a bad version may get.
+	// Requests is the number of requests between the order and the end of its period,
+	// TargetRequests the number of those that hosts in contact with the owner sent to the target.
+	// AllowedRequests is the number that a bad version may get.
 	Requests, TargetRequests int
 	AllowedRequests          float64
-	// LateTargetRequests is requests sent by hosts in touch later than the users allow after the
-	// target's 50th bad answer.
+	// LateTargetRequests is the number of requests that hosts in contact sent to the target later
+	// than the users allow after its 50th bad answer.
 	LateTargetRequests int
-	// BadAnswers are the target's until its last request was sent.
+	// BadAnswers is the number of the target's bad answers up to the last request sent to it.
 	BadAnswers int
-	// CutRequests is the requests that ran at the others when these were ended.
+	// CutRequests is the number of requests in progress at the previous version's endpoints when
+	// those were stopped.
 	CutRequests int
-	// UnservedRequests is requests that found no endpoint.
+	// UnservedRequests is the number of requests for which there was no endpoint.
 	UnservedRequests int
 }
 
-// Exposed reports whether a bad version got more than it may.
+// Exposed reports whether a bad version got more requests than allowed.
 func (o Outcome) Exposed() bool {
 	return float64(o.TargetRequests) > o.AllowedRequests || o.LateTargetRequests > 0
 }
 
-// String is an outcome for a test's log.
+// String formats the outcome for test logs.
 func (o Outcome) String() string {
 	return fmt.Sprintf("%v after %v (%s); tried %d of %d, allowed %.0f, late %d; %d bad answers, %d cut, %d unserved",
 		o.Phase, o.EndedAfter.Round(time.Millisecond), o.Reason, o.TargetRequests, o.Requests, o.AllowedRequests, o.LateTargetRequests, o.BadAnswers, o.CutRequests, o.UnservedRequests)
