--- a/pkg/app/cli/config.go
+++ b/pkg/app/cli/config.go
@@ -67,7 +67,7 @@
 	for _, s := range fleet.Diff(old, next) {
 		change := "added"
 		switch {
-		case s.Removed():
+		case s.IsRemoval():
 			change = "removed"
 		case before[s.ID()]:
 			change = "changed"
@@ -142,7 +142,7 @@
 			if err != nil {
 				return err
 			}
-			return t.print(operatorwire.Applied{Revision: revision}, func(w io.Writer) {
+			return t.print(operatorwire.ApplyResponse{Revision: revision}, func(w io.Writer) {
 				row(w, fmt.Sprintf("revision %d is in force", revision))
 			})
 		},
--- a/pkg/app/cli/status.go
+++ b/pkg/app/cli/status.go
@@ -74,7 +74,7 @@
 			if err != nil {
 				return err
 			}
-			if err := client.Admin(command.Context(), http.MethodPost, args[0], "/drain", nil); err != nil {
+			if err := client.CallAdmin(command.Context(), http.MethodPost, args[0], "/drain", nil); err != nil {
 				return err
 			}
 			return t.print(struct {
@@ -161,7 +161,7 @@
 		return err
 	}
 	var candidates []operatorwire.Candidate
-	if err := client.Admin(command.Context(), http.MethodGet, address, "/explain/services/"+url.PathEscape(service), &candidates); err != nil {
+	if err := client.CallAdmin(command.Context(), http.MethodGet, address, "/explain/services/"+url.PathEscape(service), &candidates); err != nil {
 		return err
 	}
 	return t.print(candidates, func(w io.Writer) {
@@ -179,15 +179,15 @@
 	}
 	path := fmt.Sprintf("/explain/requests?count=%d&request=%s", count, url.QueryEscape(request))
 	var list []operatorwire.ServedRequest
-	if err := client.Admin(command.Context(), http.MethodGet, address, path, &list); err != nil {
+	if err := client.CallAdmin(command.Context(), http.MethodGet, address, path, &list); err != nil {
 		return err
 	}
 	return t.print(list, func(w io.Writer) {
 		for _, r := range list {
-			row(w, r.Request, r.Team, r.Service, fmt.Sprintf("%.1f ms", r.TookMS), fmt.Sprintf("%d tokens", r.Tokens), r.Failure)
-			for i, h := range r.Hops {
-				row(w, fmt.Sprintf("  attempt %d", i+1), h.Endpoint, h.Ending, fmt.Sprintf("expected %.1f ms", h.ExpectedMS),
-					fmt.Sprintf("%d tokens had", h.Tokens), fmt.Sprintf("%d cached", h.Cached))
+			row(w, r.RequestID, r.Team, r.Service, fmt.Sprintf("%.1f ms", r.DurationMS), fmt.Sprintf("%d tokens", r.Tokens), r.Failure)
+			for i, h := range r.Attempts {
+				row(w, fmt.Sprintf("  attempt %d", i+1), h.Endpoint, h.Outcome, fmt.Sprintf("expected %.1f ms", h.ExpectedMS),
+					fmt.Sprintf("%d tokens had", h.Tokens), fmt.Sprintf("%d cached", h.CachedTokens))
 			}
 		}
 	})
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -97,7 +97,7 @@
 func (a *App) operatorMux() http.Handler {
 	mux := http.NewServeMux()
 	a.operators.Register(mux)
-	mux.Handle("GET /v1/status", a.operators.Guarded(a.serveStatus))
+	mux.Handle("GET /v1/status", a.operators.RequireOperator(a.serveStatus))
 	return mux
 }
 
--- a/pkg/app/entry/admin.go
+++ b/pkg/app/entry/admin.go
@@ -41,7 +41,7 @@
 		Node: self.ID, Incarnation: self.Incarnation, DataCenter: self.DataCenter, Leaving: self.Leaving,
 		Revision: a.config.Current().Revision(), InFlight: a.api.InFlight(), JobsWaiting: waiting, JobsRunning: running,
 		Links: a.peers.LinkCount(), StoreDown: a.guard.Open(), Suspected: counts.Suspected, Refuted: counts.Refuted,
-		Declared: counts.DeclaredDead, Pauses: counts.Pauses,
+		DeclaredDead: counts.DeclaredDead, Pauses: counts.Pauses,
 		Nodes: operatorwire.FromNodes(a.nodes.Nodes()), Endpoints: operatorwire.FromEndpoints(a.endpoints.View().Infos()),
 	}
 	httpx.WriteJSON(w, http.StatusOK, status)
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -66,7 +66,7 @@
 		c := a.config.Current()
 		a.budget.SetShare(c.Policy().RetryShare())
 		for _, row := range c.Capacities() {
-			a.hazard.SetPrior(hazard.Pool{DataCenter: row.DataCenter(), Class: row.Class()}, row.Hazard(), now())
+			a.hazard.SetPrior(hazard.Pool{DataCenter: row.DataCenter(), Class: row.Class()}, row.HazardPerHour(), now())
 		}
 		select {
 		case <-ctx.Done():
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -183,7 +183,7 @@
 	a.peers.Send(a.mesh.Leave())
 	ctx, cancel := context.WithTimeout(ctx, a.settings.drainMost)
 	defer cancel()
-	notice := max(a.settings.drainNotice, a.config.Current().Policy().EntriesKept())
+	notice := max(a.settings.drainNotice, a.config.Current().Policy().EntryListTTL())
 	pause.For(ctx, notice)
 	a.worker.Drain(ctx)
 	// Connections kept by callers are closed as they fall idle; a request that
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -333,7 +333,7 @@
 			return 0, 0, err
 		}
 		suspected += status.Suspected
-		dead += status.Declared
+		dead += status.DeclaredDead
 	}
 	return suspected, dead, nil
 }
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -310,7 +310,7 @@
 }
 
 func (a *API) serveEntries(w http.ResponseWriter, r *http.Request, c *fleet.Config, _ fleet.Team) {
-	body := entriesBody{Entries: []entryBody{}, KeepSeconds: int(c.Policy().EntriesKept().Seconds())}
+	body := entriesBody{Entries: []entryBody{}, KeepSeconds: int(c.Policy().EntryListTTL().Seconds())}
 	for _, n := range a.chooseEntries(r.URL.Query().Get("data_center")) {
 		body.Entries = append(body.Entries, entryBody{n.CallerAddress, n.DataCenter})
 	}
--- a/pkg/cloud/cloud.go
+++ b/pkg/cloud/cloud.go
@@ -23,8 +23,8 @@
 
 // Order asks for one host.
 type Order struct {
-	// Request makes a repeated order the same order.
-	Request     string
+	// RequestID makes a repeated order the same order.
+	RequestID   string
 	DataCenter  string
 	Class       string
 	Reclaimable bool
@@ -36,8 +36,8 @@
 // API is the cloud.
 type API interface {
 	Notices(ctx context.Context, after int64) ([]Notice, error)
-	Start(ctx context.Context, order Order) (host string, err error)
-	Stop(ctx context.Context, host string) error
+	StartHost(ctx context.Context, order Order) (host string, err error)
+	StopHost(ctx context.Context, host string) error
 }
 
 // WireNotice is a notice as sent.
@@ -50,14 +50,14 @@
 
 // WireOrder is an order as sent.
 type WireOrder struct {
-	Request     string `json:"request"`
+	RequestID   string `json:"request"`
 	DataCenter  string `json:"data_center"`
 	Class       string `json:"class"`
 	Reclaimable bool   `json:"reclaimable"`
 }
 
-// WireStarted answers an order.
-type WireStarted struct {
+// WireOrderResponse answers an order.
+type WireOrderResponse struct {
 	Host string `json:"host"`
 }
 
@@ -89,12 +89,12 @@
 	return notices, nil
 }
 
-// Start buys a host; ErrNoCapacity where the cloud refuses.
-func (c *Client) Start(ctx context.Context, order Order) (string, error) {
+// StartHost buys a host; ErrNoCapacity where the cloud refuses.
+func (c *Client) StartHost(ctx context.Context, order Order) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var started WireStarted
-	in := WireOrder{order.Request, order.DataCenter, order.Class, order.Reclaimable}
+	var started WireOrderResponse
+	in := WireOrder{order.RequestID, order.DataCenter, order.Class, order.Reclaimable}
 	err := httpx.CallJSON(ctx, c.http, http.MethodPost, c.base+"/v1/orders", in, &started)
 	var status *httpx.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusConflict {
@@ -103,8 +103,8 @@
 	return started.Host, err
 }
 
-// Stop gives a host back. It may be repeated.
-func (c *Client) Stop(ctx context.Context, host string) error {
+// StopHost gives a host back. It may be repeated.
+func (c *Client) StopHost(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return httpx.CallJSON(ctx, c.http, http.MethodDelete, c.base+"/v1/hosts/"+host, nil, nil)
--- a/pkg/config/holder.go
+++ b/pkg/config/holder.go
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, s := range c.Sections {
-		if s.Removed() {
+		if s.IsRemoval() {
 			delete(next, s.ID())
 			continue
 		}
--- a/pkg/config/publisher.go
+++ b/pkg/config/publisher.go
@@ -230,7 +230,7 @@
 			Key:    sectionPrefix + section.ID(),
 			Value:  mustJSON(row),
 			If:     table.Always{},
-			Delete: section.Removed(),
+			Delete: section.IsRemoval(),
 		})
 	}
 	writes[0].Value = mustJSON(stored)
--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -35,13 +35,13 @@
 	priority    int
 	mayWait     bool
 	maxTokens   int
-	notRepeated []Call
+	notRepeated []CallPattern
 }
 
-// Call is a method and a path prefix of a plain service.
-type Call struct {
-	Method string
-	Prefix string
+// CallPattern is a method and a path prefix of a plain service.
+type CallPattern struct {
+	Method     string
+	PathPrefix string
 }
 
 // Name returns the name callers use.
@@ -80,7 +80,7 @@
 // MayRepeat reports whether a call may be sent more than once.
 func (s Service) MayRepeat(method, path string) bool {
 	for _, call := range s.notRepeated {
-		if call.Method == method && hasPathPrefix(path, call.Prefix) {
+		if call.Method == method && hasPathPrefix(path, call.PathPrefix) {
 			return false
 		}
 	}
@@ -147,14 +147,14 @@
 // OnDemandPrice returns the price of an on-demand host an hour.
 func (c Capacity) OnDemandPrice() float64 { return c.onDemandPrice }
 
-// Least returns the fewest hosts to keep.
-func (c Capacity) Least() int { return c.least }
+// MinHosts returns the fewest hosts to keep.
+func (c Capacity) MinHosts() int { return c.least }
 
-// Most returns the most hosts to buy.
-func (c Capacity) Most() int { return c.most }
+// MaxHosts returns the most hosts to buy.
+func (c Capacity) MaxHosts() int { return c.most }
 
-// Hazard returns the operator's figure of reclaims for one host an hour.
-func (c Capacity) Hazard() float64 { return c.hazard }
+// HazardPerHour returns the operator's figure of reclaims for one host an hour.
+func (c Capacity) HazardPerHour() float64 { return c.hazard }
 
 // TokensPerSecond returns what one host generates within the latency target.
 func (c Capacity) TokensPerSecond() float64 { return c.tokensPerSecond }
@@ -177,8 +177,8 @@
 // RetryShare returns retries as a share of requests.
 func (p Policy) RetryShare() float64 { return p.retryShare }
 
-// EntriesKept returns how long callers keep the answer of which entries to use.
-func (p Policy) EntriesKept() time.Duration { return p.entriesKept }
+// EntryListTTL returns how long callers keep the answer of which entries to use.
+func (p Policy) EntryListTTL() time.Duration { return p.entriesKept }
 
 // Config is one revision in force. It is never changed once built.
 type Config struct {
--- a/pkg/fleet/decode.go
+++ b/pkg/fleet/decode.go
@@ -15,13 +15,13 @@
 	if err := json.Unmarshal([]byte(s.body), &w); err != nil {
 		return err
 	}
-	calls := make([]Call, 0, len(w.NotRepeated))
+	calls := make([]CallPattern, 0, len(w.NotRepeated))
 	for _, text := range w.NotRepeated {
 		method, prefix, ok := strings.Cut(text, " ")
 		if !ok || !strings.HasPrefix(prefix, "/") {
 			return fmt.Errorf("not-repeated: got %q, valid: METHOD /path-prefix", text)
 		}
-		calls = append(calls, Call{method, prefix})
+		calls = append(calls, CallPattern{method, prefix})
 	}
 	service := Service{
 		name:          w.Name,
--- a/pkg/fleet/section.go
+++ b/pkg/fleet/section.go
@@ -30,8 +30,8 @@
 // Body returns the section as JSON, empty if removed.
 func (s Section) Body() string { return s.body }
 
-// Removed reports whether this is the removal of a section.
-func (s Section) Removed() bool { return s.body == "" }
+// IsRemoval reports whether this is the removal of a section.
+func (s Section) IsRemoval() bool { return s.body == "" }
 
 // ID returns kind and name in one.
 func (s Section) ID() string { return s.kind + "/" + s.name }
--- a/pkg/operatorapi/operatorapi.go
+++ b/pkg/operatorapi/operatorapi.go
@@ -40,12 +40,12 @@
 
 // Register serves the edge on a mux.
 func (a *API) Register(mux *http.ServeMux) {
-	mux.Handle("GET /v1/config", a.Guarded(a.serveGet))
-	mux.Handle("POST /v1/config", a.Guarded(a.serveApply))
+	mux.Handle("GET /v1/config", a.RequireOperator(a.serveGet))
+	mux.Handle("POST /v1/config", a.RequireOperator(a.serveApply))
 }
 
-// Guarded lets operators in and nobody else.
-func (a *API) Guarded(next http.HandlerFunc) http.Handler {
+// RequireOperator lets operators in and nobody else.
+func (a *API) RequireOperator(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !a.mayOperate(r) {
 			writeError(w, code.New(code.UnknownKey, "no operator has this key"))
@@ -84,14 +84,14 @@
 }
 
 func (a *API) serveApply(w http.ResponseWriter, r *http.Request) {
-	var sent operatorwire.Apply
+	var sent operatorwire.ApplyRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxApply))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&sent); err != nil {
 		writeError(w, code.New(code.BadBody, err.Error()))
 		return
 	}
-	if sent.Request == "" || sent.Seen < 0 {
+	if sent.RequestID == "" || sent.SeenRevision < 0 {
 		writeError(w, code.New(code.BadBody, "request and seen are needed"))
 		return
 	}
@@ -100,13 +100,13 @@
 		sections[i] = fleet.NewSection(s.Kind, s.Name, s.Body)
 	}
 	fleet.Sort(sections)
-	revision, err := a.store.Publish(r.Context(), sent.Seen, sent.Request, sections)
+	revision, err := a.store.Publish(r.Context(), sent.SeenRevision, sent.RequestID, sections)
 	if err != nil {
 		writeError(w, err)
 		return
 	}
 	go a.onApplied(context.WithoutCancel(r.Context()))
-	httpx.WriteJSON(w, http.StatusOK, operatorwire.Applied{Revision: revision})
+	httpx.WriteJSON(w, http.StatusOK, operatorwire.ApplyResponse{Revision: revision})
 }
 
 func writeError(w http.ResponseWriter, err error) {
--- a/pkg/operatorapi/operatorwire/wire.go
+++ b/pkg/operatorapi/operatorwire/wire.go
@@ -26,17 +26,17 @@
 	Sections []Section `json:"sections"`
 }
 
-// Apply asks for a configuration to be put in force.
-type Apply struct {
-	// Seen is the revision the operator has seen; 0 for none.
-	Seen int64 `json:"seen"`
-	// Request names this apply, so that it may be sent again.
-	Request  string    `json:"request"`
-	Sections []Section `json:"sections"`
+// ApplyRequest asks for a configuration to be put in force.
+type ApplyRequest struct {
+	// SeenRevision is the revision the operator has seen; 0 for none.
+	SeenRevision int64 `json:"seen"`
+	// RequestID names this apply, so that it may be sent again.
+	RequestID string    `json:"request"`
+	Sections  []Section `json:"sections"`
 }
 
-// Applied answers an apply.
-type Applied struct {
+// ApplyResponse answers an apply.
+type ApplyResponse struct {
 	Revision int64 `json:"revision"`
 }
 
@@ -76,22 +76,22 @@
 
 // EntryStatus is what one entry knows of itself and the others.
 type EntryStatus struct {
-	Node        string           `json:"node"`
-	Incarnation int64            `json:"incarnation"`
-	DataCenter  string           `json:"data_center"`
-	Leaving     bool             `json:"leaving"`
-	Revision    int64            `json:"revision"`
-	InFlight    int64            `json:"in_flight"`
-	JobsWaiting int              `json:"jobs_waiting"`
-	JobsRunning int              `json:"jobs_running"`
-	Links       int              `json:"links"`
-	StoreDown   bool             `json:"store_down"`
-	Suspected   int64            `json:"suspected"`
-	Refuted     int64            `json:"refuted"`
-	Declared    int64            `json:"declared"`
-	Pauses      int64            `json:"pauses"`
-	Nodes       []NodeStatus     `json:"nodes"`
-	Endpoints   []EndpointStatus `json:"endpoints"`
+	Node         string           `json:"node"`
+	Incarnation  int64            `json:"incarnation"`
+	DataCenter   string           `json:"data_center"`
+	Leaving      bool             `json:"leaving"`
+	Revision     int64            `json:"revision"`
+	InFlight     int64            `json:"in_flight"`
+	JobsWaiting  int              `json:"jobs_waiting"`
+	JobsRunning  int              `json:"jobs_running"`
+	Links        int              `json:"links"`
+	StoreDown    bool             `json:"store_down"`
+	Suspected    int64            `json:"suspected"`
+	Refuted      int64            `json:"refuted"`
+	DeclaredDead int64            `json:"declared"`
+	Pauses       int64            `json:"pauses"`
+	Nodes        []NodeStatus     `json:"nodes"`
+	Endpoints    []EndpointStatus `json:"endpoints"`
 }
 
 // ControlStatus is what one control process knows.
@@ -112,25 +112,25 @@
 
 // ServedRequest is a request as served.
 type ServedRequest struct {
-	Request string  `json:"request"`
-	Team    string  `json:"team"`
-	Service string  `json:"service"`
-	Begun   string  `json:"begun"`
-	TookMS  float64 `json:"took_ms"`
-	Tokens  int     `json:"tokens"`
-	Hops    []Hop   `json:"hops"`
-	Failure string  `json:"failure,omitempty"`
-	Code    int     `json:"code,omitempty"`
-}
-
-// Hop is one attempt.
-type Hop struct {
-	Endpoint   string  `json:"endpoint"`
-	ExpectedMS float64 `json:"expected_ms"`
-	WaitMS     float64 `json:"wait_ms"`
-	Cached     int     `json:"cached_tokens"`
-	Tokens     int     `json:"tokens"`
-	Ending     string  `json:"ending"`
+	RequestID  string    `json:"request"`
+	Team       string    `json:"team"`
+	Service    string    `json:"service"`
+	StartedAt  string    `json:"begun"`
+	DurationMS float64   `json:"took_ms"`
+	Tokens     int       `json:"tokens"`
+	Attempts   []Attempt `json:"hops"`
+	Failure    string    `json:"failure,omitempty"`
+	Code       int       `json:"code,omitempty"`
+}
+
+// Attempt is one attempt.
+type Attempt struct {
+	Endpoint     string  `json:"endpoint"`
+	ExpectedMS   float64 `json:"expected_ms"`
+	WaitMS       float64 `json:"wait_ms"`
+	CachedTokens int     `json:"cached_tokens"`
+	Tokens       int     `json:"tokens"`
+	Outcome      string  `json:"ending"`
 }
 
 // Candidate is one endpoint's sums.
@@ -142,7 +142,7 @@
 	DecodeMS      float64 `json:"decode_ms"`
 	RiskMS        float64 `json:"risk_ms"`
 	TotalMS       float64 `json:"total_ms"`
-	Cached        int     `json:"cached_tokens"`
+	CachedTokens  int     `json:"cached_tokens"`
 	Running       int     `json:"running"`
 	HazardPerHour float64 `json:"hazard_per_hour"`
 }
@@ -152,11 +152,11 @@
 // FromRecord maps a request as remembered.
 func FromRecord(r explain.Record) ServedRequest {
 	s := ServedRequest{
-		Request: r.Request, Team: r.Team, Service: r.Service, Begun: r.StartedAt.Format(time.RFC3339Nano),
-		TookMS: ms(r.Duration), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Hops: []Hop{},
+		RequestID: r.Request, Team: r.Team, Service: r.Service, StartedAt: r.StartedAt.Format(time.RFC3339Nano),
+		DurationMS: ms(r.Duration), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Attempts: []Attempt{},
 	}
 	for _, h := range r.Hops {
-		s.Hops = append(s.Hops, Hop{h.EndpointID, ms(h.Expected), ms(h.Wait), h.CachedTokens, h.Tokens, h.Outcome})
+		s.Attempts = append(s.Attempts, Attempt{h.EndpointID, ms(h.Expected), ms(h.Wait), h.CachedTokens, h.Tokens, h.Outcome})
 	}
 	return s
 }
@@ -165,7 +165,7 @@
 func FromCandidate(c route.Candidate) Candidate {
 	return Candidate{
 		Endpoint: c.Endpoint.ID, DataCenter: c.Endpoint.DataCenter, Usable: c.Usable, WaitMS: ms(c.Wait),
-		DecodeMS: ms(c.Decode), RiskMS: ms(c.Risk), TotalMS: ms(c.Total), Cached: c.CachedTokens, Running: c.Running,
+		DecodeMS: ms(c.Decode), RiskMS: ms(c.Risk), TotalMS: ms(c.Total), CachedTokens: c.CachedTokens, Running: c.Running,
 		HazardPerHour: c.HazardPerHour,
 	}
 }
--- a/pkg/operatorclient/client.go
+++ b/pkg/operatorclient/client.go
@@ -57,15 +57,15 @@
 
 // Error is a numbered error of the server.
 type Error struct {
-	Detail operatorwire.Error
+	Body operatorwire.Error
 }
 
 // Number returns the result code's number.
-func (e *Error) Number() int { return e.Detail.Number }
+func (e *Error) Number() int { return e.Body.Number }
 
 // Error gives number, name and message.
 func (e *Error) Error() string {
-	return fmt.Sprintf("%d %s: %s", e.Detail.Number, e.Detail.Code, e.Detail.Message)
+	return fmt.Sprintf("%d %s: %s", e.Body.Number, e.Body.Code, e.Body.Message)
 }
 
 // call asks the servers in order until one answers.
@@ -102,7 +102,7 @@
 	}
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusAccepted {
 		refused := &Error{}
-		if json.Unmarshal(data, &refused.Detail) != nil || refused.Number() == 0 {
+		if json.Unmarshal(data, &refused.Body) != nil || refused.Number() == 0 {
 			return fmt.Errorf("%s: %s: %s", url, response.Status, bytes.TrimSpace(data))
 		}
 		return refused
@@ -137,11 +137,11 @@
 func (c *Client) Apply(ctx context.Context, seen int64, sections []fleet.Section) (int64, error) {
 	raw := make([]byte, 16)
 	_, _ = rand.Read(raw) // It never fails.
-	in := operatorwire.Apply{Seen: seen, Request: hex.EncodeToString(raw), Sections: operatorwire.FromSections(sections)}
+	in := operatorwire.ApplyRequest{SeenRevision: seen, RequestID: hex.EncodeToString(raw), Sections: operatorwire.FromSections(sections)}
 	var err error
 	lost := false
 	for range applyTries {
-		var applied operatorwire.Applied
+		var applied operatorwire.ApplyResponse
 		err = c.call(ctx, http.MethodPost, "/v1/config", in, &applied)
 		if err == nil {
 			return applied.Revision, nil
@@ -174,7 +174,7 @@
 	return status, err
 }
 
-// Admin calls the admin port of an entry at address.
-func (c *Client) Admin(ctx context.Context, method, address, path string, out any) error {
+// CallAdmin calls the admin port of an entry at address.
+func (c *Client) CallAdmin(ctx context.Context, method, address, path string, out any) error {
 	return c.callOne(ctx, method, "http://"+address+path, nil, out)
 }
--- a/pkg/standin/clouds/cloud.go
+++ b/pkg/standin/clouds/cloud.go
@@ -151,20 +151,20 @@
 		return
 	}
 	c.mu.Lock()
-	id, repeated := c.started[sent.Request]
+	id, repeated := c.started[sent.RequestID]
 	c.mu.Unlock()
 	if !repeated {
 		var ok bool
-		id, ok = c.start(cloud.Order{Request: sent.Request, DataCenter: sent.DataCenter, Class: sent.Class, Reclaimable: sent.Reclaimable})
+		id, ok = c.start(cloud.Order{RequestID: sent.RequestID, DataCenter: sent.DataCenter, Class: sent.Class, Reclaimable: sent.Reclaimable})
 		if !ok {
 			http.Error(w, "no capacity", http.StatusConflict)
 			return
 		}
 		c.mu.Lock()
-		c.started[sent.Request] = id
+		c.started[sent.RequestID] = id
 		c.mu.Unlock()
 	}
-	httpx.WriteJSON(w, http.StatusOK, cloud.WireStarted{Host: id})
+	httpx.WriteJSON(w, http.StatusOK, cloud.WireOrderResponse{Host: id})
 }
 
 func (c *Cloud) serveStop(w http.ResponseWriter, r *http.Request) {
