--- a/pkg/fleet/config.go
+++ b/pkg/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet holds the configuration that operators apply: services, teams,
-// capacity and policy, as domain types without tags. A configuration is a set
-// of sections, so that a change can be sent as the sections it changed.
+// Package fleet defines the configuration that operators apply: services, teams,
+// capacity and policy, as domain types without struct tags. A configuration is a
+// set of sections, so that a change can be sent as the changed sections only.
 package fleet
 
 import (
@@ -11,75 +11,77 @@
 	"time"
 )
 
-// Kind tells model services from plain ones.
+// Kind distinguishes model services from plain services.
 type Kind string
 
-// The kinds of service.
+// Service kinds.
 const (
 	Model Kind = "model"
 	Plain Kind = "plain"
 )
 
-// Service is one service that callers name.
+// Service is a service that callers address by name.
 type Service struct {
 	name    string
 	kind    Kind
 	model   string
 	version string
 	adapter string
-	// latencyTarget and tokenGap are for 95 in 100 requests.
+	// latencyTarget and tokenGap are targets for the 95th percentile.
 	latencyTarget time.Duration
 	tokenGap      time.Duration
 	deadline      time.Duration
-	// priority is 0 to 100; higher goes first.
-	priority    int
-	mayWait     bool
-	maxTokens   int
-	notRepeated []CallPattern
+	// priority ranges from 0 to 100; requests with a higher priority go first.
+	priority      int
+	mayWait       bool
+	maxTokens     int
+	nonRepeatable []CallPattern
 }
 
-// CallPattern is a method and a path prefix of a plain service.
+// CallPattern matches calls to a plain service by method and path prefix.
 type CallPattern struct {
 	Method     string
 	PathPrefix string
 }
 
-// Name returns the name callers use.
+// Name returns the name by which callers address the service.
 func (s Service) Name() string { return s.name }
 
-// Kind returns what stands behind the service.
+// Kind returns whether this is a model service or a plain service.
 func (s Service) Kind() Kind { return s.kind }
 
-// Model returns the model the service runs; empty for a plain service.
+// Model returns the model that the service runs, or "" for a plain service.
 func (s Service) Model() string { return s.model }
 
-// Version returns the model's version.
+// Version returns the version of the model.
 func (s Service) Version() string { return s.version }
 
-// Adapter returns the adapter on top of the model, empty for none.
+// Adapter returns the adapter applied to the model, or "" if there is none.
 func (s Service) Adapter() string { return s.adapter }
 
-// LatencyTarget returns the time to the first token for 95 in 100.
+// LatencyTarget returns the target for the 95th percentile of the time to the first token, or to
+// the answer of a plain service.
 func (s Service) LatencyTarget() time.Duration { return s.latencyTarget }
 
-// TokenGap returns the time between tokens for 95 in 100.
+// TokenGap returns the target for the 95th percentile of the time between tokens.
 func (s Service) TokenGap() time.Duration { return s.tokenGap }
 
-// Deadline returns the time after which an answer is of no use.
+// Deadline returns the time after which an answer is no longer useful to the caller.
 func (s Service) Deadline() time.Duration { return s.deadline }
 
-// Priority returns 0 to 100; higher goes first.
+// Priority returns a value from 0 to 100; requests with a higher priority go first.
 func (s Service) Priority() int { return s.priority }
 
-// MayWait reports whether the work can wait.
+// MayWait reports whether the work can wait and is accepted as jobs.
 func (s Service) MayWait() bool { return s.mayWait }
 
-// MaxTokens returns the longest answer in tokens.
+// MaxTokens returns the maximum length of an answer in tokens.
 func (s Service) MaxTokens() int { return s.maxTokens }
 
-// MayRepeat reports whether a call may be sent more than once.
+// MayRepeat reports whether a call may be sent more than once. Calls may be repeated unless the
+// configuration excludes them.
 func (s Service) MayRepeat(method, path string) bool {
-	for _, call := range s.notRepeated {
+	for _, call := range s.nonRepeatable {
 		if call.Method == method && hasPathPrefix(path, call.PathPrefix) {
 			return false
 		}
@@ -87,100 +89,102 @@
 	return true
 }
 
-// hasPathPrefix reports whether path is prefix or lies below it.
+// hasPathPrefix reports whether path equals prefix or is below it. Only whole path segments match.
 func hasPathPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-// Team is one team of callers.
+// Team is a team of callers and its limits.
 type Team struct {
 	name string
-	// keys holds the SHA-256 of each bearer key.
-	keys   [][sha256.Size]byte
-	rate   float64
-	burst  float64
-	weight int
-	// services is nil when the team may call all of them.
+	// keyHashes contains the SHA-256 of each bearer key.
+	keyHashes [][sha256.Size]byte
+	rate      float64
+	burst     float64
+	weight    int
+	// services is nil if the team may call all services.
 	services map[string]bool
 }
 
 // Name returns the team's name.
 func (t Team) Name() string { return t.name }
 
-// Rate returns requests a second over all entry hosts.
+// Rate returns the limit in requests per second, over all entry hosts.
 func (t Team) Rate() float64 { return t.rate }
 
-// Burst returns requests at once over all entry hosts.
+// Burst returns how many requests the team may send at once, over all entry hosts.
 func (t Team) Burst() float64 { return t.burst }
 
-// Weight returns the team's share when capacity is short.
+// Weight returns the weight of the team's share when there is not enough capacity.
 func (t Team) Weight() int { return t.weight }
 
 // MayCall reports whether the team may call the service.
 func (t Team) MayCall(service string) bool { return t.services == nil || t.services[service] }
 
-// Capacity bounds and prices one class of hosts in one data centre.
+// Capacity defines the bounds and prices of one class of hosts in one data centre.
 type Capacity struct {
 	name, dataCenter, class string
-	// prices are for one host an hour.
+	// reclaimablePrice and onDemandPrice are per host and hour.
 	reclaimablePrice, onDemandPrice float64
-	least, most                     int
-	// hazard is reclaims expected for one host an hour.
-	hazard float64
-	// tokensPerSecond is what one host generates within the latency target.
+	minHosts, maxHosts              int
+	// hazardPerHour is the expected number of reclaims per host and hour.
+	hazardPerHour float64
+	// tokensPerSecond is the rate at which one host can generate tokens within the latency target.
 	tokensPerSecond float64
 }
 
-// Name returns the name of the row.
+// Name returns the name of the capacity section.
 func (c Capacity) Name() string { return c.name }
 
-// DataCenter returns the data centre.
+// DataCenter returns the data centre of the hosts.
 func (c Capacity) DataCenter() string { return c.dataCenter }
 
-// Class returns the class of host.
+// Class returns the class of the hosts.
 func (c Capacity) Class() string { return c.class }
 
-// ReclaimablePrice returns the price of a reclaimable host an hour.
+// ReclaimablePrice returns the price of a reclaimable host per hour.
 func (c Capacity) ReclaimablePrice() float64 { return c.reclaimablePrice }
 
-// OnDemandPrice returns the price of an on-demand host an hour.
+// OnDemandPrice returns the price of an on-demand host per hour.
 func (c Capacity) OnDemandPrice() float64 { return c.onDemandPrice }
 
-// MinHosts returns the fewest hosts to keep.
-func (c Capacity) MinHosts() int { return c.least }
+// MinHosts returns the minimum number of hosts to keep.
+func (c Capacity) MinHosts() int { return c.minHosts }
 
-// MaxHosts returns the most hosts to buy.
-func (c Capacity) MaxHosts() int { return c.most }
+// MaxHosts returns the maximum number of hosts to buy.
+func (c Capacity) MaxHosts() int { return c.maxHosts }
 
-// HazardPerHour returns the operator's figure of reclaims for one host an hour.
-func (c Capacity) HazardPerHour() float64 { return c.hazard }
+// HazardPerHour returns the operator's estimate of reclaims per host and hour.
+func (c Capacity) HazardPerHour() float64 { return c.hazardPerHour }
 
-// TokensPerSecond returns what one host generates within the latency target.
+// TokensPerSecond returns the rate at which one host can generate tokens within the latency target.
 func (c Capacity) TokensPerSecond() float64 { return c.tokensPerSecond }
 
-// Policy says how decisions are taken.
+// Policy defines how endpoints are chosen, what happens to running work on a reclaim, how many
+// retries are allowed and how long callers cache the list of entry hosts.
 type Policy struct {
 	naiveRoute   bool
 	naiveReclaim bool
-	// retryShare is of requests sent, 0 to 1.
-	retryShare  float64
-	entriesKept time.Duration
+	// retryShare is the share of sent requests that may be retries, from 0 to 1.
+	retryShare   float64
+	entryListTTL time.Duration
 }
 
-// NaiveRoute reports whether the naive choice of endpoint is asked for.
+// NaiveRoute reports whether endpoints are to be chosen by the naive policy.
 func (p Policy) NaiveRoute() bool { return p.naiveRoute }
 
-// NaiveReclaim reports whether running work is restarted rather than moved.
+// NaiveReclaim reports whether running work is restarted instead of moved when its endpoint is
+// reclaimed.
 func (p Policy) NaiveReclaim() bool { return p.naiveReclaim }
 
-// RetryShare returns retries as a share of requests.
+// RetryShare returns the maximum share of sent requests that may be retries.
 func (p Policy) RetryShare() float64 { return p.retryShare }
 
-// EntryListTTL returns how long callers keep the answer of which entries to use.
-func (p Policy) EntryListTTL() time.Duration { return p.entriesKept }
+// EntryListTTL returns how long callers may cache the list of entry hosts.
+func (p Policy) EntryListTTL() time.Duration { return p.entryListTTL }
 
-// Config is one revision in force. It is never changed once built.
+// Config is the configuration of one revision. It is immutable.
 type Config struct {
 	revision   int64
 	services   map[string]Service
@@ -190,16 +194,16 @@
 	policy     Policy
 }
 
-// Revision returns the revision, 0 for none.
+// Revision returns the revision, or 0 if no configuration has been applied.
 func (c *Config) Revision() int64 { return c.revision }
 
-// Service returns the service of that name.
+// Service returns the service with the given name.
 func (c *Config) Service(name string) (Service, bool) {
 	s, ok := c.services[name]
 	return s, ok
 }
 
-// Services returns all services by name.
+// Services returns all services, sorted by name.
 func (c *Config) Services() []Service {
 	list := make([]Service, 0, len(c.services))
 	for _, s := range c.services {
@@ -209,13 +213,13 @@
 	return list
 }
 
-// Team returns the team of that name.
+// Team returns the team with the given name.
 func (c *Config) Team(name string) (Team, bool) {
 	t, ok := c.teams[name]
 	return t, ok
 }
 
-// Teams returns all teams by name.
+// Teams returns all teams, sorted by name.
 func (c *Config) Teams() []Team {
 	list := make([]Team, 0, len(c.teams))
 	for _, t := range c.teams {
@@ -225,9 +229,9 @@
 	return list
 }
 
-// TeamByKey returns the team that a bearer key belongs to. The key is looked up
-// by its hash, so that the time taken tells nothing about the key itself: the
-// map compares digests, of which a caller can't choose the bytes.
+// TeamByKey returns the team that a bearer key belongs to. The key is looked up by its hash, so
+// that the duration of the lookup reveals nothing about the key: the map compares digests, and a
+// caller cannot choose the bytes of a digest.
 func (c *Config) TeamByKey(bearer string) (Team, bool) {
 	name, ok := c.teamByKey[sha256.Sum256([]byte(bearer))]
 	if !ok {
@@ -236,13 +240,13 @@
 	return c.teams[name], true
 }
 
-// Capacities returns the rows of capacity by name.
+// Capacities returns all capacity sections, sorted by name.
 func (c *Config) Capacities() []Capacity { return c.capacities }
 
-// Policy returns how decisions are taken.
+// Policy returns the policy, which is the default policy if the configuration has none.
 func (c *Config) Policy() Policy { return c.policy }
 
-// HashKey returns the form in which a bearer key is stored.
+// HashKey returns the SHA-256 of a bearer key in hexadecimal, the form in which keys are stored.
 func HashKey(bearer string) string {
 	sum := sha256.Sum256([]byte(bearer))
 	return hex.EncodeToString(sum[:])
--- a/pkg/fleet/fleet_test.go
+++ b/pkg/fleet/fleet_test.go
@@ -11,7 +11,7 @@
 	"ironhollow/pkg/settings"
 )
 
-func TestExamplesAreGood(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	for name, teams := range map[string]int{"authority": 5, "head-office": 5} {
 		data, err := os.ReadFile("../../examples/" + name + ".ini")
 		if err != nil {
@@ -31,8 +31,9 @@
 	}
 }
 
-// TestAllErrorsOfAFileAreListed checks file, line, key and range of each.
-func TestAllErrorsOfAFileAreListed(t *testing.T) {
+// TestParseListsAllErrors checks that each error names the file, the line, the key and the valid
+// values.
+func TestParseListsAllErrors(t *testing.T) {
 	text := `[service s]
 kind = modle
 priority = 101
@@ -53,7 +54,7 @@
 	_, err := fleet.Parse("f.ini", []byte(text))
 	var problems settings.Problems
 	if !errors.As(err, &problems) {
-		t.Fatalf("got %v, want problems", err)
+		t.Fatalf("got error %v, want settings.Problems", err)
 	}
 	want := []string{
 		`f.ini:2: kind: got "modle", valid: model | plain`,
@@ -74,22 +75,22 @@
 	}
 }
 
-func TestClashesBetweenSectionsAreListed(t *testing.T) {
+func TestParseListsConflictsBetweenSections(t *testing.T) {
 	key := fmt.Sprintf("%064x", 7)
 	text := "[service s]\nkind = model\n[team a]\nkeys = " + key + "\nrate = 1\nservices = other\n[team b]\nkeys = " + key + "\nrate = 1\n" +
 		"[capacity c]\ndata-center = d\nclass = x\nreclaimable-price = 1\non-demand-price = 2\nleast = 5\nmost = 1\n"
 	_, err := fleet.Parse("f.ini", []byte(text))
 	if err == nil {
-		t.Fatal("got no error")
+		t.Fatal("got no error for a file with conflicting sections")
 	}
 	for _, want := range []string{"model: missing", "belongs to team", `no service is named "other"`, "least: 5 is more than most: 1"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("got %q, want it to say %q", err, want)
+			t.Errorf("got error %q, want it to contain %q", err, want)
 		}
 	}
 }
 
-func TestCallsThatMayNotBeRepeated(t *testing.T) {
+func TestNonRepeatableCalls(t *testing.T) {
 	sections, err := fleet.Parse("f.ini", []byte("[service s]\nkind = plain\nnot-repeated = POST /seats, PUT /a/b\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +110,7 @@
 	}
 	for _, c := range cases {
 		if got := s.MayRepeat(c.method, c.path); got != c.want {
-			t.Errorf("%s %s may be repeated: got %v, want %v", c.method, c.path, got, c.want)
+			t.Errorf("MayRepeat(%s, %s): got %v, want %v", c.method, c.path, got, c.want)
 		}
 	}
 }
@@ -123,7 +124,7 @@
 			return
 		}
 		if _, err := fleet.Build(1, sections); err != nil {
-			t.Errorf("parsed, but does not build: %v", err)
+			t.Errorf("Parse accepted the file, but Build failed: %v", err)
 		}
 	})
 }
--- a/pkg/fleet/section.go
+++ b/pkg/fleet/section.go
@@ -11,32 +11,32 @@
 	"ironhollow/schema"
 )
 
-// Section is one section of a configuration in its stored form.
+// Section is a section of a configuration in its stored form.
 type Section struct {
 	kind, name string
-	// body is empty where a change removes the section.
+	// body is JSON; it is empty in a change that removes the section.
 	body string
 }
 
-// NewSection returns a section; an empty body stands for its removal.
+// NewSection returns a section. An empty body represents the removal of the section.
 func NewSection(kind, name, body string) Section { return Section{kind, name, body} }
 
-// Kind returns service, team, capacity or policy.
+// Kind returns "service", "team", "capacity" or "policy".
 func (s Section) Kind() string { return s.kind }
 
-// Name returns the section's name, empty for policy.
+// Name returns the name of the section, or "" for the policy.
 func (s Section) Name() string { return s.name }
 
-// Body returns the section as JSON, empty if removed.
+// Body returns the section as JSON, or "" if this is a removal.
 func (s Section) Body() string { return s.body }
 
-// IsRemoval reports whether this is the removal of a section.
+// IsRemoval reports whether this change removes the section.
 func (s Section) IsRemoval() bool { return s.body == "" }
 
-// ID returns kind and name in one.
+// ID returns "kind/name", which is unique within a configuration.
 func (s Section) ID() string { return s.kind + "/" + s.name }
 
-// The kinds of section.
+// Section kinds.
 const (
 	kindService  = "service"
 	kindTeam     = "team"
@@ -44,78 +44,79 @@
 	kindPolicy   = "policy"
 )
 
-// Parse reads a configuration file and checks it as a whole. All errors are
-// returned at once, as settings.Problems or as one line for each clash.
+// Parse parses a configuration file and validates it as a whole. All errors are returned at
+// once: violations of the schema as settings.Problems or, if there are none, one line per invalid
+// section or conflict between sections.
 func Parse(file string, data []byte) ([]Section, error) {
-	shape, err := settings.ParseSchema(schema.Fleet)
+	configSchema, err := settings.ParseSchema(schema.Fleet)
 	if err != nil {
 		return nil, err
 	}
 	var decoded fleetschema.Fleet
-	if err := shape.Read(file, data, &decoded); err != nil {
+	if err := configSchema.Read(file, data, &decoded); err != nil {
 		return nil, err
 	}
-	sections := split(decoded)
+	sections := toSections(decoded)
 	if _, err := Build(1, sections); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return sections, nil
 }
 
-func split(f fleetschema.Fleet) []Section {
+func toSections(f fleetschema.Fleet) []Section {
 	var sections []Section
 	for _, s := range f.Service {
-		sections = append(sections, encode(kindService, s.Name, s))
+		sections = append(sections, encodeSection(kindService, s.Name, s))
 	}
 	for _, t := range f.Team {
-		sections = append(sections, encode(kindTeam, t.Name, t))
+		sections = append(sections, encodeSection(kindTeam, t.Name, t))
 	}
 	for _, c := range f.Capacity {
-		sections = append(sections, encode(kindCapacity, c.Name, c))
+		sections = append(sections, encodeSection(kindCapacity, c.Name, c))
 	}
 	if f.Policy != nil {
-		sections = append(sections, encode(kindPolicy, "", *f.Policy))
+		sections = append(sections, encodeSection(kindPolicy, "", *f.Policy))
 	}
 	Sort(sections)
 	return sections
 }
 
-func encode(kind, name string, value any) Section {
+func encodeSection(kind, name string, value any) Section {
 	body, err := json.Marshal(value)
 	if err != nil {
-		// The generated structs hold nothing that JSON can't.
+		// The generated structs contain only types that JSON can represent.
 		panic(err)
 	}
 	return Section{kind, name, string(body)}
 }
 
-// Sort puts sections in the order of kind and name.
+// Sort sorts sections by kind and name.
 func Sort(sections []Section) {
 	sort.Slice(sections, func(i, j int) bool { return sections[i].ID() < sections[j].ID() })
 }
 
-// Diff returns what must change to go from old to next, removals included.
-func Diff(old, next []Section) []Section {
-	before := map[string]Section{}
+// Diff returns the changes that turn old into updated, including removals.
+func Diff(old, updated []Section) []Section {
+	oldByID := map[string]Section{}
 	for _, s := range old {
-		before[s.ID()] = s
+		oldByID[s.ID()] = s
 	}
 	var changed []Section
-	for _, s := range next {
-		if before[s.ID()].body != s.body {
+	for _, s := range updated {
+		if oldByID[s.ID()].body != s.body {
 			changed = append(changed, s)
 		}
-		delete(before, s.ID())
+		delete(oldByID, s.ID())
 	}
-	for _, s := range before {
+	for _, s := range oldByID {
 		changed = append(changed, Section{s.kind, s.name, ""})
 	}
 	Sort(changed)
 	return changed
 }
 
-// Build makes the configuration of a revision out of all its sections. The
-// error lists every clash between sections.
+// Build builds the configuration of a revision from all its sections. The error lists every
+// invalid section and every conflict between sections.
 func Build(revision int64, sections []Section) (*Config, error) {
 	b := builder{config: &Config{
 		revision:  revision,
@@ -125,28 +126,28 @@
 		policy:    defaultPolicy(),
 	}}
 	for _, s := range sections {
-		b.add(s)
+		b.addSection(s)
 	}
 	b.checkTeams()
-	if len(b.faults) > 0 {
-		sort.Strings(b.faults)
-		return nil, fmt.Errorf("%s", strings.Join(b.faults, "\n"))
+	if len(b.problems) > 0 {
+		sort.Strings(b.problems)
+		return nil, fmt.Errorf("%s", strings.Join(b.problems, "\n"))
 	}
-	caps := b.config.capacities
-	sort.Slice(caps, func(i, j int) bool { return caps[i].name < caps[j].name })
+	capacities := b.config.capacities
+	sort.Slice(capacities, func(i, j int) bool { return capacities[i].name < capacities[j].name })
 	return b.config, nil
 }
 
 type builder struct {
-	config *Config
-	faults []string
+	config   *Config
+	problems []string
 }
 
-func (b *builder) fault(format string, args ...any) {
-	b.faults = append(b.faults, fmt.Sprintf(format, args...))
+func (b *builder) addProblem(format string, args ...any) {
+	b.problems = append(b.problems, fmt.Sprintf(format, args...))
 }
 
-func (b *builder) add(s Section) {
+func (b *builder) addSection(s Section) {
 	var err error
 	switch s.kind {
 	case kindService:
@@ -158,10 +159,10 @@
 	case kindPolicy:
 		err = b.addPolicy(s)
 	default:
-		b.fault("[%s %s]: unknown kind of section", s.kind, s.name)
+		b.addProblem("[%s %s]: unknown kind of section", s.kind, s.name)
 	}
 	if err != nil {
-		b.fault("[%s %s]: %v", s.kind, s.name, err)
+		b.addProblem("[%s %s]: %v", s.kind, s.name, err)
 	}
 }
 
@@ -169,7 +170,7 @@
 	for _, t := range b.config.teams {
 		for service := range t.services {
 			if _, ok := b.config.services[service]; !ok {
-				b.fault("[team %s]: services: no service is named %q", t.name, service)
+				b.addProblem("[team %s]: services: no service is named %q", t.name, service)
 			}
 		}
 	}
