--- a/pkg/operatorapi/operatorapi.go
+++ b/pkg/operatorapi/operatorapi.go
@@ -1,4 +1,4 @@
-// Package operatorapi is the HTTP edge towards operators' commands.
+// Package operatorapi serves the HTTP API for the operators' commands.
 package operatorapi
 
 import (
@@ -18,36 +18,36 @@
 	"ironhollow/pkg/operatorapi/operatorwire"
 )
 
-// maxApply bounds the body of an apply, in bytes.
-const maxApply = 8 << 20
+// maxApplyBytes is the maximum size of the body of an apply request.
+const maxApplyBytes = 8 << 20
 
-// API serves operators.
+// API serves the HTTP API for operators.
 type API struct {
 	store     *config.Store
 	holder    *config.Holder
-	keys      []string
+	keyHashes []string
 	onApplied func(context.Context)
 }
 
-// New returns the edge. keys are the SHA-256 of the operators' bearer keys;
-// without any only the loopback is let in.
-func New(store *config.Store, holder *config.Holder, keys []string) *API {
-	return &API{store: store, holder: holder, keys: keys, onApplied: func(context.Context) {}}
+// New returns the API. keyHashes contains the SHA-256 of each operator's bearer key. If it is
+// empty, only requests from the loopback interface are allowed.
+func New(store *config.Store, holder *config.Holder, keyHashes []string) *API {
+	return &API{store: store, holder: holder, keyHashes: keyHashes, onApplied: func(context.Context) {}}
 }
 
-// OnApplied sets what is called once a revision is written.
-func (a *API) OnApplied(call func(context.Context)) { a.onApplied = call }
+// OnApplied sets the function that is called after a revision has been written.
+func (a *API) OnApplied(callback func(context.Context)) { a.onApplied = callback }
 
-// Register serves the edge on a mux.
+// Register registers the API's routes on mux.
 func (a *API) Register(mux *http.ServeMux) {
 	mux.Handle("GET /v1/config", a.RequireOperator(a.serveGet))
 	mux.Handle("POST /v1/config", a.RequireOperator(a.serveApply))
 }
 
-// RequireOperator lets operators in and nobody else.
+// RequireOperator wraps next so that it rejects requests that do not come from an operator.
 func (a *API) RequireOperator(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !a.mayOperate(r) {
+		if !a.isAuthorized(r) {
 			writeError(w, code.New(code.UnknownKey, "no operator has this key"))
 			return
 		}
@@ -55,24 +55,24 @@
 	})
 }
 
-func (a *API) mayOperate(r *http.Request) bool {
-	if len(a.keys) == 0 {
+func (a *API) isAuthorized(r *http.Request) bool {
+	if len(a.keyHashes) == 0 {
 		host, _, err := net.SplitHostPort(r.RemoteAddr)
 		ip := net.ParseIP(host)
 		return err == nil && ip != nil && ip.IsLoopback()
 	}
 	sum := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
-	given := []byte(hex.EncodeToString(sum[:]))
-	found := 0
-	for _, key := range a.keys {
-		// Every key is compared, in constant time.
-		found |= subtle.ConstantTimeCompare(given, []byte(key))
+	keyHash := []byte(hex.EncodeToString(sum[:]))
+	matched := 0
+	for _, key := range a.keyHashes {
+		// All keys are compared, each in constant time, so that the duration reveals nothing about them.
+		matched |= subtle.ConstantTimeCompare(keyHash, []byte(key))
 	}
-	return found == 1
+	return matched == 1
 }
 
-// serveGet shows the revision in the store, so that an apply that follows sees
-// the latest; with the store down it shows the one in force here, and says so.
+// serveGet returns the latest revision from the store, so that a subsequent apply is based on it.
+// If the store is down, it returns the revision in force in this process and sets Ironhollow-Stale.
 func (a *API) serveGet(w http.ResponseWriter, r *http.Request) {
 	holder := config.New()
 	if err := a.store.Load(r.Context(), holder); err != nil {
@@ -84,23 +84,23 @@
 }
 
 func (a *API) serveApply(w http.ResponseWriter, r *http.Request) {
-	var sent operatorwire.ApplyRequest
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxApply))
+	var request operatorwire.ApplyRequest
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxApplyBytes))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&sent); err != nil {
+	if err := decoder.Decode(&request); err != nil {
 		writeError(w, code.New(code.BadBody, err.Error()))
 		return
 	}
-	if sent.RequestID == "" || sent.SeenRevision < 0 {
+	if request.RequestID == "" || request.SeenRevision < 0 {
 		writeError(w, code.New(code.BadBody, "request and seen are needed"))
 		return
 	}
-	sections := make([]fleet.Section, len(sent.Sections))
-	for i, s := range sent.Sections {
+	sections := make([]fleet.Section, len(request.Sections))
+	for i, s := range request.Sections {
 		sections[i] = fleet.NewSection(s.Kind, s.Name, s.Body)
 	}
 	fleet.Sort(sections)
-	revision, err := a.store.Publish(r.Context(), sent.SeenRevision, sent.RequestID, sections)
+	revision, err := a.store.Publish(r.Context(), request.SeenRevision, request.RequestID, sections)
 	if err != nil {
 		writeError(w, err)
 		return
--- a/pkg/operatorapi/operatorwire/wire.go
+++ b/pkg/operatorapi/operatorwire/wire.go
@@ -1,5 +1,5 @@
-// Package operatorwire holds the JSON that operators' commands and the system
-// exchange.
+// Package operatorwire defines the JSON bodies exchanged between operators' commands and the
+// system.
 package operatorwire
 
 import (
@@ -12,35 +12,35 @@
 	"ironhollow/pkg/route"
 )
 
-// Section is one section of a configuration.
+// Section is a section of a configuration.
 type Section struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Body is the section as JSON, empty where it was removed.
+	// Body is the section as JSON; it is empty if the section is removed.
 	Body string `json:"body"`
 }
 
-// Config is a configuration in force.
+// Config is the configuration in force.
 type Config struct {
 	Revision int64     `json:"revision"`
 	Sections []Section `json:"sections"`
 }
 
-// ApplyRequest asks for a configuration to be put in force.
+// ApplyRequest is a request to put a configuration in force.
 type ApplyRequest struct {
-	// SeenRevision is the revision the operator has seen; 0 for none.
+	// SeenRevision is the revision that the change is based on, or 0 for none.
 	SeenRevision int64 `json:"seen"`
-	// RequestID names this apply, so that it may be sent again.
+	// RequestID makes the request idempotent, so that it can be retried.
 	RequestID string    `json:"request"`
 	Sections  []Section `json:"sections"`
 }
 
-// ApplyResponse answers an apply.
+// ApplyResponse is the response to an ApplyRequest.
 type ApplyResponse struct {
 	Revision int64 `json:"revision"`
 }
 
-// Error is a numbered error.
+// Error is an error with the number and name of its result code.
 type Error struct {
 	Number  int    `json:"number"`
 	Code    string `json:"code"`
@@ -48,7 +48,7 @@
 	Message string `json:"message"`
 }
 
-// NodeStatus is one entry host as known.
+// NodeStatus is the last known status of an entry host.
 type NodeStatus struct {
 	Node          string `json:"node"`
 	Status        string `json:"status"`
@@ -60,7 +60,7 @@
 	Load          int    `json:"load"`
 }
 
-// EndpointStatus is one endpoint as known.
+// EndpointStatus is the last known status of an endpoint.
 type EndpointStatus struct {
 	Endpoint    string `json:"endpoint"`
 	State       string `json:"state"`
@@ -74,7 +74,7 @@
 	Reclaimable bool   `json:"reclaimable"`
 }
 
-// EntryStatus is what one entry knows of itself and the others.
+// EntryStatus is the status of an entry and its view of the nodes and endpoints.
 type EntryStatus struct {
 	Node         string           `json:"node"`
 	Incarnation  int64            `json:"incarnation"`
@@ -94,7 +94,7 @@
 	Endpoints    []EndpointStatus `json:"endpoints"`
 }
 
-// ControlStatus is what one control process knows.
+// ControlStatus is the status of a control process and its view of the nodes and endpoints.
 type ControlStatus struct {
 	Node      string           `json:"node"`
 	Revision  int64            `json:"revision"`
@@ -104,13 +104,13 @@
 	Endpoints []EndpointStatus `json:"endpoints"`
 }
 
-// ShardStatus is one shard held.
+// ShardStatus is a shard whose lease the process holds.
 type ShardStatus struct {
 	Shard int   `json:"shard"`
 	Epoch int64 `json:"epoch"`
 }
 
-// ServedRequest is a request as served.
+// ServedRequest describes how a request was served.
 type ServedRequest struct {
 	RequestID  string    `json:"request"`
 	Team       string    `json:"team"`
@@ -123,7 +123,7 @@
 	Code       int       `json:"code,omitempty"`
 }
 
-// Attempt is one attempt.
+// Attempt is one attempt to serve a request on an endpoint.
 type Attempt struct {
 	Endpoint     string  `json:"endpoint"`
 	ExpectedMS   float64 `json:"expected_ms"`
@@ -133,7 +133,7 @@
 	Outcome      string  `json:"ending"`
 }
 
-// Candidate is one endpoint's sums.
+// Candidate contains the routing estimates for one endpoint.
 type Candidate struct {
 	Endpoint      string  `json:"endpoint"`
 	DataCenter    string  `json:"data_center"`
@@ -147,30 +147,30 @@
 	HazardPerHour float64 `json:"hazard_per_hour"`
 }
 
-func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// FromRecord maps a request as remembered.
+// FromRecord converts the record of a request to its JSON form.
 func FromRecord(r explain.Record) ServedRequest {
 	s := ServedRequest{
 		RequestID: r.Request, Team: r.Team, Service: r.Service, StartedAt: r.StartedAt.Format(time.RFC3339Nano),
-		DurationMS: ms(r.Duration), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Attempts: []Attempt{},
+		DurationMS: milliseconds(r.Duration), Tokens: r.Tokens, Failure: r.Failure, Code: r.Code, Attempts: []Attempt{},
 	}
 	for _, h := range r.Hops {
-		s.Attempts = append(s.Attempts, Attempt{h.EndpointID, ms(h.Expected), ms(h.Wait), h.CachedTokens, h.Tokens, h.Outcome})
+		s.Attempts = append(s.Attempts, Attempt{h.EndpointID, milliseconds(h.Expected), milliseconds(h.Wait), h.CachedTokens, h.Tokens, h.Outcome})
 	}
 	return s
 }
 
-// FromCandidate maps a candidate.
+// FromCandidate converts a routing candidate to its JSON form.
 func FromCandidate(c route.Candidate) Candidate {
 	return Candidate{
-		Endpoint: c.Endpoint.ID, DataCenter: c.Endpoint.DataCenter, Usable: c.Usable, WaitMS: ms(c.Wait),
-		DecodeMS: ms(c.Decode), RiskMS: ms(c.Risk), TotalMS: ms(c.Total), CachedTokens: c.CachedTokens, Running: c.Running,
+		Endpoint: c.Endpoint.ID, DataCenter: c.Endpoint.DataCenter, Usable: c.Usable, WaitMS: milliseconds(c.Wait),
+		DecodeMS: milliseconds(c.Decode), RiskMS: milliseconds(c.Risk), TotalMS: milliseconds(c.Total), CachedTokens: c.CachedTokens, Running: c.Running,
 		HazardPerHour: c.HazardPerHour,
 	}
 }
 
-// FromSections maps sections of a configuration.
+// FromSections converts sections of a configuration to their JSON form.
 func FromSections(sections []fleet.Section) []Section {
 	out := make([]Section, len(sections))
 	for i, s := range sections {
@@ -179,7 +179,7 @@
 	return out
 }
 
-// FromNodes maps nodes as known.
+// FromNodes converts nodes to their JSON form.
 func FromNodes(nodes []membership.Node) []NodeStatus {
 	out := make([]NodeStatus, len(nodes))
 	for i, n := range nodes {
@@ -191,7 +191,7 @@
 	return out
 }
 
-// FromEndpoints maps endpoints as known.
+// FromEndpoints converts endpoints to their JSON form.
 func FromEndpoints(infos []endpoint.Info) []EndpointStatus {
 	out := make([]EndpointStatus, len(infos))
 	for i, e := range infos {
--- a/pkg/operatorclient/client.go
+++ b/pkg/operatorclient/client.go
@@ -1,4 +1,4 @@
-// Package operatorclient calls the operators' edge of a control process.
+// Package operatorclient is a client of the operators' API of control processes.
 package operatorclient
 
 import (
@@ -21,24 +21,23 @@
 	"ironhollow/pkg/pause"
 )
 
-// Client calls one of several control processes.
+// Client calls the first of several control processes that answers.
 type Client struct {
-	servers []string
-	key     string
-	scheme  string
-	http    *http.Client
+	servers    []string
+	key        string
+	scheme     string
+	httpClient *http.Client
 }
 
-// callTime bounds one call.
-const callTime = 10 * time.Second
+// callTimeout is the timeout of one call to one server.
+const callTimeout = 10 * time.Second
 
-// maxAnswer bounds the bytes read of one answer.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the maximum number of bytes read from one response.
+const maxResponseBytes = 64 << 20
 
-// New returns a client that tries the servers in order. caFile is empty for no
-// TLS.
+// New returns a client that tries the servers in order. If caFile is empty, it does not use TLS.
 func New(servers []string, key, caFile string) (*Client, error) {
-	c := &Client{servers: servers, key: key, scheme: "http", http: &http.Client{Timeout: callTime, Transport: &http.Transport{}}}
+	c := &Client{servers: servers, key: key, scheme: "http", httpClient: &http.Client{Timeout: callTimeout, Transport: &http.Transport{}}}
 	if caFile == "" {
 		return c, nil
 	}
@@ -51,61 +50,61 @@
 		return nil, fmt.Errorf("--ca: %s holds no certificate", caFile)
 	}
 	c.scheme = "https"
-	c.http.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
+	c.httpClient.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}}
 	return c, nil
 }
 
-// Error is a numbered error of the server.
+// Error is an error response of a server.
 type Error struct {
 	Body operatorwire.Error
 }
 
-// Number returns the result code's number.
+// Number returns the number of the result code.
 func (e *Error) Number() int { return e.Body.Number }
 
-// Error gives number, name and message.
+// Error returns the number and name of the result code and the message.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s: %s", e.Body.Number, e.Body.Code, e.Body.Message)
 }
 
-// call asks the servers in order until one answers.
+// call tries the servers in order until one returns a result or an Error.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
 	encoded, err := json.Marshal(in)
 	if err != nil {
 		return err
 	}
-	var last error
+	var lastErr error
 	for _, server := range c.servers {
-		last = c.callOne(ctx, method, c.scheme+"://"+server+path, encoded, out)
-		if _, answered := last.(*Error); last == nil || answered {
-			return last
+		lastErr = c.callServer(ctx, method, c.scheme+"://"+server+path, encoded, out)
+		if _, isServerError := lastErr.(*Error); lastErr == nil || isServerError {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
-func (c *Client) callOne(ctx context.Context, method, url string, body []byte, out any) error {
+func (c *Client) callServer(ctx context.Context, method, url string, body []byte, out any) error {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+c.key)
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusAccepted {
-		refused := &Error{}
-		if json.Unmarshal(data, &refused.Body) != nil || refused.Number() == 0 {
+		serverError := &Error{}
+		if json.Unmarshal(data, &serverError.Body) != nil || serverError.Number() == 0 {
 			return fmt.Errorf("%s: %s: %s", url, response.Status, bytes.TrimSpace(data))
 		}
-		return refused
+		return serverError
 	}
 	if out == nil || len(data) == 0 {
 		return nil
@@ -115,66 +114,66 @@
 
 // Config returns the configuration in force.
 func (c *Client) Config(ctx context.Context) (int64, []fleet.Section, error) {
-	var got operatorwire.Config
-	if err := c.call(ctx, http.MethodGet, "/v1/config", nil, &got); err != nil {
+	var response operatorwire.Config
+	if err := c.call(ctx, http.MethodGet, "/v1/config", nil, &response); err != nil {
 		return 0, nil, err
 	}
-	sections := make([]fleet.Section, len(got.Sections))
-	for i, s := range got.Sections {
+	sections := make([]fleet.Section, len(response.Sections))
+	for i, s := range response.Sections {
 		sections[i] = fleet.NewSection(s.Kind, s.Name, s.Body)
 	}
-	return got.Revision, sections, nil
+	return response.Revision, sections, nil
 }
 
-// Tries of an apply whose answer was lost.
+// Limits for the retries of an apply whose outcome is unknown.
 const (
-	applyTries = 5
-	applyPause = 500 * time.Millisecond
+	maxApplyAttempts = 5
+	applyRetryDelay  = 500 * time.Millisecond
 )
 
-// Apply puts sections in force as the revision after seen. An answer that was
-// lost is asked for again under the same name, which is applied once at most.
-func (c *Client) Apply(ctx context.Context, seen int64, sections []fleet.Section) (int64, error) {
-	raw := make([]byte, 16)
-	_, _ = rand.Read(raw) // It never fails.
-	in := operatorwire.ApplyRequest{SeenRevision: seen, RequestID: hex.EncodeToString(raw), Sections: operatorwire.FromSections(sections)}
+// Apply puts sections in force as the revision after seenRevision. If a response is lost, it
+// retries with the same request ID, which the server applies at most once.
+func (c *Client) Apply(ctx context.Context, seenRevision int64, sections []fleet.Section) (int64, error) {
+	requestID := make([]byte, 16)
+	_, _ = rand.Read(requestID) // crypto/rand.Read never fails.
+	request := operatorwire.ApplyRequest{SeenRevision: seenRevision, RequestID: hex.EncodeToString(requestID), Sections: operatorwire.FromSections(sections)}
 	var err error
-	lost := false
-	for range applyTries {
-		var applied operatorwire.ApplyResponse
-		err = c.call(ctx, http.MethodPost, "/v1/config", in, &applied)
+	responseLost := false
+	for range maxApplyAttempts {
+		var response operatorwire.ApplyResponse
+		err = c.call(ctx, http.MethodPost, "/v1/config", request, &response)
 		if err == nil {
-			return applied.Revision, nil
+			return response.Revision, nil
 		}
-		if isFinal(err, lost) {
+		if isFinal(err, responseLost) {
 			return 0, err
 		}
-		lost = true
-		if !pause.For(ctx, applyPause) {
+		responseLost = true
+		if !pause.For(ctx, applyRetryDelay) {
 			return 0, ctx.Err()
 		}
 	}
 	return 0, fmt.Errorf("it is not known whether the configuration was applied: %w", err)
 }
 
-// isFinal reports whether an error of an apply settles it. Once an answer was
-// lost, "the store is down" says nothing of the first try.
-func isFinal(err error, lost bool) bool {
-	refused, answered := err.(*Error)
-	if !answered || refused.Number() == code.ApplyUnknown.Number() {
+// isFinal reports whether an error determines the outcome of an apply. After a response has been
+// lost, StoreDown does not: an earlier attempt may have been applied.
+func isFinal(err error, responseLost bool) bool {
+	serverError, isServerError := err.(*Error)
+	if !isServerError || serverError.Number() == code.ApplyUnknown.Number() {
 		return false
 	}
-	return !lost || refused.Number() != code.StoreDown.Number()
+	return !responseLost || serverError.Number() != code.StoreDown.Number()
 }
 
-// Status returns what a control process knows.
+// Status returns the status of the first control process that answers.
 func (c *Client) Status(ctx context.Context) (operatorwire.ControlStatus, error) {
 	var status operatorwire.ControlStatus
 	err := c.call(ctx, http.MethodGet, "/v1/status", nil, &status)
 	return status, err
 }
 
-// CallAdmin calls the admin port of an entry at address.
+// CallAdmin calls the admin port of the entry at address.
 func (c *Client) CallAdmin(ctx context.Context, method, address, path string, out any) error {
-	return c.callOne(ctx, method, "http://"+address+path, nil, out)
+	return c.callServer(ctx, method, "http://"+address+path, nil, out)
 }
