--- a/pkg/app/cli/cli.go
+++ b/pkg/app/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the operators' command line.
+// Package cli implements the operators' command line.
 package cli
 
 import (
@@ -21,21 +21,21 @@
 	"ironhollow/pkg/settings"
 )
 
-// Exit codes; docs/operators/cli.md lists them.
+// Exit codes, documented in docs/operators/cli.md.
 const (
-	exitOK       = 0
-	exitFault    = 1
-	exitBadFile  = 2
-	exitConflict = 3
-	exitUnknown  = 4
-	// exitDiffers is diff's for a file that differs.
+	exitOK             = 0
+	exitFailure        = 1
+	exitInvalidFile    = 2
+	exitConflict       = 3
+	exitOutcomeUnknown = 4
+	// exitDiffers is the exit code of diff if the file differs from the configuration in force.
 	exitDiffers = 5
 )
 
-// errDiffers is what diff ends with when there is a difference.
+// errDiffers is returned by diff if there is a difference. It is not printed.
 var errDiffers = errors.New("differs")
 
-// tool is what all commands share.
+// tool contains the global flags and the output, which all commands share.
 type tool struct {
 	servers []string
 	key     string
@@ -51,49 +51,49 @@
 	return Run(ctx, os.Args[1:], os.Stdout, os.Stderr)
 }
 
-// Run runs one command.
-func Run(ctx context.Context, args []string, out, errs io.Writer) int {
+// Run runs one command and returns its exit code.
+func Run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	t := &tool{out: out}
-	root := t.root()
+	root := t.rootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(errOut)
 	err := root.ExecuteContext(ctx)
 	if err != nil && !errors.Is(err, errDiffers) {
-		_, _ = fmt.Fprintln(errs, err)
+		_, _ = fmt.Fprintln(errOut, err)
 	}
 	return exitCode(err)
 }
 
 func exitCode(err error) int {
 	var problems settings.Problems
-	var refused *operatorclient.Error
+	var serverError *operatorclient.Error
 	switch {
 	case err == nil:
 		return exitOK
 	case errors.Is(err, errDiffers):
 		return exitDiffers
-	case errors.As(err, &problems) || errors.Is(err, errBadFile):
-		return exitBadFile
-	case errors.As(err, &refused):
-		return exitOfCode(refused.Number())
+	case errors.As(err, &problems) || errors.Is(err, errInvalidFile):
+		return exitInvalidFile
+	case errors.As(err, &serverError):
+		return exitCodeOfError(serverError.Number())
 	}
-	return exitFault
+	return exitFailure
 }
 
-func exitOfCode(number int) int {
+func exitCodeOfError(number int) int {
 	switch number {
 	case code.RevisionConflict.Number():
 		return exitConflict
 	case code.ApplyUnknown.Number():
-		return exitUnknown
+		return exitOutcomeUnknown
 	case code.BadConfig.Number():
-		return exitBadFile
+		return exitInvalidFile
 	}
-	return exitFault
+	return exitFailure
 }
 
-func (t *tool) root() *cobra.Command {
+func (t *tool) rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "ironhollow",
 		Short:         "Operate an ironhollow fleet",
@@ -126,24 +126,24 @@
 	return operatorclient.New(t.servers, t.key, t.ca)
 }
 
-// errBadFile marks files that can't be applied.
-var errBadFile = errors.New("not applied")
+// errInvalidFile is wrapped by errors for files that cannot be read or are invalid.
+var errInvalidFile = errors.New("not applied")
 
-// readFile reads and checks a configuration file.
+// readFile reads and validates a configuration file.
 func readFile(name string) ([]fleet.Section, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", errBadFile, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidFile, err)
 	}
 	sections, err := fleet.Parse(name, data)
 	var problems settings.Problems
 	if err != nil && !errors.As(err, &problems) {
-		return nil, fmt.Errorf("%w: %w", errBadFile, err)
+		return nil, fmt.Errorf("%w: %w", errInvalidFile, err)
 	}
 	return sections, err
 }
 
-// print writes value as JSON, or calls table.
+// print writes value as JSON if --json is set; otherwise it calls table to print a table.
 func (t *tool) print(value any, table func(w io.Writer)) error {
 	if t.asJSON {
 		encoder := json.NewEncoder(t.out)
@@ -155,7 +155,7 @@
 	return w.Flush()
 }
 
-func row(w io.Writer, cells ...any) {
+func writeRow(w io.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
 		texts[i] = fmt.Sprint(cell)
--- a/pkg/app/cli/config.go
+++ b/pkg/app/cli/config.go
@@ -12,8 +12,8 @@
 	"ironhollow/schema"
 )
 
-// checked is check's answer.
-type checked struct {
+// checkResult is the result of the check command.
+type checkResult struct {
 	File     string `json:"file"`
 	Sections int    `json:"sections"`
 }
@@ -28,8 +28,8 @@
 			if err != nil {
 				return err
 			}
-			return t.print(checked{args[0], len(sections)}, func(w io.Writer) {
-				row(w, fmt.Sprintf("%s: good, %d sections", args[0], len(sections)))
+			return t.print(checkResult{args[0], len(sections)}, func(w io.Writer) {
+				writeRow(w, fmt.Sprintf("%s: good, %d sections", args[0], len(sections)))
 			})
 		},
 	}
@@ -41,46 +41,46 @@
 		Short: "Print every key of a configuration with its meaning, range and default",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			shape, err := settings.ParseSchema(schema.Fleet)
+			configSchema, err := settings.ParseSchema(schema.Fleet)
 			if err != nil {
 				return err
 			}
-			_, err = io.WriteString(t.out, shape.Defaults())
+			_, err = io.WriteString(t.out, configSchema.Defaults())
 			return err
 		},
 	}
 }
 
-// difference is one line of a diff.
-type difference struct {
+// sectionChange is one section in the result of the diff command.
+type sectionChange struct {
 	Kind   string `json:"kind"`
 	Name   string `json:"name"`
 	Change string `json:"change"`
 }
 
-func differences(old, next []fleet.Section) []difference {
-	before := map[string]bool{}
+func sectionChanges(old, updated []fleet.Section) []sectionChange {
+	oldIDs := map[string]bool{}
 	for _, s := range old {
-		before[s.ID()] = true
+		oldIDs[s.ID()] = true
 	}
-	list := []difference{}
-	for _, s := range fleet.Diff(old, next) {
+	changes := []sectionChange{}
+	for _, s := range fleet.Diff(old, updated) {
 		change := "added"
 		switch {
 		case s.IsRemoval():
 			change = "removed"
-		case before[s.ID()]:
+		case oldIDs[s.ID()]:
 			change = "changed"
 		}
-		list = append(list, difference{s.Kind(), s.Name(), change})
+		changes = append(changes, sectionChange{s.Kind(), s.Name(), change})
 	}
-	return list
+	return changes
 }
 
-// diffed is diff's answer.
-type diffed struct {
-	Revision int64        `json:"revision"`
-	Changes  []difference `json:"changes"`
+// diffResult is the result of the diff command.
+type diffResult struct {
+	Revision int64           `json:"revision"`
+	Changes  []sectionChange `json:"changes"`
 }
 
 func (t *tool) diffCommand() *cobra.Command {
@@ -89,7 +89,7 @@
 		Short: "Show what applying a file would change; exit code 5 if anything",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			next, err := readFile(args[0])
+			sections, err := readFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -101,11 +101,11 @@
 			if err != nil {
 				return err
 			}
-			changes := differences(old, next)
-			err = t.print(diffed{revision, changes}, func(w io.Writer) {
-				row(w, "revision in force:", revision)
+			changes := sectionChanges(old, sections)
+			err = t.print(diffResult{revision, changes}, func(w io.Writer) {
+				writeRow(w, "revision in force:", revision)
 				for _, c := range changes {
-					row(w, c.Change, c.Kind, c.Name)
+					writeRow(w, c.Change, c.Kind, c.Name)
 				}
 			})
 			if err == nil && len(changes) > 0 {
@@ -117,7 +117,7 @@
 }
 
 func (t *tool) applyCommand() *cobra.Command {
-	var seen int64
+	var seenRevision int64
 	command := &cobra.Command{
 		Use:   "apply FILE",
 		Short: "Put a configuration file in force, as a whole",
@@ -125,7 +125,7 @@
 			"if another operator was faster, nothing is changed and the other revision is named (exit code 3).",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			next, err := readFile(args[0])
+			sections, err := readFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -133,21 +133,21 @@
 			if err != nil {
 				return err
 			}
-			if seen < 0 {
-				if seen, _, err = client.Config(command.Context()); err != nil {
+			if seenRevision < 0 {
+				if seenRevision, _, err = client.Config(command.Context()); err != nil {
 					return err
 				}
 			}
-			revision, err := client.Apply(command.Context(), seen, next)
+			revision, err := client.Apply(command.Context(), seenRevision, sections)
 			if err != nil {
 				return err
 			}
 			return t.print(operatorwire.ApplyResponse{Revision: revision}, func(w io.Writer) {
-				row(w, fmt.Sprintf("revision %d is in force", revision))
+				writeRow(w, fmt.Sprintf("revision %d is in force", revision))
 			})
 		},
 	}
-	command.Flags().Int64Var(&seen, "seen", -1, "revision the file was made from; left out, the one in force now")
+	command.Flags().Int64Var(&seenRevision, "seen", -1, "revision the file was made from; left out, the one in force now")
 	return command
 }
 
@@ -167,9 +167,9 @@
 			}
 			value := operatorwire.Config{Revision: revision, Sections: operatorwire.FromSections(sections)}
 			return t.print(value, func(w io.Writer) {
-				row(w, "revision", revision)
+				writeRow(w, "revision", revision)
 				for _, s := range sections {
-					row(w, s.Kind(), s.Name(), s.Body())
+					writeRow(w, s.Kind(), s.Name(), s.Body())
 				}
 			})
 		},
--- a/pkg/app/cli/status.go
+++ b/pkg/app/cli/status.go
@@ -38,28 +38,28 @@
 }
 
 func printStatus(w io.Writer, s operatorwire.ControlStatus) {
-	row(w, "revision", s.Revision)
+	writeRow(w, "revision", s.Revision)
 	if s.StoreDown {
-		row(w, "table service", "does not answer")
+		writeRow(w, "table service", "does not answer")
 	}
-	row(w, "shards held by "+s.Node, len(s.Shards))
-	row(w, "")
-	row(w, "NODE", "STATUS", "DATA CENTRE", "CALLERS CONNECT TO", "CONTROL", "LOAD")
+	writeRow(w, "shards held by "+s.Node, len(s.Shards))
+	writeRow(w, "")
+	writeRow(w, "NODE", "STATUS", "DATA CENTRE", "CALLERS CONNECT TO", "CONTROL", "LOAD")
 	for _, n := range s.Nodes {
 		status := n.Status
 		if n.Leaving {
 			status += ", leaving"
 		}
-		row(w, n.Node, status, n.DataCenter, n.CallerAddress, n.Control, fmt.Sprintf("%d%%", 10*n.Load))
+		writeRow(w, n.Node, status, n.DataCenter, n.CallerAddress, n.Control, fmt.Sprintf("%d%%", 10*n.Load))
 	}
-	row(w, "")
-	row(w, "ENDPOINT", "STATE", "DATA CENTRE", "CLASS", "SERVES", "ADDRESS")
+	writeRow(w, "")
+	writeRow(w, "ENDPOINT", "STATE", "DATA CENTRE", "CLASS", "SERVES", "ADDRESS")
 	for _, e := range s.Endpoints {
 		serves := e.Service
 		if e.Model != "" {
 			serves = e.Model + "@" + e.Version
 		}
-		row(w, e.Endpoint, e.State, e.DataCenter, e.Class, serves, e.Address)
+		writeRow(w, e.Endpoint, e.State, e.DataCenter, e.Class, serves, e.Address)
 	}
 }
 
@@ -79,12 +79,12 @@
 			}
 			return t.print(struct {
 				Draining string `json:"draining"`
-			}{args[0]}, func(w io.Writer) { row(w, args[0], "is draining") })
+			}{args[0]}, func(w io.Writer) { writeRow(w, args[0], "is draining") })
 		},
 	}
 }
 
-var errWhat = errors.New("one of --service and --request is needed, or neither for the latest requests")
+var errServiceAndRequest = errors.New("one of --service and --request is needed, or neither for the latest requests")
 
 func (t *tool) explainCommand() *cobra.Command {
 	var service, request string
@@ -102,7 +102,7 @@
 				return errNoSource
 			}
 			if service != "" && request != "" {
-				return errWhat
+				return errServiceAndRequest
 			}
 			t.servers = []string{args[0]}
 			if service != "" {
@@ -123,7 +123,7 @@
 	errNoRequest = errors.New("--logs needs --request")
 )
 
-// explainLogs prints a request's way from the logs of all hosts.
+// explainLogs prints the timeline of a request, combined from the log files of all hosts.
 func (t *tool) explainLogs(request string, files []string) error {
 	if request == "" {
 		return errNoRequest
@@ -134,23 +134,23 @@
 		if err != nil {
 			return err
 		}
-		read, err := explain.ReadLogs(file)
+		parsed, err := explain.ReadLogs(file)
 		if closeErr := file.Close(); err == nil {
 			err = closeErr
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, parsed...)
 	}
 	steps := explain.Timeline(lines, request)
 	if len(steps) == 0 {
 		return fmt.Errorf("no line of the logs names the request %s", request)
 	}
 	return t.print(steps, func(w io.Writer) {
-		row(w, "TIME", "HOST", "WHAT")
+		writeRow(w, "TIME", "HOST", "WHAT")
 		for _, s := range steps {
-			row(w, s.Time.Format("15:04:05.000"), s.Node, s.Text)
+			writeRow(w, s.Time.Format("15:04:05.000"), s.Node, s.Text)
 		}
 	})
 }
@@ -165,9 +165,9 @@
 		return err
 	}
 	return t.print(candidates, func(w io.Writer) {
-		row(w, "ENDPOINT", "DATA CENTRE", "USABLE", "WAIT MS", "+ DECODE MS", "+ RISK MS", "= TOTAL MS", "RUNNING", "RECLAIMS/HOUR")
+		writeRow(w, "ENDPOINT", "DATA CENTRE", "USABLE", "WAIT MS", "+ DECODE MS", "+ RISK MS", "= TOTAL MS", "RUNNING", "RECLAIMS/HOUR")
 		for _, c := range candidates {
-			row(w, c.Endpoint, c.DataCenter, c.Usable, c.WaitMS, c.DecodeMS, c.RiskMS, c.TotalMS, c.Running, fmt.Sprintf("%.3f", c.HazardPerHour))
+			writeRow(w, c.Endpoint, c.DataCenter, c.Usable, c.WaitMS, c.DecodeMS, c.RiskMS, c.TotalMS, c.Running, fmt.Sprintf("%.3f", c.HazardPerHour))
 		}
 	})
 }
@@ -178,16 +178,16 @@
 		return err
 	}
 	path := fmt.Sprintf("/explain/requests?count=%d&request=%s", count, url.QueryEscape(request))
-	var list []operatorwire.ServedRequest
-	if err := client.CallAdmin(command.Context(), http.MethodGet, address, path, &list); err != nil {
+	var requests []operatorwire.ServedRequest
+	if err := client.CallAdmin(command.Context(), http.MethodGet, address, path, &requests); err != nil {
 		return err
 	}
-	return t.print(list, func(w io.Writer) {
-		for _, r := range list {
-			row(w, r.RequestID, r.Team, r.Service, fmt.Sprintf("%.1f ms", r.DurationMS), fmt.Sprintf("%d tokens", r.Tokens), r.Failure)
-			for i, h := range r.Attempts {
-				row(w, fmt.Sprintf("  attempt %d", i+1), h.Endpoint, h.Outcome, fmt.Sprintf("expected %.1f ms", h.ExpectedMS),
-					fmt.Sprintf("%d tokens had", h.Tokens), fmt.Sprintf("%d cached", h.CachedTokens))
+	return t.print(requests, func(w io.Writer) {
+		for _, r := range requests {
+			writeRow(w, r.RequestID, r.Team, r.Service, fmt.Sprintf("%.1f ms", r.DurationMS), fmt.Sprintf("%d tokens", r.Tokens), r.Failure)
+			for i, attempt := range r.Attempts {
+				writeRow(w, fmt.Sprintf("  attempt %d", i+1), attempt.Endpoint, attempt.Outcome, fmt.Sprintf("expected %.1f ms", attempt.ExpectedMS),
+					fmt.Sprintf("%d tokens had", attempt.Tokens), fmt.Sprintf("%d cached", attempt.CachedTokens))
 			}
 		}
 	})
@@ -219,7 +219,7 @@
 			}
 			return t.print(struct {
 				Directory string `json:"directory"`
-			}{args[0]}, func(w io.Writer) { row(w, "keys are in", args[0]) })
+			}{args[0]}, func(w io.Writer) { writeRow(w, "keys are in", args[0]) })
 		},
 	}
 	command.Flags().StringSliceVar(&addresses, "address", nil, "IP numbers that callers and operators connect to")
@@ -234,7 +234,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			return t.print(struct {
 				Hash string `json:"hash"`
-			}{fleet.HashKey(args[0])}, func(w io.Writer) { row(w, fleet.HashKey(args[0])) })
+			}{fleet.HashKey(args[0])}, func(w io.Writer) { writeRow(w, fleet.HashKey(args[0])) })
 		},
 	}
 }
