--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -19,7 +19,7 @@
 // Main runs the command line of ironhollow-control and returns its exit code.
 func Main() int {
 	check := func(file string, data []byte) error {
-		s, err := Read(file, data)
+		s, err := ParseSettings(file, data)
 		if err != nil {
 			return err
 		}
@@ -30,7 +30,7 @@
 }
 
 func run(ctx context.Context, file string, data []byte) error {
-	settings, err := Read(file, data)
+	settings, err := ParseSettings(file, data)
 	if err != nil {
 		return err
 	}
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -18,7 +18,7 @@
 // Main runs the command line of ironhollow-entry and returns its exit code.
 func Main() int {
 	check := func(file string, data []byte) error {
-		s, err := Read(file, data)
+		s, err := ParseSettings(file, data)
 		if err != nil {
 			return err
 		}
@@ -29,7 +29,7 @@
 }
 
 func run(ctx context.Context, file string, data []byte) error {
-	settings, err := Read(file, data)
+	settings, err := ParseSettings(file, data)
 	if err != nil {
 		return err
 	}
--- a/pkg/app/entry/settings.go
+++ b/pkg/app/entry/settings.go
@@ -35,8 +35,8 @@
 	logLevel    string
 }
 
-// Read checks a settings file.
-func Read(file string, data []byte) (Settings, error) {
+// ParseSettings checks a settings file.
+func ParseSettings(file string, data []byte) (Settings, error) {
 	shape, err := settings.ParseSchema(schema.Entry)
 	if err != nil {
 		return Settings{}, err
