--- a/pkg/app/entry/admin.go
+++ b/pkg/app/entry/admin.go
@@ -13,8 +13,8 @@
 	"ironhollow/pkg/route"
 )
 
-// admin is the mux of the admin port.
-func (a *App) admin() *http.ServeMux {
+// adminMux returns the handlers of the admin port.
+func (a *App) adminMux() *http.ServeMux {
 	mux := process.AdminMux(a.registry, a.ready)
 	mux.HandleFunc("GET /status", a.serveStatus)
 	mux.HandleFunc("GET /explain/requests", a.serveRequests)
@@ -25,7 +25,7 @@
 
 var errNotReady = errors.New("no configuration yet")
 
-// ready reports why callers can't be served yet, nil if they can.
+// ready returns an error while this process cannot serve callers.
 func (a *App) ready() error {
 	if a.config.Current().Revision() == 0 {
 		return errNotReady
@@ -47,15 +47,15 @@
 	httpx.WriteJSON(w, http.StatusOK, status)
 }
 
-// mostRequests is how many requests one answer shows.
-const mostRequests = 50
+// maxRequests is the maximum number of requests in one response of /explain/requests.
+const maxRequests = 50
 
 func (a *App) serveRequests(w http.ResponseWriter, r *http.Request) {
 	count := 10
 	if text := r.URL.Query().Get("count"); text != "" {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1 || n > mostRequests {
-			http.Error(w, "count: valid: 1 to "+strconv.Itoa(mostRequests), http.StatusBadRequest)
+		if err != nil || n < 1 || n > maxRequests {
+			http.Error(w, "count: valid: 1 to "+strconv.Itoa(maxRequests), http.StatusBadRequest)
 			return
 		}
 		count = n
@@ -76,7 +76,8 @@
 	httpx.WriteJSON(w, http.StatusOK, list)
 }
 
-// serveCandidates shows the sums of a choice that would be made now.
+// serveCandidates returns the endpoints that the router would consider for a request to the
+// service now, with the estimates by which it ranks them.
 func (a *App) serveCandidates(w http.ResponseWriter, r *http.Request) {
 	s, ok := a.config.Current().Service(r.PathValue("service"))
 	if !ok {
@@ -84,29 +85,29 @@
 		return
 	}
 	list := []operatorwire.Candidate{}
-	for _, c := range a.router.Explain(queryOf(s), time.Now()) {
+	for _, c := range a.router.Explain(explainQuery(s), time.Now()) {
 		list = append(list, operatorwire.FromCandidate(c))
 	}
 	httpx.WriteJSON(w, http.StatusOK, list)
 }
 
-// Figures of the request that explain asks about.
+// Sizes of the hypothetical request that /explain/services is answered for.
 const (
-	explainPrompt = 1000
-	explainAnswer = 200
+	explainPromptTokens = 1000
+	explainAnswerTokens = 200
 )
 
-func queryOf(s fleet.Service) route.Query {
+func explainQuery(s fleet.Service) route.Query {
 	if s.Kind() == fleet.Plain {
 		return route.Query{Target: route.Target{Service: s.Name()}}
 	}
 	return route.Query{
 		Target:       route.Target{Model: s.Model(), Version: s.Version(), Adapter: s.Adapter()},
-		PromptTokens: explainPrompt, AnswerTokens: min(explainAnswer, s.MaxTokens()), RiskWeight: 1,
+		PromptTokens: explainPromptTokens, AnswerTokens: min(explainAnswerTokens, s.MaxTokens()), RiskWeight: 1,
 	}
 }
 
 func (a *App) serveDrain(w http.ResponseWriter, _ *http.Request) {
-	a.startDrain()
+	a.requestDrain()
 	w.WriteHeader(http.StatusAccepted)
 }
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -1,6 +1,6 @@
-// Package entry is the entry process: it serves callers and takes part in the
-// mesh. This file holds its parts; run.go its life, loops.go what it does
-// beside serving.
+// Package entry is the entry process: it serves callers and is a member of the mesh. app.go
+// constructs its components, run.go starts and drains it, and loops.go contains its background
+// work.
 package entry
 
 import (
@@ -38,59 +38,59 @@
 	"ironhollow/pkg/table"
 )
 
-// App is an entry with all its parts.
+// App is an entry process with all its components.
 type App struct {
-	settings  Settings
-	self      membership.Node
-	log       *log.Logger
-	registry  *prometheus.Registry
-	tracer    *sdktrace.TracerProvider
-	guard     *table.Guard
-	writer    *table.Writer
-	config    *config.Holder
-	store     *config.Store
-	nodes     *membership.Table
-	endpoints *endpoint.Directory
-	hazard    *hazard.Estimator
-	router    *route.Router
-	engines   engine.API
-	runner    *stream.Runner
-	rates     *limit.RateLimiter
-	gates     *limit.ConcurrencyLimiters
-	budget    *retry.Budget
-	jobs      *job.Store
-	worker    *job.Worker
-	batcher   *job.Batcher
-	claims    *claim.Claims
-	accepts   *accept.Gatherer
-	history   *explain.History
-	mesh      *peer.Mesh
-	peers     *peer.Server
-	api       *callerapi.API
-	tls       process.TLS
+	settings            Settings
+	self                membership.Node
+	log                 *log.Logger
+	registry            *prometheus.Registry
+	tracer              *sdktrace.TracerProvider
+	guard               *table.Guard
+	writer              *table.Writer
+	config              *config.Holder
+	store               *config.Store
+	nodes               *membership.Table
+	endpoints           *endpoint.Directory
+	hazard              *hazard.Estimator
+	router              *route.Router
+	engineAPI           engine.API
+	runner              *stream.Runner
+	rateLimiter         *limit.RateLimiter
+	concurrencyLimiters *limit.ConcurrencyLimiters
+	budget              *retry.Budget
+	jobs                *job.Store
+	worker              *job.Worker
+	batcher             *job.Batcher
+	claims              *claim.Claims
+	acceptGatherer      *accept.Gatherer
+	history             *explain.History
+	mesh                *peer.Mesh
+	peers               *peer.Server
+	api                 *callerapi.API
+	tls                 process.TLS
 
 	recoveredMu sync.Mutex
-	// recovered are incarnations of dead nodes that own no jobs any more.
+	// recovered contains the incarnations of dead nodes that no longer own jobs.
 	recovered map[string]bool
 
-	drainOnce  sync.Once
-	drainAsked chan struct{}
+	drainOnce      sync.Once
+	drainRequested chan struct{}
 }
 
-// engineConns is how many connections are kept to one endpoint.
-const engineConns = 64
+// connsPerEndpoint is the number of connections that are kept to one endpoint.
+const connsPerEndpoint = 64
 
-// engineTime bounds calls to engines that are not streams.
-const engineTime = 3 * time.Second
+// engineTimeout bounds the calls to engines that are not streams.
+const engineTimeout = 3 * time.Second
 
-func newHTTPClient() *http.Client { return httpx.NewClient(engineConns) }
+func newHTTPClient() *http.Client { return httpx.NewClient(connsPerEndpoint) }
 
-// Incarnation identifies this start of the process.
+// Incarnation identifies one start of the process.
 type Incarnation int64
 
-// NewIncarnation returns the time of the start in milliseconds: it grows from
-// start to start, as long as the clock of a replaced host is not behind by more
-// than the restart took; the registration in the table corrects that.
+// NewIncarnation returns the current time in milliseconds. It increases from start to start,
+// unless the clock of a replacement host is behind by more than the restart took; the
+// registration in the table service corrects that.
 func NewIncarnation() Incarnation { return Incarnation(time.Now().UnixMilli()) }
 
 func newSelf(s Settings, incarnation Incarnation) membership.Node {
@@ -105,48 +105,53 @@
 	return table.NewWriter(guard, self.Owner())
 }
 
-func newObjects(s Settings, client *http.Client) object.Store {
-	return object.New(s.objectAddress, s.platformTime, client)
+func newObjectStore(s Settings, client *http.Client) object.Store {
+	return object.New(s.objectAddress, s.platformTimeout, client)
 }
 
 func newRouter(endpoints *endpoint.Directory, estimator *hazard.Estimator, self membership.Node) *route.Router {
 	return route.New(endpoints, estimator, route.Location{Node: self.ID, DataCenter: self.DataCenter}, rand.Uint64())
 }
 
-func newEngines(client *http.Client) engine.API { return engine.New(client, engineTime) }
+func newEngineAPI(client *http.Client) engine.API { return engine.New(client, engineTimeout) }
 
-func newPlain(client *http.Client) plainservice.API { return plainservice.New(client) }
+func newPlainServiceAPI(client *http.Client) plainservice.API { return plainservice.New(client) }
 
-// startShare is the retry budget's until a configuration is in force.
-const startShare = 0.1
+// initialRetryShare is the retry budget's number of retries per first send until a configuration
+// is in force.
+const initialRetryShare = 0.1
 
-func newBudget() *retry.Budget { return retry.New(startShare, time.Now()) }
+func newBudget() *retry.Budget { return retry.New(initialRetryShare, time.Now()) }
 
 func newBatcher(writer *table.Writer, s Settings) *job.Batcher {
 	return job.NewBatcher(writer, s.acceptWindow)
 }
 
-// Figures of the checkpoint interval.
+// Inputs of the checkpoint interval.
 const (
-	// checkpointCost is the time a checkpoint takes from the store's budget.
+	// checkpointCost is the time that a checkpoint takes from the store's budget.
 	checkpointCost = 50 * time.Millisecond
-	// lossesPerHour of an entry host: 643 of 420 hosts fail or are replaced a day.
-	lossesPerHour = 643.0 / 420 / 24
+	// hostLossesPerHour is the loss rate of one entry host: with 420 hosts, 643 fail or are
+	// replaced per day.
+	hostLossesPerHour = 643.0 / 420 / 24
 )
 
 func newWorker(ctx context.Context, store *job.Store, generator job.Generator, self membership.Node, s Settings, counters *job.Counters) *job.Worker {
-	interval := func() time.Duration { return reclaim.CheckpointInterval(checkpointCost, lossesPerHour) }
-	return job.NewWorker(ctx, store, generator, self.Owner(), s.jobs, interval, counters)
+	interval := func() time.Duration { return reclaim.CheckpointInterval(checkpointCost, hostLossesPerHour) }
+	return job.NewWorker(ctx, store, generator, self.Owner(), s.maxConcurrentJobs, interval, counters)
 }
 
-func newTLS(s Settings) (process.TLS, error) { return process.LoadTLS(s.peerFiles, s.callerFiles) }
+func newTLS(s Settings) (process.TLS, error) {
+	return process.LoadTLS(s.peerTLSFiles, s.callerTLSFiles)
+}
 
 func newPeers(ctx context.Context, mesh *peer.Mesh, t process.TLS, counters *peer.Counters) *peer.Server {
 	return peer.NewServer(ctx, mesh, peer.RoleEntry, t.PeerClient(), counters)
 }
 
-// newAccepts gathers the data centre's accepted jobs over the peers' links.
-func newAccepts(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.Guard, peers *peer.Server) *accept.Gatherer {
+// newAcceptGatherer returns the gatherer that commits the accepted jobs of the entries of this
+// data centre together. Its messages are sent over the links to peers.
+func newAcceptGatherer(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.Guard, peers *peer.Server) *accept.Gatherer {
 	gatherer := accept.New(self, nodes, batcher, guard, peers)
 	peers.SetHandler(gatherer.Handle)
 	return gatherer
--- a/pkg/app/entry/generator.go
+++ b/pkg/app/entry/generator.go
@@ -13,32 +13,33 @@
 	"ironhollow/pkg/stream"
 )
 
-// generator gives jobs their answers.
+// generator generates the answers of jobs; it is a job.Generator.
 type generator struct {
-	config *config.Holder
-	runner *stream.Runner
-	gates  *limit.ConcurrencyLimiters
+	config              *config.Holder
+	runner              *stream.Runner
+	concurrencyLimiters *limit.ConcurrencyLimiters
 }
 
-func newGenerator(holder *config.Holder, runner *stream.Runner, gates *limit.ConcurrencyLimiters) job.Generator {
-	return &generator{holder, runner, gates}
+func newGenerator(holder *config.Holder, runner *stream.Runner, concurrencyLimiters *limit.ConcurrencyLimiters) job.Generator {
+	return &generator{holder, runner, concurrencyLimiters}
 }
 
-// placeFor returns a job's place beside callers who wait.
-func (g *generator) placeFor(j job.Job, c *fleet.Config, s fleet.Service) *limit.PermitHolder {
+// newPermitHolder returns the holder of a job's concurrency permit. Jobs share the permits of a
+// target with requests whose callers wait, and yield to them.
+func (g *generator) newPermitHolder(j job.Job, c *fleet.Config, s fleet.Service) *limit.PermitHolder {
 	weight := 1
 	if team, ok := c.Team(j.Team); ok {
 		weight = team.Weight()
 	}
 	target := route.Target{Model: s.Model(), Version: s.Version(), Adapter: s.Adapter()}
-	return limit.NewPermitHolder(g.gates.For(target), limit.PermitRequest{
+	return limit.NewPermitHolder(g.concurrencyLimiters.For(target), limit.PermitRequest{
 		Team: j.Team, Weight: weight, Priority: s.Priority(), MayWait: true, Yield: func() bool { return g.runner.Preempt(j.ID) },
 	})
 }
 
-// Generate runs a job's request, going on after the tokens of a checkpoint if
-// they are of the version that is served still.
-func (g *generator) Generate(ctx context.Context, j job.Job, version string, received []string, started func(job.Progress)) (job.Result, error) {
+// Generate runs a job's request. It continues after the tokens of a checkpoint if they are from
+// the version that the service still uses.
+func (g *generator) Generate(ctx context.Context, j job.Job, version string, receivedTokens []string, started func(job.Progress)) (job.Result, error) {
 	body, err := chat.Parse(j.Body)
 	if err != nil {
 		return job.Result{}, err
@@ -55,15 +56,15 @@
 		request.Strategy = route.RoundRobin
 	}
 	if version == s.Version() {
-		request.Received = received
+		request.Received = receivedTokens
 	}
-	place := g.placeFor(j, c, s)
-	if err := place.Acquire(ctx); err != nil {
+	permit := g.newPermitHolder(j, c, s)
+	if err := permit.Acquire(ctx); err != nil {
 		return job.Result{}, err
 	}
-	defer place.Release()
+	defer permit.Release()
 	request.MayWait = true
-	request.Requeue = place.Reacquire
+	request.Requeue = permit.Reacquire
 	collector := chat.NewCollector(s.Version(), request.Received)
 	started(collector)
 	result, err := g.runner.Run(ctx, request, collector)
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -20,24 +20,24 @@
 
 func now() time.Time { return time.Now() }
 
-// Periods of what an entry does beside serving.
+// Intervals and time-outs of an entry's background work.
 const (
-	// configPeriod is how often the store is asked for a new revision. News of
-	// one comes over the mesh; this is for when that fails.
-	configPeriod = 30 * time.Second
-	// reportTime bounds one question for an endpoint's load.
-	reportTime  = time.Second
-	sharePeriod = time.Second
-	// recoverPeriod is how often lost owners' jobs are looked for, sweepPeriod
-	// how often among all nodes that ever registered.
-	recoverPeriod = 3 * time.Second
-	sweepPeriod   = 30 * time.Second
-	storeTime     = 5 * time.Second
+	// configSyncInterval is the interval of the checks for a new revision in the store. New
+	// revisions normally arrive over the mesh; the checks cover the case that this fails.
+	configSyncInterval = 30 * time.Second
+	// reportTimeout bounds one poll of an endpoint's load.
+	reportTimeout       = time.Second
+	shareUpdateInterval = time.Second
+	// recoverInterval is the interval of the checks for jobs of dead nodes in the membership
+	// table. sweepInterval is that of the checks for registered nodes missing from the table.
+	recoverInterval = 3 * time.Second
+	sweepInterval   = 30 * time.Second
+	storeTimeout    = 5 * time.Second
 )
 
-// followConfig brings the configuration up to the store's.
-func (a *App) followConfig(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+// syncConfig applies the store's newer revisions and publishes them to the mesh.
+func (a *App) syncConfig(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	before := a.config.Current().Revision()
 	head, err := a.store.Head(ctx)
@@ -59,14 +59,15 @@
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
 
-// watchConfig applies what a new revision changes outside the request's path.
-func (a *App) watchConfig(ctx context.Context) {
+// applyConfigChanges applies each new revision to the components that do not read the
+// configuration on every request: the retry budget and the hazard estimate.
+func (a *App) applyConfigChanges(ctx context.Context) {
 	for {
 		changed := a.config.Changed()
 		c := a.config.Current()
 		a.budget.SetShare(c.Policy().RetryShare())
-		for _, row := range c.Capacities() {
-			a.hazard.SetPrior(hazard.Pool{DataCenter: row.DataCenter(), Class: row.Class()}, row.Hazard(), now())
+		for _, capacity := range c.Capacities() {
+			a.hazard.SetPrior(hazard.Pool{DataCenter: capacity.DataCenter(), Class: capacity.Class()}, capacity.Hazard(), now())
 		}
 		select {
 		case <-ctx.Done():
@@ -76,47 +77,47 @@
 	}
 }
 
-// readReports asks one endpoint after the other for its load, those with the
-// oldest report first. Reports come with every answer too, so an endpoint in
-// use is seldom asked; the rate bounds what this costs a node however many
-// endpoints there are.
-func (a *App) readReports(ctx context.Context) {
-	limiter := rate.NewLimiter(rate.Limit(a.settings.loadPolls), 1)
+// pollReports polls the load reports of endpoints, those with the oldest report first. Every
+// answer also contains a report, so an endpoint in use is seldom polled. The rate limit bounds
+// the cost of polling for a node regardless of the number of endpoints.
+func (a *App) pollReports(ctx context.Context) {
+	limiter := rate.NewLimiter(rate.Limit(a.settings.loadPollsPerSecond), 1)
 	for limiter.Wait(ctx) == nil {
 		if info, ok := a.router.NextToPoll(now()); ok {
-			go a.readReport(ctx, info)
+			go a.pollReport(ctx, info)
 		}
 	}
 }
 
-func (a *App) readReport(ctx context.Context, info endpoint.Info) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+func (a *App) pollReport(ctx context.Context, info endpoint.Info) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	report, err := a.engines.Load(ctx, info.Address)
+	report, err := a.engineAPI.Load(ctx, info.Address)
 	if err != nil {
 		return
 	}
-	a.takeReport(info, report)
+	a.applyReport(info, report)
 }
 
-// takeReport takes in an endpoint's word, however it came.
-func (a *App) takeReport(info endpoint.Info, report engine.Report) {
+// applyReport applies an endpoint's report, polled or received with an answer. A report from
+// another incarnation is ignored.
+func (a *App) applyReport(info endpoint.Info, report engine.Report) {
 	if report.Incarnation != info.Incarnation {
 		return
 	}
 	a.router.ApplyReport(info.Ref(), report)
-	if heard := fromReport(info, report); heard != info {
-		a.spread(heard)
+	if updated := withReport(info, report); updated != info {
+		a.publishEndpoint(updated)
 	}
 }
 
-// spread makes news of an endpoint known here and at the other entries.
-func (a *App) spread(heard endpoint.Info) {
-	a.peers.Send(a.mesh.Tell(peer.News{Endpoints: []endpoint.Info{heard}}, now()))
+// publishEndpoint updates an endpoint here and at the other entries.
+func (a *App) publishEndpoint(info endpoint.Info) {
+	a.peers.Send(a.mesh.Tell(peer.News{Endpoints: []endpoint.Info{info}}, now()))
 }
 
-// fromReport is what an engine's own word makes of what is known of it.
-func fromReport(info endpoint.Info, report engine.Report) endpoint.Info {
+// withReport returns an endpoint's info updated from a report by its engine.
+func withReport(info endpoint.Info, report engine.Report) endpoint.Info {
 	if report.Counter > info.Counter || (info.Counter == 0 && report.Model != info.Model) {
 		info.Model, info.Version, info.Adapter, info.Counter = report.Model, report.Version, report.Adapter, report.Counter
 	}
@@ -126,8 +127,9 @@
 	return info
 }
 
-// onLeave moves work off an endpoint that leaves and learns from it.
-func (a *App) onLeave(ctx context.Context, info endpoint.Info) {
+// onLeaving moves streams off an endpoint that is leaving, and records a reclaim for the hazard
+// estimate.
+func (a *App) onLeaving(ctx context.Context, info endpoint.Info) {
 	a.log.Info().Str("endpoint", info.ID).Str("data_center", info.DataCenter).Time("leave_by", info.LeaveBy).Msg("endpoint is leaving")
 	if info.Reclaimable && !info.LeaveBy.IsZero() {
 		a.hazard.RecordReclaim(hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}, 1, now())
@@ -138,8 +140,9 @@
 	a.runner.MigrateStreams(ctx, info, a.config.Current().Policy().NaiveReclaim())
 }
 
-// shareLimits has this entry keep its part of the limits that endpoints name.
-func (a *App) shareLimits(nodes []membership.Node) {
+// updateLimitShares updates this entry's share of the limits that endpoints set, from the nodes
+// that serve.
+func (a *App) updateLimitShares(nodes []membership.Node) {
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
 		names[i] = n.ID
@@ -149,39 +152,40 @@
 	a.api.Notices.ExpireLimits(time.Now())
 }
 
-// share keeps limits and gates in step with the other entries.
-func (a *App) share(context.Context) {
+// updateShares updates what depends on the number of entries that serve: this entry's shares of
+// limits and permits. It also publishes this entry's load, readiness and demand.
+func (a *App) updateShares(context.Context) {
 	nodes := a.nodes.ServingNodes()
-	serving := max(len(nodes), 1)
-	a.router.SetEntryCount(serving)
-	a.shareLimits(nodes)
-	a.gates.Resize(func(t route.Target) int { return a.gateCapacity(t, serving) })
-	load := int(math.Round(10 * min(a.gates.Load(), 2)))
+	entryCount := max(len(nodes), 1)
+	a.router.SetEntryCount(entryCount)
+	a.updateLimitShares(nodes)
+	a.concurrencyLimiters.Resize(func(t route.Target) int { return a.permitCapacity(t, entryCount) })
+	load := int(math.Round(10 * min(a.concurrencyLimiters.Load(), 2)))
 	a.peers.Send(a.mesh.SetLoad(min(load, 10)))
-	a.showReady()
-	a.shareDemand(serving)
-	a.countHosts()
+	a.updateReady()
+	a.exchangeDemand(entryCount)
+	a.updateHostCounts()
 }
 
-// readyTime is how long an entry without any endpoint waits for news of some
-// before it shows itself all the same: there may be none.
-const readyTime = 5 * time.Second
+// endpointWait is how long after its start an entry waits for a first endpoint before it
+// advertises itself as ready without one: there may be none.
+const endpointWait = 5 * time.Second
 
-// showReady makes callers come here once there is something to serve with. The
-// gates have been sized by then.
-func (a *App) showReady() {
+// updateReady advertises this entry to callers once it has a configuration, and has an endpoint or
+// has waited for endpointWait. It is called after the concurrency limiters have been resized.
+func (a *App) updateReady() {
 	if a.config.Current().Revision() == 0 {
 		return
 	}
 	known := len(a.router.Endpoints()) > 0
-	if known || now().Sub(time.UnixMilli(a.self.Incarnation)) > readyTime {
+	if known || now().Sub(time.UnixMilli(a.self.Incarnation)) > endpointWait {
 		a.peers.Send(a.mesh.SetReady())
 	}
 }
 
-func (a *App) gateCapacity(t route.Target, serving int) int {
+func (a *App) permitCapacity(t route.Target, entryCount int) int {
 	if t.Model == "" {
-		return a.router.EndpointCount(t) * plainRoom
+		return a.router.EndpointCount(t) * callsPerPlainEndpoint
 	}
 	slots := a.router.TotalSlots(t)
 	if slots == 0 {
@@ -189,65 +193,66 @@
 			slots = a.router.TotalSlots(other)
 		}
 	}
-	return int(math.Ceil(limit.PermitsPerSlot * float64(slots) / float64(serving)))
+	return int(math.Ceil(limit.PermitsPerSlot * float64(slots) / float64(entryCount)))
 }
 
-// plainRoom is how many calls one plain endpoint is sent at once by one entry.
-const plainRoom = 256
+// callsPerPlainEndpoint is the maximum number of concurrent calls from one entry for each plain
+// endpoint.
+const callsPerPlainEndpoint = 256
 
-func (a *App) shareDemand(serving int) {
+func (a *App) exchangeDemand(entryCount int) {
 	t := now()
 	var own []peer.Demand
-	demands := a.rates.Demands(t)
+	demands := a.rateLimiter.Demands(t)
 	for _, d := range demands {
 		own = append(own, peer.Demand{Team: peer.TeamHash(d.Team), Value: d.PerSecond})
 	}
 	a.mesh.SetDemand(own)
 	for _, d := range demands {
 		if mean, ok := a.mesh.MeanDemand(peer.TeamHash(d.Team)); ok {
-			a.rates.SetTotalDemand(d.Team, mean*float64(serving), t)
+			a.rateLimiter.SetTotalDemand(d.Team, mean*float64(entryCount), t)
 		}
 	}
 }
 
-// countHosts tells the hazard estimate how many hosts there are to lose.
-func (a *App) countHosts() {
+// updateHostCounts sets the number of reclaimable hosts of each pool in the hazard estimate.
+func (a *App) updateHostCounts() {
 	hosts := map[hazard.Pool]int{}
 	for _, info := range a.endpoints.View().Infos() {
 		if info.Reclaimable && info.AcceptsWork() {
 			hosts[hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}]++
 		}
 	}
-	for place, count := range hosts {
-		a.hazard.SetHosts(place, count, now())
+	for pool, count := range hosts {
+		a.hazard.SetHosts(pool, count, now())
 	}
 }
 
-// helpers is how many survivors share a lost owner's jobs.
-const helpers = 4
+// recoveringEntries is the maximum number of entries that share the jobs of a dead node.
+const recoveringEntries = 4
 
-// recoverJobs takes over jobs of nodes that died, and own ones of earlier
-// starts or of unknown acceptance.
+// recoverJobs takes over the jobs of dead nodes, and adds jobs that this entry owns in the store
+// but does not run because it is not known whether their acceptance took effect.
 func (a *App) recoverJobs(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if rescued, err := a.worker.RescueIfUnsure(ctx); err == nil && rescued > 0 {
-		a.log.Info().Int("jobs", rescued).Msg("own jobs found in the store")
+		a.log.Info().Int("jobs", rescued).Msg("added own jobs found in the store")
 	}
 	for _, n := range a.nodes.Nodes() {
 		if n.Status == membership.Dead {
-			a.recoverNode(ctx, n.ID, n.Incarnation)
+			a.recoverNodeJobs(ctx, n.ID, n.Incarnation)
 		}
 	}
 }
 
-// recoverNode takes this entry's part of the jobs that incarnations of a node
-// up to the given one still own.
-func (a *App) recoverNode(ctx context.Context, id string, incarnation int64) {
+// recoverNodeJobs takes over this entry's part of the jobs that a node still owns under the given
+// or an earlier incarnation.
+func (a *App) recoverNodeJobs(ctx context.Context, id string, incarnation int64) {
 	serving := a.nodes.ServingNodes()
 	rank := membership.RankOf(id, a.self.ID, serving)
-	of := min(helpers, len(serving))
-	if rank < 0 || rank >= of || a.wasRecovered(id, incarnation) {
+	parts := min(recoveringEntries, len(serving))
+	if rank < 0 || rank >= parts || a.wasRecovered(id, incarnation) {
 		return
 	}
 	owners, err := a.jobs.Owners(ctx, id)
@@ -259,7 +264,7 @@
 		if membership.IncarnationOfOwner(owner) > incarnation {
 			continue
 		}
-		taken, remaining, err := a.worker.Recover(ctx, owner, job.Part{Rank: rank, Of: of})
+		taken, remaining, err := a.worker.Recover(ctx, owner, job.Part{Rank: rank, Of: parts})
 		if err != nil {
 			return
 		}
@@ -273,15 +278,15 @@
 	}
 }
 
-// sweep looks for jobs of nodes that nobody here remembers: one entry, chosen
-// by rank, asks the store for all that ever registered.
+// sweep publishes registered nodes that are missing from the membership table, so that their jobs
+// are recovered. Only the entry with rank 0 lists the registrations in the store.
 func (a *App) sweep(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if membership.RankOf("sweep", a.self.ID, a.nodes.ServingNodes()) != 0 {
 		return
 	}
-	registered, err := a.registered(ctx)
+	registered, err := a.registeredNodes(ctx)
 	if err != nil {
 		return
 	}
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -29,30 +29,30 @@
 
 func newAPI(
 	settings Settings, self membership.Node, holder *config.Holder, nodes *membership.Table, router *route.Router,
-	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, jobs *job.Store, worker *job.Worker,
-	jobCounters *job.Counters, claims *claim.Claims, plain plainservice.API, budget *retry.Budget, notices *notice.Tracker,
+	runner *stream.Runner, rateLimiter *limit.RateLimiter, concurrencyLimiters *limit.ConcurrencyLimiters, jobs *job.Store, worker *job.Worker,
+	jobCounters *job.Counters, claims *claim.Claims, plainServices plainservice.API, budget *retry.Budget, notices *notice.Tracker,
 	history *explain.History, tracer trace.Tracer, counters *callerapi.Counters,
 ) *callerapi.API {
 	return callerapi.New(callerapi.Deps{
 		Node: self.ID, Owner: self.Owner(), Limits: settings.limits, Config: holder, Nodes: nodes, Router: router,
-		Runner: runner, Rates: rates, Gates: gates, Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claims,
-		Plain: plain, Notices: notices, Budget: budget, History: history, Tracer: tracer, Metrics: counters,
+		Runner: runner, Rates: rateLimiter, Gates: concurrencyLimiters, Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claims,
+		Plain: plainServices, Notices: notices, Budget: budget, History: history, Tracer: tracer, Metrics: counters,
 	})
 }
 
 func newApp(
 	settings Settings, self membership.Node, logger *log.Logger, registry *prometheus.Registry, tracer *sdktrace.TracerProvider,
 	guard *table.Guard, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
-	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engines engine.API,
-	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
-	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
+	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engineAPI engine.API,
+	runner *stream.Runner, rateLimiter *limit.RateLimiter, concurrencyLimiters *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
+	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, acceptGatherer *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
 	peers *peer.Server, api *callerapi.API, t process.TLS,
 ) *App {
 	return &App{
 		settings: settings, self: self, log: logger, registry: registry, tracer: tracer, guard: guard, writer: writer,
 		config: holder, store: store, nodes: nodes, endpoints: endpoints, hazard: estimator, router: router,
-		engines: engines, runner: runner, rates: rates, gates: gates, budget: budget, jobs: jobs, worker: worker,
-		batcher: batcher, claims: claims, accepts: accepts, history: history, mesh: mesh, peers: peers, api: api,
-		tls: t, recovered: map[string]bool{}, drainAsked: make(chan struct{}),
+		engineAPI: engineAPI, runner: runner, rateLimiter: rateLimiter, concurrencyLimiters: concurrencyLimiters, budget: budget, jobs: jobs, worker: worker,
+		batcher: batcher, claims: claims, acceptGatherer: acceptGatherer, history: history, mesh: mesh, peers: peers, api: api,
+		tls: t, recovered: map[string]bool{}, drainRequested: make(chan struct{}),
 	}
 }
--- a/pkg/app/entry/recovered.go
+++ b/pkg/app/entry/recovered.go
@@ -2,7 +2,7 @@
 
 import "ironhollow/pkg/membership"
 
-// wasRecovered reports whether an incarnation is known to own no jobs any more.
+// wasRecovered reports whether an incarnation of a node is known to own no more jobs.
 func (a *App) wasRecovered(id string, incarnation int64) bool {
 	a.recoveredMu.Lock()
 	defer a.recoveredMu.Unlock()
--- a/pkg/app/entry/register.go
+++ b/pkg/app/entry/register.go
@@ -9,11 +9,12 @@
 	"ironhollow/pkg/table"
 )
 
-// nodePrefix is where nodes register in the table service, once per start.
+// nodePrefix is the key prefix of registrations in the table service. A node registers once per
+// start.
 const nodePrefix = "node/"
 
-// storedNode is a registration's JSON.
-type storedNode struct {
+// nodeRecord is the JSON value of a registration.
+type nodeRecord struct {
 	ID            string `json:"id"`
 	Incarnation   int64  `json:"incarnation"`
 	DataCenter    string `json:"data_center"`
@@ -22,16 +23,16 @@
 	CallerAddress string `json:"caller_address"`
 }
 
-func (s storedNode) domain() membership.Node {
+func (s nodeRecord) toNode() membership.Node {
 	return membership.Node{
 		ID: s.ID, Incarnation: s.Incarnation, Status: membership.Alive, DataCenter: s.DataCenter, Region: s.Region,
 		PeerAddress: s.PeerAddress, CallerAddress: s.CallerAddress,
 	}
 }
 
-// register writes this node's row, so that others that start find it.
+// register writes this node's registration, by which nodes that start later find it.
 func (a *App) register(ctx context.Context) error {
-	row := storedNode{
+	row := nodeRecord{
 		ID: a.self.ID, Incarnation: a.self.Incarnation, DataCenter: a.self.DataCenter, Region: a.self.Region,
 		PeerAddress: a.self.PeerAddress, CallerAddress: a.self.CallerAddress,
 	}
@@ -49,35 +50,35 @@
 	return nil
 }
 
-// listPage is how many registrations one read asks for.
-const listPage = 500
+// listPageSize is the maximum number of registrations in one read.
+const listPageSize = 500
 
-// registered lists the nodes that ever registered, living or not.
-func (a *App) registered(ctx context.Context) ([]membership.Node, error) {
+// registeredNodes returns all other nodes that ever registered, dead ones included.
+func (a *App) registeredNodes(ctx context.Context) ([]membership.Node, error) {
 	var nodes []membership.Node
 	after := ""
 	for {
-		rows, err := a.guard.List(ctx, nodePrefix, after, listPage)
+		rows, err := a.guard.List(ctx, nodePrefix, after, listPageSize)
 		if err != nil {
 			return nil, err
 		}
 		for _, row := range rows {
 			after = row.Key
-			var stored storedNode
+			var stored nodeRecord
 			if json.Unmarshal(row.Value, &stored) == nil && stored.ID != a.self.ID {
-				nodes = append(nodes, stored.domain())
+				nodes = append(nodes, stored.toNode())
 			}
 		}
-		if len(rows) < listPage {
+		if len(rows) < listPageSize {
 			return nodes, nil
 		}
 	}
 }
 
-// discover tells the mesh of registered nodes. They are taken to live until
+// publishRegisteredNodes publishes the registered nodes to the mesh. They count as alive until
 // their neighbours find that they do not answer.
-func (a *App) discover(ctx context.Context) error {
-	nodes, err := a.registered(ctx)
+func (a *App) publishRegisteredNodes(ctx context.Context) error {
+	nodes, err := a.registeredNodes(ctx)
 	if err != nil {
 		return err
 	}
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -17,7 +17,7 @@
 
 // Main runs the command line of ironhollow-entry and returns its exit code.
 func Main() int {
-	check := func(file string, data []byte) error {
+	validate := func(file string, data []byte) error {
 		s, err := ParseSettings(file, data)
 		if err != nil {
 			return err
@@ -25,7 +25,7 @@
 		_, err = newTLS(s)
 		return err
 	}
-	return process.Main("ironhollow-entry", schema.Entry, check, run)
+	return process.Main("ironhollow-entry", schema.Entry, validate, run)
 }
 
 func run(ctx context.Context, file string, data []byte) error {
@@ -39,39 +39,40 @@
 		return err
 	}
 	defer func() { _ = tracer.Shutdown(context.WithoutCancel(ctx)) }()
-	// The parts outlive the signal: a drain uses all of them.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	app, err := build(life, settings, NewIncarnation(), logger, process.NewRegistry(), tracer)
+	// The components outlive the signal, because a drain uses all of them.
+	lifetime, endLifetime := context.WithCancel(context.WithoutCancel(ctx))
+	defer endLifetime()
+	app, err := build(lifetime, settings, NewIncarnation(), logger, process.NewRegistry(), tracer)
 	if err != nil {
 		return err
 	}
-	return app.Serve(ctx, life)
+	return app.Serve(ctx, lifetime)
 }
 
-// Serve runs the entry until stop ends, then drains it. life ends all parts.
-func (a *App) Serve(stop, life context.Context) error {
-	faults := make(chan error, 3)
-	servers, err := a.listen(faults)
+// Serve runs the entry until stop is done or a drain is requested, then drains it. The
+// components run until lifetime is done.
+func (a *App) Serve(stop, lifetime context.Context) error {
+	serveErrors := make(chan error, 3)
+	servers, err := a.listen(serveErrors)
 	if err != nil {
 		return err
 	}
-	a.start(life)
-	a.log.Info().Str("caller_address", a.self.CallerAddress).Int64("incarnation", a.self.Incarnation).Msg("entry is up")
+	a.start(lifetime)
+	a.log.Info().Str("caller_address", a.self.CallerAddress).Int64("incarnation", a.self.Incarnation).Msg("entry started")
 	select {
-	case err := <-faults:
+	case err := <-serveErrors:
 		return err
 	case <-stop.Done():
-	case <-a.drainAsked:
+	case <-a.drainRequested:
 	}
-	a.drain(life, servers)
+	a.drain(lifetime, servers)
 	return nil
 }
 
-// listen opens the three ports.
-func (a *App) listen(faults chan<- error) ([]*http.Server, error) {
+// listen starts the servers of the caller, peer and admin ports, and returns them in that order.
+func (a *App) listen(serveErrors chan<- error) ([]*http.Server, error) {
 	var servers []*http.Server
-	open := func(key, address string, handler http.Handler, read time.Duration, config *tls.Config) error {
+	open := func(key, address string, handler http.Handler, readTimeout time.Duration, config *tls.Config) error {
 		listener, err := process.Listen(key, address)
 		if err != nil {
 			return err
@@ -79,9 +80,9 @@
 		if config != nil {
 			listener = tls.NewListener(listener, config)
 		}
-		server := process.NewServer(handler, read)
+		server := process.NewServer(handler, readTimeout)
 		servers = append(servers, server)
-		process.Serve(server, listener, faults)
+		process.Serve(server, listener, serveErrors)
 		return nil
 	}
 	if err := open("[node] caller-address", a.self.CallerAddress, a.api, a.settings.readTimeout, a.tls.ExternalServer()); err != nil {
@@ -90,7 +91,7 @@
 	if err := open("[node] peer-address", a.self.PeerAddress, a.peerMux(), 0, a.tls.PeerServer()); err != nil {
 		return nil, err
 	}
-	return servers, open("[node] admin-address", a.settings.adminAddress, a.admin(), a.settings.readTimeout, nil)
+	return servers, open("[node] admin-address", a.settings.adminAddress, a.adminMux(), a.settings.readTimeout, nil)
 }
 
 func (a *App) peerMux() http.Handler {
@@ -99,44 +100,45 @@
 	return mux
 }
 
-// start begins what an entry does beside serving.
+// start starts the background work.
 func (a *App) start(ctx context.Context) {
-	a.endpoints.OnLeaving(func(info endpoint.Info) { a.onLeave(ctx, info) })
-	a.runner.OnReport(a.takeReport)
-	a.api.Notices.OnLeave(a.spread)
+	a.endpoints.OnLeaving(func(info endpoint.Info) { a.onLeaving(ctx, info) })
+	a.runner.OnReport(a.applyReport)
+	a.api.Notices.OnLeave(a.publishEndpoint)
 	go a.peers.Run()
-	go a.watchConfig(ctx)
-	go a.begin(ctx)
-	go a.readReports(ctx)
-	go pause.Every(ctx, sharePeriod, a.share)
+	go a.applyConfigChanges(ctx)
+	go a.join(ctx)
+	go a.pollReports(ctx)
+	go pause.Every(ctx, shareUpdateInterval, a.updateShares)
 }
 
-// beginPeriod is how often a start that the store did not answer is repeated.
-const beginPeriod = 500 * time.Millisecond
+// joinRetryInterval is the wait before another attempt to join when the store did not answer.
+const joinRetryInterval = 500 * time.Millisecond
 
-// begin registers and finds the others; with the store down, it finds them by
-// the seeds, and takes the configuration from them.
-func (a *App) begin(ctx context.Context) {
+// join registers this node and publishes the registered nodes, then runs the periodic work that
+// needs the store. While the store is down, it connects to the seeds instead, which send the
+// configuration.
+func (a *App) join(ctx context.Context) {
 	for {
-		tryCtx, cancel := context.WithTimeout(ctx, storeTime)
+		tryCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 		err := a.register(tryCtx)
 		if err == nil {
-			err = a.discover(tryCtx)
+			err = a.publishRegisteredNodes(tryCtx)
 		}
 		cancel()
 		if err == nil {
 			break
 		}
 		a.dialSeeds(ctx)
-		if !pause.For(ctx, beginPeriod) {
+		if !pause.For(ctx, joinRetryInterval) {
 			return
 		}
 	}
-	a.followConfig(ctx)
-	a.recoverOwn(ctx)
-	go pause.Every(ctx, recoverPeriod, a.recoverJobs)
-	go pause.Every(ctx, sweepPeriod, a.sweep)
-	pause.Every(ctx, configPeriod, a.followConfig)
+	a.syncConfig(ctx)
+	a.recoverOwnJobs(ctx)
+	go pause.Every(ctx, recoverInterval, a.recoverJobs)
+	go pause.Every(ctx, sweepInterval, a.sweep)
+	pause.Every(ctx, configSyncInterval, a.syncConfig)
 }
 
 func (a *App) dialSeeds(ctx context.Context) {
@@ -150,9 +152,9 @@
 	}
 }
 
-// recoverOwn takes up jobs of earlier starts of this node.
-func (a *App) recoverOwn(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+// recoverOwnJobs takes over the jobs of earlier incarnations of this node.
+func (a *App) recoverOwnJobs(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	owners, err := a.jobs.Owners(ctx, a.self.ID)
 	if err != nil {
@@ -163,35 +165,36 @@
 			continue
 		}
 		if taken, _, err := a.worker.Recover(ctx, owner, job.Part{Of: 1}); err == nil && taken > 0 {
-			a.log.Info().Str("owner", owner).Int("jobs", taken).Msg("jobs of an earlier start taken up")
+			a.log.Info().Str("owner", owner).Int("jobs", taken).Msg("jobs of an earlier incarnation taken over")
 		}
 	}
 }
 
-// startDrain asks for a planned stop; it may be called more than once.
-func (a *App) startDrain() {
-	a.drainOnce.Do(func() { close(a.drainAsked) })
+// requestDrain requests a drain. It may be called more than once.
+func (a *App) requestDrain() {
+	a.drainOnce.Do(func() { close(a.drainRequested) })
 }
 
-// idlePeriod is how often a drain looks whether requests are left.
-const idlePeriod = 20 * time.Millisecond
+// drainPollInterval is the interval at which a drain checks for requests in flight.
+const drainPollInterval = 20 * time.Millisecond
 
-// drain is the planned stop: leave the advertised entries, serve on until the
-// answers that callers keep have expired and no request or job is left.
+// drain stops the entry as planned. The entry is no longer advertised, and serves until the lists
+// of entries that callers cache have expired and no request or job is left, or until the drain
+// times out.
 func (a *App) drain(ctx context.Context, servers []*http.Server) {
 	a.log.Info().Msg("draining")
 	a.peers.Send(a.mesh.Leave())
-	ctx, cancel := context.WithTimeout(ctx, a.settings.drainMost)
+	ctx, cancel := context.WithTimeout(ctx, a.settings.drainTimeout)
 	defer cancel()
 	notice := max(a.settings.drainNotice, a.config.Current().Policy().EntriesKept())
 	pause.For(ctx, notice)
 	a.worker.Drain(ctx)
-	// Connections kept by callers are closed as they fall idle; a request that
-	// comes in on one meanwhile is served.
+	// The callers' keep-alive connections are closed when they become idle. A request that
+	// arrives on one before that is served.
 	for _, server := range servers[:1] {
 		server.SetKeepAlivesEnabled(false)
 	}
-	for pause.For(ctx, idlePeriod) {
+	for pause.For(ctx, drainPollInterval) {
 		if a.api.InFlight() == 0 {
 			break
 		}
