--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -1,7 +1,6 @@
-// Package control is the control process: it holds shards of the control work
-// by lease (placing models, watching for reclaims and hosts), relays news to
-// the entries, and serves operators. One runs on every host and none is set
-// aside.
+// Package control is the control process. It holds leases on shards of the control tasks (placing
+// models, polling reclaim notices and host lists), publishes updates to the entries, and serves
+// operators. One runs on every host; no host is reserved for it.
 package control
 
 import (
@@ -29,65 +28,66 @@
 	"ironhollow/pkg/table"
 )
 
-// App is a control process with all its parts.
+// App is a control process with all its components.
 type App struct {
-	settings  Settings
-	log       *log.Logger
-	registry  *prometheus.Registry
-	tracer    *trace.TracerProvider
-	guard     *table.Guard
-	writer    *table.Writer
-	config    *config.Holder
-	store     *config.Store
-	nodes     *membership.Table
-	endpoints *endpoint.Directory
-	mesh      *peer.Mesh
-	peers     *peer.Server
-	leases    *lease.Manager
-	engines   engine.API
-	cloud     cloud.API
-	hosts     hostlist.Source
-	operators *operatorapi.API
-	counters  *Counters
-	tls       process.TLS
+	settings    Settings
+	log         *log.Logger
+	registry    *prometheus.Registry
+	tracer      *trace.TracerProvider
+	guard       *table.Guard
+	writer      *table.Writer
+	config      *config.Holder
+	store       *config.Store
+	nodes       *membership.Table
+	endpoints   *endpoint.Directory
+	mesh        *peer.Mesh
+	peers       *peer.Server
+	leases      *lease.Manager
+	engineAPI   engine.API
+	cloud    cloud.API
+	hostList    hostlist.Source
+	operatorAPI *operatorapi.API
+	counters    *Counters
+	tls         process.TLS
 
 	mu sync.Mutex
-	// noticed is the sequence of the last notice seen.
-	noticed int64
-	// ordered are endpoints that were told to load something else.
-	ordered map[string]bool
-	// planned is what the last plan was made from.
-	planned     planInput
-	reportRound int
-	hadGrant    map[lease.Shard]int64
+	// lastNotice is the sequence number of the last reclaim notice read.
+	lastNotice int64
+	// pendingOrders contains the endpoints that this process has to order, or has ordered, to load
+	// another model and that have not been seen to do so.
+	pendingOrders map[string]bool
+	// lastPlanInput is the input of the last placement plan.
+	lastPlanInput  planInput
+	pollRound      int
+	recordedEpochs map[lease.Shard]int64
 }
 
-// planInput is what a placement plan is made from.
+// planInput identifies the input of a placement plan.
 type planInput struct {
 	revision   int64
 	generation uint64
-	grants     int64
+	grantsHash int64
 }
 
-// Incarnation identifies this start of the process.
+// Incarnation identifies one start of the process.
 type Incarnation int64
 
-// Figures of the process's clients.
+// Parameters of the HTTP clients.
 const (
-	connsPerHost = 8
-	engineTime   = 3 * time.Second
+	connsPerHost  = 8
+	engineTimeout = 3 * time.Second
 )
 
 func newHTTPClient() *http.Client { return httpx.NewClient(connsPerHost) }
 
 func newGuard(s Settings, client *http.Client) *table.Guard { return process.NewGuard(s.table, client) }
 
-// newWriter names the process in tokens and leases.
+// newWriter returns the writer, with the name by which tokens and leases identify this process.
 func newWriter(guard *table.Guard, s Settings, incarnation Incarnation) *table.Writer {
 	return table.NewWriter(guard, "control-"+membership.OwnerOf(s.id, int64(incarnation)))
 }
 
-func newLeases(writer *table.Writer, s Settings) *lease.Manager {
+func newLeaseManager(writer *table.Writer, s Settings) *lease.Manager {
 	return lease.New(writer, writer.Incarnation(), s.leaseTiming, boottime.Now)
 }
 
@@ -96,23 +96,25 @@
 	return peer.NewFollower(self, nodes, endpoints, holder)
 }
 
-func newTLS(s Settings) (process.TLS, error) { return process.LoadTLS(s.peerFiles, s.operatorFile) }
+func newTLS(s Settings) (process.TLS, error) {
+	return process.LoadTLS(s.peerTLSFiles, s.operatorTLSFiles)
+}
 
 func newPeers(ctx context.Context, mesh *peer.Mesh, t process.TLS, counters *peer.Counters) *peer.Server {
 	return peer.NewServer(ctx, mesh, peer.RoleControl, t.PeerClient(), counters)
 }
 
-func newEngines(client *http.Client) engine.API { return engine.New(client, engineTime) }
+func newEngineAPI(client *http.Client) engine.API { return engine.New(client, engineTimeout) }
 
-func newCloud(s Settings, client *http.Client) cloud.API {
-	return cloud.New(s.cloudAddress, s.platformTime, client)
+func newCloudAPI(s Settings, client *http.Client) cloud.API {
+	return cloud.New(s.cloudAddress, s.platformTimeout, client)
 }
 
-func newHosts(s Settings, client *http.Client) hostlist.Source {
-	return hostlist.New(s.hostListAddress, s.platformTime, client)
+func newHostListSource(s Settings, client *http.Client) hostlist.Source {
+	return hostlist.New(s.hostListAddress, s.platformTimeout, client)
 }
 
-func newOperators(s Settings, store *config.Store, holder *config.Holder) *operatorapi.API {
+func newOperatorAPI(s Settings, store *config.Store, holder *config.Holder) *operatorapi.API {
 	return operatorapi.New(store, holder, s.operatorKeys)
 }
 
@@ -121,13 +123,13 @@
 func newApp(
 	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.Guard,
 	writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table, endpoints *endpoint.Directory,
-	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engines engine.API, cloudAPI cloud.API, hosts hostlist.Source,
-	operators *operatorapi.API, counters *Counters, t process.TLS,
+	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engineAPI engine.API, cloudAPI cloud.API, hostList hostlist.Source,
+	operatorAPI *operatorapi.API, counters *Counters, t process.TLS,
 ) *App {
 	return &App{
 		settings: settings, log: logger, registry: registry, tracer: tracer, guard: guard, writer: writer, config: holder,
-		store: store, nodes: nodes, endpoints: endpoints, mesh: mesh, peers: peers, leases: leases, engines: engines,
-		cloud: cloudAPI, hosts: hosts, operators: operators, counters: counters, tls: t,
-		ordered: map[string]bool{}, hadGrant: map[lease.Shard]int64{},
+		store: store, nodes: nodes, endpoints: endpoints, mesh: mesh, peers: peers, leases: leases, engineAPI: engineAPI,
+		cloud: cloudAPI, hostList: hostList, operatorAPI: operatorAPI, counters: counters, tls: t,
+		pendingOrders: map[string]bool{}, recordedEpochs: map[lease.Shard]int64{},
 	}
 }
--- a/pkg/app/control/counters.go
+++ b/pkg/app/control/counters.go
@@ -6,7 +6,7 @@
 	"ironhollow/pkg/metrics"
 )
 
-// Counters count what a control process does.
+// Counters are the metrics of a control process.
 type Counters struct {
 	Orders       prometheus.Counter
 	OrdersStale  prometheus.Counter
@@ -15,7 +15,7 @@
 	Grants       prometheus.Counter
 }
 
-// NewCounters registers the counters.
+// NewCounters returns registered counters.
 func NewCounters(registry prometheus.Registerer) *Counters {
 	group := metrics.New(registry, "control")
 	return &Counters{
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -18,7 +18,7 @@
 
 // Main runs the command line of ironhollow-control and returns its exit code.
 func Main() int {
-	check := func(file string, data []byte) error {
+	validate := func(file string, data []byte) error {
 		s, err := ParseSettings(file, data)
 		if err != nil {
 			return err
@@ -26,7 +26,7 @@
 		_, err = newTLS(s)
 		return err
 	}
-	return process.Main("ironhollow-control", schema.Control, check, run)
+	return process.Main("ironhollow-control", schema.Control, validate, run)
 }
 
 func run(ctx context.Context, file string, data []byte) error {
@@ -40,64 +40,64 @@
 		return err
 	}
 	defer func() { _ = tracer.Shutdown(context.WithoutCancel(ctx)) }()
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
-	app, err := build(life, settings, Incarnation(time.Now().UnixMilli()), logger, process.NewRegistry(), tracer)
+	lifetime, endLifetime := context.WithCancel(context.WithoutCancel(ctx))
+	defer endLifetime()
+	app, err := build(lifetime, settings, Incarnation(time.Now().UnixMilli()), logger, process.NewRegistry(), tracer)
 	if err != nil {
 		return err
 	}
-	return app.Serve(ctx, life)
+	return app.Serve(ctx, lifetime)
 }
 
-// releaseTime bounds how long a stop waits for its leases to be given back.
-const releaseTime = 3 * time.Second
+// releaseTimeout bounds the release of the leases when the process stops.
+const releaseTimeout = 3 * time.Second
 
-// Serve runs the process until stop ends; then it gives back its leases, so
-// that others take the shards without waiting for them to lapse.
-func (a *App) Serve(stop, life context.Context) error {
-	faults := make(chan error, 2)
-	if err := a.listen(faults); err != nil {
+// Serve runs the process until stop is done. It then releases its leases, so that other processes
+// acquire the shards without waiting for the leases to expire.
+func (a *App) Serve(stop, lifetime context.Context) error {
+	serveErrors := make(chan error, 2)
+	if err := a.listen(serveErrors); err != nil {
 		return err
 	}
-	life, end := context.WithCancel(life)
-	defer end()
-	a.start(life)
-	a.log.Info().Str("operator_address", a.settings.operatorAddress).Msg("control is up")
+	lifetime, endLifetime := context.WithCancel(lifetime)
+	defer endLifetime()
+	a.start(lifetime)
+	a.log.Info().Str("operator_address", a.settings.operatorAddress).Msg("control started")
 	select {
-	case err := <-faults:
+	case err := <-serveErrors:
 		return err
 	case <-stop.Done():
 	}
-	end()
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(life), releaseTime)
+	endLifetime()
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(lifetime), releaseTimeout)
 	defer cancel()
 	a.leases.Release(ctx)
-	a.log.Info().Msg("control has stopped")
+	a.log.Info().Msg("control stopped")
 	return nil
 }
 
-func (a *App) listen(faults chan<- error) error {
-	operators, err := process.Listen("[node] operator-address", a.settings.operatorAddress)
+func (a *App) listen(serveErrors chan<- error) error {
+	operatorListener, err := process.Listen("[node] operator-address", a.settings.operatorAddress)
 	if err != nil {
 		return err
 	}
 	if config := a.tls.ExternalServer(); config != nil {
-		operators = tls.NewListener(operators, config)
+		operatorListener = tls.NewListener(operatorListener, config)
 	}
-	admin, err := process.Listen("[node] admin-address", a.settings.adminAddress)
+	adminListener, err := process.Listen("[node] admin-address", a.settings.adminAddress)
 	if err != nil {
 		return err
 	}
-	const readTime = 30 * time.Second
-	process.Serve(process.NewServer(a.operatorMux(), readTime), operators, faults)
-	process.Serve(process.NewServer(process.AdminMux(a.registry, a.ready), readTime), admin, faults)
+	const readTimeout = 30 * time.Second
+	process.Serve(process.NewServer(a.operatorMux(), readTimeout), operatorListener, serveErrors)
+	process.Serve(process.NewServer(process.AdminMux(a.registry, a.ready), readTimeout), adminListener, serveErrors)
 	return nil
 }
 
 func (a *App) operatorMux() http.Handler {
 	mux := http.NewServeMux()
-	a.operators.Register(mux)
-	mux.Handle("GET /v1/status", a.operators.Guarded(a.serveStatus))
+	a.operatorAPI.Register(mux)
+	mux.Handle("GET /v1/status", a.operatorAPI.Guarded(a.serveStatus))
 	return mux
 }
 
@@ -110,65 +110,68 @@
 	return nil
 }
 
-// Periods of what a control process does.
+// Intervals of the work of a control process.
 const (
-	attachPeriod = 500 * time.Millisecond
-	// configPeriod is how often the store's revision is looked at by one
-	// control process; news reaches the rest over the mesh.
-	configPeriod = 2 * time.Second
+	attachRetryInterval = 500 * time.Millisecond
+	// configPollInterval is the interval at which one control process checks the store for a new
+	// revision. The other processes receive it over the mesh.
+	configPollInterval = 2 * time.Second
 )
 
 func (a *App) start(ctx context.Context) {
-	watch := a.settings.watchPeriod
-	a.operators.OnApplied(func(ctx context.Context) { a.followConfig(ctx) })
+	watchInterval := a.settings.watchInterval
+	a.operatorAPI.OnApplied(func(ctx context.Context) { a.syncConfig(ctx) })
 	go a.peers.Run()
 	go a.attach(ctx)
-	go pause.Every(ctx, a.settings.leaseTiming.RenewInterval, a.stepLeases)
-	go pause.Every(ctx, configPeriod, a.relayConfig)
-	go pause.Every(ctx, watch, a.readNotices)
-	go pause.Every(ctx, a.settings.hostListPeriod, a.readHosts)
-	go pause.Every(ctx, a.settings.reportPeriod/hurry, a.readReports)
-	go pause.Every(ctx, 2*watch, a.place)
+	go pause.Every(ctx, a.settings.leaseTiming.RenewInterval, a.updateLeases)
+	go pause.Every(ctx, configPollInterval, a.pollConfig)
+	go pause.Every(ctx, watchInterval, a.pollNotices)
+	go pause.Every(ctx, a.settings.hostListInterval, a.pollHostLists)
+	go pause.Every(ctx, a.settings.reportInterval/pendingPollFactor, a.pollReports)
+	go pause.Every(ctx, 2*watchInterval, a.placeModels)
 }
 
-// Attachment to an entry.
+// Parameters of the link to an entry.
 const (
-	// homeTries is how often the entry on this host is tried before another.
-	homeTries = 10
-	// awayTime is how long a link to another one is kept before the entry on
-	// this host is tried again.
-	awayTime = 20 * time.Second
+	// localEntryAttempts is the number of attempts to connect to the entry on this host before
+	// another one is tried.
+	localEntryAttempts = 10
+	// remoteEntryDuration is how long a link to another entry is kept before the entry on this
+	// host is tried again.
+	remoteEntryDuration = 20 * time.Second
 )
 
-// attach keeps a link to an entry: the one on this host if it answers.
+// attach keeps a link to an entry: to the one on this host if it answers, otherwise to one of the
+// others in turn.
 func (a *App) attach(ctx context.Context) {
-	home, others := a.settings.entries[0], a.settings.entries[1:]
+	localEntry, remoteEntries := a.settings.entryAddresses[0], a.settings.entryAddresses[1:]
 	for round := 0; ctx.Err() == nil; round++ {
-		for try := 0; try < homeTries && !a.peers.DialAddress(ctx, home); try++ {
-			pause.For(ctx, attachPeriod)
+		for attempt := 0; attempt < localEntryAttempts && !a.peers.DialAddress(ctx, localEntry); attempt++ {
+			pause.For(ctx, attachRetryInterval)
 		}
-		if len(others) > 0 {
-			away, cancel := context.WithTimeout(ctx, awayTime)
-			a.peers.DialAddress(away, others[round%len(others)])
+		if len(remoteEntries) > 0 {
+			linkCtx, cancel := context.WithTimeout(ctx, remoteEntryDuration)
+			a.peers.DialAddress(linkCtx, remoteEntries[round%len(remoteEntries)])
 			cancel()
 		}
-		pause.For(ctx, attachPeriod)
+		pause.For(ctx, attachRetryInterval)
 	}
 }
 
-// workConfig is the piece of work of looking for new revisions.
-const workConfig = "config"
+// taskConfig is the task of checking the store for new revisions.
+const taskConfig = "config"
 
-// relayConfig looks for a new revision if that is this process's work.
-func (a *App) relayConfig(ctx context.Context) {
-	if _, ok := a.holds(workConfig); ok || a.config.Current().Revision() == 0 {
-		a.followConfig(ctx)
+// pollConfig checks for a new revision if this process holds that task or has no configuration
+// yet.
+func (a *App) pollConfig(ctx context.Context) {
+	if _, ok := a.grantFor(taskConfig); ok || a.config.Current().Revision() == 0 {
+		a.syncConfig(ctx)
 	}
 }
 
-// followConfig brings the configuration up to the store's and tells the others.
-func (a *App) followConfig(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// syncConfig applies the store's newer revisions and publishes them to the mesh.
+func (a *App) syncConfig(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	before := a.config.Current().Revision()
 	head, err := a.store.Head(ctx)
@@ -176,12 +179,12 @@
 		return
 	}
 	if before == 0 {
-		fresh := config.New()
-		if a.store.Load(ctx, fresh) == nil {
-			a.tell(peer.News{Changes: fresh.After(0)})
+		loaded := config.New()
+		if a.store.Load(ctx, loaded) == nil {
+			a.publish(peer.News{Changes: loaded.After(0)})
 		}
 	} else if changes, err := a.store.Changes(ctx, before); err == nil {
-		a.tell(peer.News{Changes: changes})
+		a.publish(peer.News{Changes: changes})
 	}
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
--- a/pkg/app/control/shards.go
+++ b/pkg/app/control/shards.go
@@ -12,46 +12,46 @@
 	"ironhollow/pkg/membership"
 )
 
-// ShardOf returns the shard that a piece of control work belongs to.
-func ShardOf(work string, shards int) lease.Shard {
-	return lease.Shard(xxhash.Sum64String(work) % uint64(shards))
+// ShardOf returns the shard that a control task belongs to.
+func ShardOf(task string, shardCount int) lease.Shard {
+	return lease.Shard(xxhash.Sum64String(task) % uint64(shardCount))
 }
 
-// The pieces of work beside those of single endpoints.
+// Control tasks besides those of single endpoints, whose task is named by the endpoint's id.
 const (
-	workNotices  = "notices"
-	workHostList = "hosts/"
+	taskNotices        = "notices"
+	taskHostListPrefix = "hosts/"
 )
 
-// stepLeases renews and takes leases. The first two nodes by rendezvous share
-// a shard: one wants it, the next stands by.
-func (a *App) stepLeases(ctx context.Context) {
+// updateLeases renews, acquires and releases leases. By rendezvous hashing, the first node of a
+// shard acquires its lease and the second is on standby.
+func (a *App) updateLeases(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.leaseTiming.RenewInterval)
 	defer cancel()
-	a.leases.Step(ctx, a.wishes())
-	a.noteGrants()
+	a.leases.Step(ctx, a.shardIntents())
+	a.recordGrants()
 }
 
-func (a *App) wishes() map[lease.Shard]lease.Intent {
-	controls := a.controls()
-	wishes := map[lease.Shard]lease.Intent{}
-	for s := range a.settings.shards {
+func (a *App) shardIntents() map[lease.Shard]lease.Intent {
+	nodes := a.controlNodes()
+	intents := map[lease.Shard]lease.Intent{}
+	for s := range a.settings.shardCount {
 		shard := lease.Shard(s)
-		wish := wishOf(membership.RankOf(shardKey(shard), a.settings.id, controls))
-		held := a.leases.HeldFor(shard)
-		if wish == lease.Standby && held > 0 {
-			wish = a.keepOrHandOver(held)
+		intent := intentForRank(membership.RankOf(shardKey(shard), a.settings.id, nodes))
+		heldFor := a.leases.HeldFor(shard)
+		if intent == lease.Standby && heldFor > 0 {
+			intent = a.keepOrRelease(heldFor)
 		}
-		if wish != lease.Release || held > 0 {
-			wishes[shard] = wish
+		if intent != lease.Release || heldFor > 0 {
+			intents[shard] = intent
 		}
 	}
-	return wishes
+	return intents
 }
 
 func shardKey(s lease.Shard) string { return fmt.Sprintf("shard/%d", s) }
 
-func wishOf(rank int) lease.Intent {
+func intentForRank(rank int) lease.Intent {
 	switch rank {
 	case 0:
 		return lease.Acquire
@@ -61,24 +61,24 @@
 	return lease.Release
 }
 
-// keepOrHandOver keeps a shard that was taken over from a node that died until
-// its death is known everywhere: the first node by rank must be a living one
-// when the shard is handed on.
-func (a *App) keepOrHandOver(held time.Duration) lease.Intent {
-	if held < 2*a.settings.leaseTiming.Duration {
+// keepOrRelease returns the intent for a shard that was acquired on standby from a node that
+// died. The shard is kept for two lease durations, until all nodes know that the node is dead:
+// when it is released, the first node by rank must be alive.
+func (a *App) keepOrRelease(heldFor time.Duration) lease.Intent {
+	if heldFor < 2*a.settings.leaseTiming.Duration {
 		return lease.Acquire
 	}
 	return lease.Release
 }
 
-// controls returns the nodes that have a control process, this one included:
-// it knows of itself without being told.
-func (a *App) controls() []membership.Node {
+// controlNodes returns the nodes that have a control process. This node is always included, also
+// if the membership table does not contain it yet.
+func (a *App) controlNodes() []membership.Node {
 	var list []membership.Node
-	own := false
+	includesSelf := false
 	for _, n := range a.nodes.Nodes() {
 		if n.ID == a.settings.id {
-			own = true
+			includesSelf = true
 			list = append(list, n)
 			continue
 		}
@@ -86,48 +86,49 @@
 			list = append(list, n)
 		}
 	}
-	if !own {
+	if !includesSelf {
 		list = append(list, membership.Node{ID: a.settings.id})
 	}
 	return list
 }
 
-// noteGrants logs and counts shards that are newly held.
-func (a *App) noteGrants() {
+// recordGrants logs and counts new grants, and logs shards that are no longer held.
+func (a *App) recordGrants() {
 	grants := a.leases.Grants()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	now := map[lease.Shard]int64{}
+	epochs := map[lease.Shard]int64{}
 	for _, g := range grants {
-		now[g.Shard] = g.Epoch
-		if a.hadGrant[g.Shard] != g.Epoch {
+		epochs[g.Shard] = g.Epoch
+		if a.recordedEpochs[g.Shard] != g.Epoch {
 			a.counters.Grants.Inc()
-			a.log.Info().Int("shard", int(g.Shard)).Int64("epoch", g.Epoch).Msg("shard taken")
+			a.log.Info().Int("shard", int(g.Shard)).Int64("epoch", g.Epoch).Msg("shard acquired")
 		}
 	}
-	for shard := range a.hadGrant {
-		if _, still := now[shard]; !still {
-			a.log.Info().Int("shard", int(shard)).Msg("shard given up")
+	for shard := range a.recordedEpochs {
+		if _, still := epochs[shard]; !still {
+			a.log.Info().Int("shard", int(shard)).Msg("shard no longer held")
 		}
 	}
-	a.hadGrant = now
+	a.recordedEpochs = epochs
 }
 
-// holds reports whether a piece of work is this process's at the moment.
-func (a *App) holds(work string) (lease.Grant, bool) {
-	return a.leases.Held(ShardOf(work, a.settings.shards))
+// grantFor returns the grant of a task's shard. The result is false if this process does not hold
+// the shard.
+func (a *App) grantFor(task string) (lease.Grant, bool) {
+	return a.leases.Held(ShardOf(task, a.settings.shardCount))
 }
 
-// ownEndpoints returns the live endpoints whose shards are held.
-func (a *App) ownEndpoints() []endpoint.Info {
-	var own []endpoint.Info
+// heldEndpoints returns the endpoints that accept work and whose shards this process holds.
+func (a *App) heldEndpoints() []endpoint.Info {
+	var held []endpoint.Info
 	for _, info := range a.endpoints.View().Infos() {
 		if !info.AcceptsWork() {
 			continue
 		}
-		if _, ok := a.holds(info.ID); ok {
-			own = append(own, info)
+		if _, ok := a.grantFor(info.ID); ok {
+			held = append(held, info)
 		}
 	}
-	return own
+	return held
 }
--- a/pkg/app/control/wire.go
+++ b/pkg/app/control/wire.go
@@ -18,7 +18,7 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	wire.Build(
-		newHTTPClient, newGuard, newWriter, newLeases, newMesh, newTLS, newPeers, newEngines, newCloud, newHosts, newOperators,
+		newHTTPClient, newGuard, newWriter, newLeaseManager, newMesh, newTLS, newPeers, newEngineAPI, newCloudAPI, newHostListSource, newOperatorAPI,
 		newRegisterer, newApp, NewCounters,
 		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, peer.NewCounters,
 	)
