--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -104,7 +104,7 @@
 		switch answer.Outcome {
 		case peer.AcceptDone:
 			g.count(func(c *Counts) { c.Sent++ })
-			return table.Done{Version: answer.Version}
+			return table.Committed{Version: answer.Version}
 		case peer.AcceptConflict:
 			return g.settle(ctx, rows)
 		}
@@ -128,7 +128,7 @@
 	}
 	for _, row := range refused.Conflicts {
 		if row.Key == rows[0].Key && bytes.Equal(row.Value, rows[0].Value) {
-			return table.Done{Version: row.Version}
+			return table.Committed{Version: row.Version}
 		}
 	}
 	return outcome
@@ -197,7 +197,7 @@
 	g.count(func(c *Counts) { c.Served++ })
 	answer := peer.Accepted{Request: m.Request, Outcome: peer.AcceptUnknown}
 	switch outcome := g.local.Commit(ctx, rows).(type) {
-	case table.Done:
+	case table.Committed:
 		answer.Outcome, answer.Version = peer.AcceptDone, outcome.Version
 	case table.Refused:
 		answer.Outcome = peer.AcceptRefused
--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -94,8 +94,8 @@
 						} else {
 							outcome = s.batchers[id].Commit(context.Background(), rows(id, fmt.Sprintf("%s-%d", id, n)))
 						}
-						if _, ok := outcome.(table.Done); !ok {
-							t.Errorf("got %#v, want Done", outcome)
+						if _, ok := outcome.(table.Committed); !ok {
+							t.Errorf("got %#v, want Committed", outcome)
 						}
 						mu.Lock()
 						total += time.Since(begun)
@@ -161,10 +161,10 @@
 						done := 0
 						for id, kind := range told {
 							owns := ok && string(row.Value) == id+"k"
-							if kind == "table.Done" {
+							if kind == "table.Committed" {
 								done++
 								if !owns {
-									t.Errorf("%s was told Done, but the row is %q", id, row.Value)
+									t.Errorf("%s was told Committed, but the row is %q", id, row.Value)
 								}
 							}
 							if kind == "table.Refused" && owns {
@@ -172,7 +172,7 @@
 							}
 						}
 						if done > 1 {
-							t.Errorf("told Done: got %d entries, want 1 at most", done)
+							t.Errorf("told Committed: got %d entries, want 1 at most", done)
 						}
 					})
 				})
--- a/pkg/app/cli/cli_test.go
+++ b/pkg/app/cli/cli_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	rows := tables.New()
 	mux := http.NewServeMux()
-	operatorapi.New(config.NewStore(table.NewWriter(rows, "c")), config.New(), keys).Register(mux)
+	operatorapi.New(config.NewStore(table.NewWriter(rows, "c")), config.NewHolder(), keys).Register(mux)
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return control{rows, server.Listener.Addr().String()}
--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -35,7 +35,7 @@
 	log       *log.Logger
 	registry  *prometheus.Registry
 	tracer    *trace.TracerProvider
-	guard     *table.Guard
+	guard     *table.GuardedStore
 	writer    *table.Writer
 	config    *config.Holder
 	store     *config.Store
@@ -80,10 +80,12 @@
 
 func newHTTPClient() *http.Client { return httpx.NewClient(connsPerHost) }
 
-func newGuard(s Settings, client *http.Client) *table.Guard { return process.NewGuard(s.table, client) }
+func newGuard(s Settings, client *http.Client) *table.GuardedStore {
+	return process.NewGuard(s.table, client)
+}
 
 // newWriter names the process in tokens and leases.
-func newWriter(guard *table.Guard, s Settings, incarnation Incarnation) *table.Writer {
+func newWriter(guard *table.GuardedStore, s Settings, incarnation Incarnation) *table.Writer {
 	return table.NewWriter(guard, "control-"+membership.OwnerOf(s.id, int64(incarnation)))
 }
 
@@ -119,7 +121,7 @@
 func newRegisterer(registry *prometheus.Registry) prometheus.Registerer { return registry }
 
 func newApp(
-	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.Guard,
+	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.GuardedStore,
 	writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table, endpoints *endpoint.Directory,
 	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engines engine.API, cloudAPI cloud.API, hosts hostlist.Source,
 	operators *operatorapi.API, counters *Counters, t process.TLS,
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -176,9 +176,9 @@
 		return
 	}
 	if before == 0 {
-		fresh := config.New()
+		fresh := config.NewHolder()
 		if a.store.Load(ctx, fresh) == nil {
-			a.tell(peer.News{Changes: fresh.After(0)})
+			a.tell(peer.News{Changes: fresh.ChangesAfter(0)})
 		}
 	} else if changes, err := a.store.Changes(ctx, before); err == nil {
 		a.tell(peer.News{Changes: changes})
@@ -188,7 +188,7 @@
 
 func (a *App) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	status := operatorwire.ControlStatus{
-		Node: a.settings.id, Revision: a.config.Current().Revision(), StoreDown: a.guard.Open(),
+		Node: a.settings.id, Revision: a.config.Current().Revision(), StoreDown: a.guard.CircuitOpen(),
 		Nodes: operatorwire.FromNodes(a.nodes.Nodes()), Endpoints: operatorwire.FromEndpoints(a.endpoints.View().Infos()),
 	}
 	for _, g := range a.leases.Grants() {
--- a/pkg/app/control/wire.go
+++ b/pkg/app/control/wire.go
@@ -20,7 +20,7 @@
 	wire.Build(
 		newHTTPClient, newGuard, newWriter, newLeases, newMesh, newTLS, newPeers, newEngines, newCloud, newHosts, newOperators,
 		newRegisterer, newApp, NewCounters,
-		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, peer.NewCounters,
+		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, peer.NewCounters,
 	)
 	return nil, nil
 }
--- a/pkg/app/control/wire_gen.go
+++ b/pkg/app/control/wire_gen.go
@@ -21,9 +21,9 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	client := newHTTPClient()
-	guard := newGuard(settings, client)
-	writer := newWriter(guard, settings, incarnation)
-	holder := config.New()
+	guardedStore := newGuard(settings, client)
+	writer := newWriter(guardedStore, settings, incarnation)
+	holder := config.NewHolder()
 	store := config.NewStore(writer)
 	table := membership.NewTable()
 	directory := endpoint.NewDirectory()
@@ -41,6 +41,6 @@
 	source := newHosts(settings, client)
 	operatorapiAPI := newOperators(settings, store, holder)
 	controlCounters := NewCounters(registerer)
-	app := newApp(settings, logger, registry, tracer, guard, writer, holder, store, table, directory, mesh, server, manager, api, cloudAPI, source, operatorapiAPI, controlCounters, tls)
+	app := newApp(settings, logger, registry, tracer, guardedStore, writer, holder, store, table, directory, mesh, server, manager, api, cloudAPI, source, operatorapiAPI, controlCounters, tls)
 	return app, nil
 }
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -45,7 +45,7 @@
 	log       *log.Logger
 	registry  *prometheus.Registry
 	tracer    *sdktrace.TracerProvider
-	guard     *table.Guard
+	guard     *table.GuardedStore
 	writer    *table.Writer
 	config    *config.Holder
 	store     *config.Store
@@ -99,9 +99,11 @@
 	return self
 }
 
-func newGuard(s Settings, client *http.Client) *table.Guard { return process.NewGuard(s.table, client) }
+func newGuard(s Settings, client *http.Client) *table.GuardedStore {
+	return process.NewGuard(s.table, client)
+}
 
-func newWriter(guard *table.Guard, self membership.Node) *table.Writer {
+func newWriter(guard *table.GuardedStore, self membership.Node) *table.Writer {
 	return table.NewWriter(guard, self.Owner())
 }
 
@@ -146,7 +148,7 @@
 }
 
 // newAccepts gathers the data centre's accepted jobs over the peers' links.
-func newAccepts(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.Guard, peers *peer.Server) *accept.Gatherer {
+func newAccepts(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.GuardedStore, peers *peer.Server) *accept.Gatherer {
 	gatherer := accept.New(self, nodes, batcher, guard, peers)
 	peers.SetHandler(gatherer.Handle)
 	return gatherer
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -48,7 +48,7 @@
 		if a.store.Load(ctx, a.config) != nil {
 			return
 		}
-		a.peers.Send(a.mesh.Tell(peer.News{Changes: a.config.After(0)}, now()))
+		a.peers.Send(a.mesh.Tell(peer.News{Changes: a.config.ChangesAfter(0)}, now()))
 	} else {
 		changes, err := a.store.Changes(ctx, before)
 		if err != nil {
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -42,7 +42,7 @@
 
 func newApp(
 	settings Settings, self membership.Node, logger *log.Logger, registry *prometheus.Registry, tracer *sdktrace.TracerProvider,
-	guard *table.Guard, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
+	guard *table.GuardedStore, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
 	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engines engine.API,
 	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
 	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
--- a/pkg/app/entry/wire.go
+++ b/pkg/app/entry/wire.go
@@ -31,7 +31,7 @@
 		newHTTPClient, newSelf, newGuard, newWriter, newObjects, newRouter, newEngines, newPlain, newBudget, newBatcher,
 		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAccepts, newTracer,
 		wire.Bind(new(job.Committer), new(*accept.Gatherer)),
-		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
+		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
 		limit.NewRateLimiter, limit.NewConcurrencyLimiters, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
 		peer.NewMesh, peer.NewCounters, callerapi.NewCounters, quarantine.NewWatch, notice.New,
 	)
--- a/pkg/app/entry/wire_gen.go
+++ b/pkg/app/entry/wire_gen.go
@@ -31,9 +31,9 @@
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	node := newSelf(settings, incarnation)
 	client := newHTTPClient()
-	guard := newGuard(settings, client)
-	writer := newWriter(guard, node)
-	holder := config.New()
+	guardedStore := newGuard(settings, client)
+	writer := newWriter(guardedStore, node)
+	holder := config.NewHolder()
 	store := config.NewStore(writer)
 	table := membership.NewTable()
 	directory := endpoint.NewDirectory()
@@ -58,7 +58,7 @@
 	}
 	peerCounters := peer.NewCounters(registerer)
 	server := newPeers(ctx, mesh, tls, peerCounters)
-	gatherer := newAccepts(node, table, batcher, guard, server)
+	gatherer := newAccepts(node, table, batcher, guardedStore, server)
 	jobStore := job.NewStore(writer, objectStore, gatherer)
 	jobGenerator := newGenerator(holder, runner, concurrencyLimiters)
 	jobCounters := job.NewCounters(registerer)
@@ -68,6 +68,6 @@
 	plainserviceAPI := newPlain(client)
 	callerapiCounters := callerapi.NewCounters(registerer)
 	callerapiAPI := newAPI(settings, node, holder, table, router, runner, rateLimiter, concurrencyLimiters, jobStore, worker, jobCounters, claims, plainserviceAPI, budget, tracker, history, traceTracer, callerapiCounters)
-	app := newApp(settings, node, logger, registry, tracer, guard, writer, holder, store, table, directory, estimator, router, api, runner, rateLimiter, concurrencyLimiters, budget, jobStore, worker, batcher, claims, gatherer, history, mesh, server, callerapiAPI, tls)
+	app := newApp(settings, node, logger, registry, tracer, guardedStore, writer, holder, store, table, directory, estimator, router, api, runner, rateLimiter, concurrencyLimiters, budget, jobStore, worker, batcher, claims, gatherer, history, mesh, server, callerapiAPI, tls)
 	return app, nil
 }
--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -202,7 +202,7 @@
 func (n *node) removeDeadRows(ctx context.Context) {
 	for _, incarnation := range n.view.Roster().SilentIncarnations(deadRowRetention) {
 		write := table.Write{Key: storeview.RosterTable + "/" + incarnation, Delete: true, If: table.Always{}}
-		if _, ok := n.store.Commit(ctx, table.Commit{Writes: []table.Write{write}}).(table.Done); !ok {
+		if _, ok := n.store.Commit(ctx, table.Commit{Writes: []table.Write{write}}).(table.Committed); !ok {
 			return
 		}
 		n.log.Info().Str("incarnation", incarnation).Msg("removed the row of a dead process")
--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -19,8 +19,8 @@
 }
 
 // NewGuard returns a client of the table service that is limited by a guard.
-func NewGuard(t TableConfig, client *http.Client) *table.Guard {
-	return table.NewGuard(tablehttp.New(t.Address, t.Timeout, client), t.Budget)
+func NewGuard(t TableConfig, client *http.Client) *table.GuardedStore {
+	return table.NewGuardedStore(tablehttp.NewClient(t.Address, t.Timeout, client), t.Budget)
 }
 
 // TLS has the keys for connections between own processes (Peer) and for connections from callers
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -134,12 +134,12 @@
 func (s *site) newEntry(t *testing.T, name string) *entry {
 	t.Helper()
 	registry := prometheus.NewRegistry()
-	holder, nodes, directory := config.New(), membership.NewTable(), endpoint.NewDirectory()
+	holder, nodes, directory := config.NewHolder(), membership.NewTable(), endpoint.NewDirectory()
 	sections, err := fleet.Parse("test.ini", fmt.Appendf(nil, configText, fleet.HashKey("secret"), fleet.HashKey("slow")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := holder.Apply(config.Change{Revision: 1, Whole: true, Sections: sections}); err != nil {
+	if _, err := holder.Apply(config.Change{Revision: 1, Snapshot: true, Sections: sections}); err != nil {
 		t.Fatal(err)
 	}
 	for _, info := range s.infos {
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -151,7 +151,7 @@
 	for {
 		outcome := c.writer.Commit(ctx, table.Write{Key: key.rowKey(), Value: encode(claimed), If: condition})
 		switch outcome := outcome.(type) {
-		case table.Done:
+		case table.Committed:
 			return outcome.Version, nil
 		case table.Unknown:
 			return 0, NotRun{fmt.Errorf("claim: store: %w", outcome.Err)}
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		rows := tables.New()
 		store := config.NewStore(table.NewWriter(rows, "a"))
-		follower := config.New()
+		follower := config.NewHolder()
 		for mark := 1; mark <= 5; mark++ {
 			revision, err := store.Publish(context.Background(), int64(mark-1), fmt.Sprint(mark), sections(t, mark))
 			if err != nil || revision != int64(mark) {
@@ -62,7 +62,7 @@
 				}
 			}
 		}
-		fresh := config.New()
+		fresh := config.NewHolder()
 		for _, h := range []*config.Holder{follower, fresh} {
 			if err := store.Load(context.Background(), h); err != nil {
 				t.Fatal(err)
@@ -71,10 +71,10 @@
 				t.Errorf("got %s at revision %d, want t5 at 5", got, h.Current().Revision())
 			}
 		}
-		if changes := follower.After(3); len(changes) != 2 || changes[0].Whole {
+		if changes := follower.ChangesAfter(3); len(changes) != 2 || changes[0].Snapshot {
 			t.Errorf("changes after 3: got %d, want the 2 single ones", len(changes))
 		}
-		if changes := fresh.After(3); len(changes) != 1 || !changes[0].Whole {
+		if changes := fresh.ChangesAfter(3); len(changes) != 1 || !changes[0].Snapshot {
 			t.Errorf("changes after 3 of one that loaded the whole: got %d, want the whole", len(changes))
 		}
 	})
@@ -145,7 +145,7 @@
 // gaps, whole and single, and restarts from peers in between.
 func TestRevisionNeverGoesBack(t *testing.T) {
 	const revisions = 8
-	source := config.New()
+	source := config.NewHolder()
 	var changes []config.Change
 	for r := int64(1); r <= revisions; r++ {
 		old, _ := source.Sections()
@@ -155,11 +155,11 @@
 		}
 		changes = append(changes, c)
 		whole, _ := source.Sections()
-		changes = append(changes, config.Change{Revision: r, Whole: true, Sections: whole})
+		changes = append(changes, config.Change{Revision: r, Snapshot: true, Sections: whole})
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		order := rapid.SliceOfN(rapid.IntRange(0, len(changes)-1), 1, 60).Draw(rt, "order")
-		holder, peer := config.New(), config.New()
+		holder, peer := config.NewHolder(), config.NewHolder()
 		for _, at := range order {
 			before := holder.Current().Revision()
 			if _, err := holder.Apply(changes[at]); err != nil {
@@ -172,7 +172,7 @@
 			if after > 0 && markOf(holder) != fmt.Sprintf("t%d", after) {
 				rt.Fatalf("revision %d has %s", after, markOf(holder))
 			}
-			for _, c := range holder.After(peer.Current().Revision()) {
+			for _, c := range holder.ChangesAfter(peer.Current().Revision()) {
 				if _, err := peer.Apply(c); err != nil {
 					rt.Fatal(err)
 				}
--- a/pkg/config/holder.go
+++ b/pkg/config/holder.go
@@ -14,9 +14,9 @@
 type Change struct {
 	// Revision is greater than 0.
 	Revision int64
-	// Whole says that the sections are all there are, so that the change may
+	// Snapshot says that the sections are all there are, so that the change may
 	// follow on any earlier revision.
-	Whole    bool
+	Snapshot bool
 	Sections []fleet.Section
 }
 
@@ -34,8 +34,8 @@
 	changed chan struct{}
 }
 
-// New returns a holder with revision 0, which serves nothing.
-func New() *Holder {
+// NewHolder returns a holder with revision 0, which serves nothing.
+func NewHolder() *Holder {
 	h := &Holder{sections: map[string]fleet.Section{}, changed: make(chan struct{})}
 	empty, err := fleet.Build(0, nil)
 	if err != nil {
@@ -79,11 +79,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.Current().Revision()
-	if c.Revision <= held || (!c.Whole && c.Revision != held+1) {
+	if c.Revision <= held || (!c.Snapshot && c.Revision != held+1) {
 		return false, nil
 	}
 	next := map[string]fleet.Section{}
-	if !c.Whole {
+	if !c.Snapshot {
 		for id, s := range h.sections {
 			next[id] = s
 		}
@@ -108,7 +108,7 @@
 }
 
 func (h *Holder) remember(c Change) {
-	if c.Whole {
+	if c.Snapshot {
 		// What came between is not known, so nothing older can be handed on.
 		h.changes = nil
 		return
@@ -119,9 +119,9 @@
 	}
 }
 
-// After returns the changes a peer at the given revision lacks: one by one if
+// ChangesAfter returns the changes a peer at the given revision lacks: one by one if
 // they are kept, else the whole. It is empty if the peer lacks nothing.
-func (h *Holder) After(revision int64) []Change {
+func (h *Holder) ChangesAfter(revision int64) []Change {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	held := h.Current().Revision()
@@ -132,5 +132,5 @@
 	if missing <= len(h.changes) {
 		return append([]Change(nil), h.changes[len(h.changes)-missing:]...)
 	}
-	return []Change{{Revision: held, Whole: true, Sections: sorted(h.sections)}}
+	return []Change{{Revision: held, Snapshot: true, Sections: sorted(h.sections)}}
 }
--- a/pkg/config/publisher.go
+++ b/pkg/config/publisher.go
@@ -130,7 +130,7 @@
 			return err
 		}
 		if before == after {
-			_, err := h.Apply(Change{Revision: after, Whole: true, Sections: sections})
+			_, err := h.Apply(Change{Revision: after, Snapshot: true, Sections: sections})
 			return err
 		}
 	}
@@ -182,7 +182,7 @@
 	}
 	revision := seen + 1
 	switch outcome := s.writer.Commit(ctx, revisionWrites(revision, version, request, changed)...).(type) {
-	case table.Done:
+	case table.Committed:
 		return revision, nil
 	case table.Refused:
 		if len(outcome.Conflicts) == 0 {
--- a/pkg/job/store.go
+++ b/pkg/job/store.go
@@ -57,7 +57,7 @@
 		{Key: ownedKey(j.Owner, j.Deadline, j.ID), Value: []byte(j.ID), If: table.Always{}},
 	}
 	switch outcome := s.batcher.Commit(ctx, rows).(type) {
-	case table.Done:
+	case table.Committed:
 		j.version = outcome.Version
 		return j, true, nil
 	case table.Unknown:
@@ -163,7 +163,7 @@
 func (s *Store) replace(ctx context.Context, j *Job, stored storedJob, others ...table.Write) error {
 	writes := append([]table.Write{{Key: rowKey(j.ID), Value: encodeRow(stored), If: table.AtVersion{Version: j.version}}}, others...)
 	switch outcome := s.writer.Commit(ctx, writes...).(type) {
-	case table.Done:
+	case table.Committed:
 		j.version = outcome.Version
 		return nil
 	case table.Refused:
--- a/pkg/lease/lease.go
+++ b/pkg/lease/lease.go
@@ -260,7 +260,7 @@
 func (m *Manager) applyRenewal(shards []Shard, intents map[Shard]Intent, outcome table.Outcome, sentAt time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	done, ok := outcome.(table.Done)
+	done, ok := outcome.(table.Committed)
 	if !ok {
 		m.dropExpired(shards)
 		return
--- a/pkg/lease/take.go
+++ b/pkg/lease/take.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, m.timing.RenewInterval)
 	defer cancel()
 	outcome := m.writer.Commit(ctx, table.Write{Key: rowKey(s), Value: encode(record{m.holder, epoch}), If: condition})
-	done, ok := outcome.(table.Done)
+	done, ok := outcome.(table.Committed)
 	if !ok || storeversion.Era(done.Version) != storeversion.Era(readVersion) {
 		// If the store was restored since the read, the condition may have matched although another
 		// process holds the lease.
--- a/pkg/operatorapi/operatorapi.go
+++ b/pkg/operatorapi/operatorapi.go
@@ -74,7 +74,7 @@
 // serveGet shows the revision in the store, so that an apply that follows sees
 // the latest; with the store down it shows the one in force here, and says so.
 func (a *API) serveGet(w http.ResponseWriter, r *http.Request) {
-	holder := config.New()
+	holder := config.NewHolder()
 	if err := a.store.Load(r.Context(), holder); err != nil {
 		holder = a.holder
 		w.Header().Set("Ironhollow-Stale", "true")
--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -14,7 +14,7 @@
 // planned returns a mesh that knows the planned fleet.
 func planned() (*peer.Mesh, *endpoint.Directory, []endpoint.Info) {
 	nodes, directory := membership.NewTable(), endpoint.NewDirectory()
-	m := peer.NewMesh(membership.Node{ID: "n0", Incarnation: 1, DataCenter: "dc0"}, nodes, directory, config.New())
+	m := peer.NewMesh(membership.Node{ID: "n0", Incarnation: 1, DataCenter: "dc0"}, nodes, directory, config.NewHolder())
 	var news peer.News
 	for i := 1; i < 420; i++ {
 		news.Nodes = append(news.Nodes, membership.Node{
--- a/pkg/peer/codec.go
+++ b/pkg/peer/codec.go
@@ -105,7 +105,7 @@
 		w.Endpoints = append(w.Endpoints, endpointToWire(i))
 	}
 	for _, c := range m.Changes {
-		change := peerschema.Change{Revision: int(c.Revision), Whole: c.Whole, Sections: []peerschema.Section{}}
+		change := peerschema.Change{Revision: int(c.Revision), Whole: c.Snapshot, Sections: []peerschema.Section{}}
 		for _, s := range c.Sections {
 			change.Sections = append(change.Sections, peerschema.Section{Kind: s.Kind(), Name: s.Name(), Body: s.Body()})
 		}
@@ -180,7 +180,7 @@
 		news.Endpoints = append(news.Endpoints, endpointFromWire(e))
 	}
 	for _, c := range w.Changes {
-		change := config.Change{Revision: int64(c.Revision), Whole: c.Whole}
+		change := config.Change{Revision: int64(c.Revision), Snapshot: c.Whole}
 		for _, s := range c.Sections {
 			change.Sections = append(change.Sections, fleet.NewSection(s.Kind, s.Name, s.Body))
 		}
--- a/pkg/peer/codec_test.go
+++ b/pkg/peer/codec_test.go
@@ -21,7 +21,7 @@
 	peer.News{
 		Nodes:     []membership.Node{{ID: "n", Incarnation: 1, Status: membership.Suspect, Leaving: true, Counter: 4, HasControl: true, Load: 7}},
 		Endpoints: []endpoint.Info{{ID: "e", Incarnation: 2, State: endpoint.Leaving, Counter: 1, Kind: endpoint.Model, LeaveBy: time.UnixMilli(99), Adapter: "a"}},
-		Changes:   []config.Change{{Revision: 2, Whole: true, Sections: []fleet.Section{fleet.NewSection("team", "t", `{}`)}}},
+		Changes:   []config.Change{{Revision: 2, Snapshot: true, Sections: []fleet.Section{fleet.NewSection("team", "t", `{}`)}}},
 	},
 	peer.Accept{Request: 1, Rows: []peer.AcceptRow{{Key: "k", Value: []byte("v")}}},
 	peer.Accepted{Request: 1, Outcome: peer.AcceptConflict, Version: 8},
--- a/pkg/peer/network_test.go
+++ b/pkg/peer/network_test.go
@@ -80,7 +80,7 @@
 }
 
 func (n *network) add(id, centre string) *member {
-	m := &member{nodes: membership.NewTable(), endpoints: endpoint.NewDirectory(), config: config.New(), failed: map[string]int{}}
+	m := &member{nodes: membership.NewTable(), endpoints: endpoint.NewDirectory(), config: config.NewHolder(), failed: map[string]int{}}
 	self := membership.Node{ID: id, Incarnation: n.now.UnixMilli(), DataCenter: centre, PeerAddress: id, Ready: true}
 	m.mesh = peer.NewMesh(self, m.nodes, m.endpoints, m.config)
 	n.nodes[id] = m
--- a/pkg/peer/news.go
+++ b/pkg/peer/news.go
@@ -52,7 +52,7 @@
 
 // answer sends the parts in which the other side differs.
 func (m *Mesh) answer(link Link, p Pull) []Out {
-	news := News{Changes: m.config.After(p.After)}
+	news := News{Changes: m.config.ChangesAfter(p.After)}
 	if len(p.Nodes) == membership.BucketCount {
 		var want [membership.BucketCount]bool
 		for i, sum := range m.nodes.Sums() {
--- a/pkg/quarantinesync/syncer.go
+++ b/pkg/quarantinesync/syncer.go
@@ -144,7 +144,7 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	outcome := s.writer.Commit(ctx, table.Write{Key: key(f), Delete: true, If: table.Always{}})
-	if _, isDone := outcome.(table.Done); !isDone {
+	if _, isDone := outcome.(table.Committed); !isDone {
 		s.log.Warn().Stringer("fingerprint", f).Msg("failed to delete the row of a request answered completely")
 		return false
 	}
@@ -167,7 +167,7 @@
 		return false
 	}
 	outcome := s.writer.Commit(ctx, table.Write{Key: key(c.Fingerprint), Value: value, If: table.Always{}})
-	if _, isDone := outcome.(table.Done); !isDone {
+	if _, isDone := outcome.(table.Committed); !isDone {
 		s.log.Warn().Stringer("fingerprint", c.Fingerprint).Msg("failed to write a quarantined request to the store")
 		return false
 	}
--- a/pkg/rolloutsync/coordinator.go
+++ b/pkg/rolloutsync/coordinator.go
@@ -249,7 +249,7 @@
 		table.Write{Key: Key(state.Order.Service), Value: value, If: condition},
 		table.Write{Key: c.status.StatusKey(state.Order.Service), Value: status, If: table.Always{}})
 	switch o := outcome.(type) {
-	case table.Done:
+	case table.Committed:
 		return o.Version, nil
 	case table.Refused:
 		if len(o.Conflicts) == 0 {
--- a/pkg/standin/tables/server.go
+++ b/pkg/standin/tables/server.go
@@ -22,8 +22,8 @@
 		http.Error(w, "bad commit", http.StatusBadRequest)
 		return
 	}
-	switch outcome := s.Commit(r.Context(), sent.Domain()).(type) {
-	case table.Done:
+	switch outcome := s.Commit(r.Context(), sent.TableCommit()).(type) {
+	case table.Committed:
 		reply(w, http.StatusOK, tablehttp.Result{Version: outcome.Version})
 	case table.Refused:
 		if len(outcome.Conflicts) == 0 {
--- a/pkg/standin/tables/store.go
+++ b/pkg/standin/tables/store.go
@@ -161,7 +161,7 @@
 			s.put(table.Row{Key: w.Key, Value: w.Value, Version: s.version, Token: c.Token})
 		}
 	}
-	return table.Done{Version: s.version}
+	return table.Committed{Version: s.version}
 }
 
 func holds(c table.Condition, row table.Row, exists bool) bool {
--- a/pkg/storecalls/storecalls_test.go
+++ b/pkg/storecalls/storecalls_test.go
@@ -15,7 +15,7 @@
 // store answers nothing.
 type store struct{}
 
-func (store) Commit(context.Context, table.Commit) table.Outcome { return table.Done{} }
+func (store) Commit(context.Context, table.Commit) table.Outcome { return table.Committed{} }
 
 func (store) Get(context.Context, string) (row table.Row, ok bool, err error) { return }
 
--- a/pkg/table/guard.go
+++ b/pkg/table/guard.go
@@ -16,12 +16,12 @@
 	WritesPerSecond float64
 }
 
-// ErrOpen says that the store has failed and is not asked for a while. What
+// ErrCircuitOpen says that the store has failed and is not asked for a while. What
 // was refused with it was not sent.
-var ErrOpen = errors.New("table: the store does not answer; not asked again yet")
+var ErrCircuitOpen = errors.New("table: the store does not answer; not asked again yet")
 
-// ErrBusy says that the node's budget did not allow a call within its time.
-var ErrBusy = errors.New("table: over the node's budget")
+// ErrBudgetExceeded says that the node's budget did not allow a call within its time.
+var ErrBudgetExceeded = errors.New("table: over the node's budget")
 
 // Parameters of the guard.
 const (
@@ -46,9 +46,9 @@
 	shrink   = 0.7
 )
 
-// Guard keeps a node within its budget and spares a store that is in trouble.
+// GuardedStore keeps a node within its budget and spares a store that is in trouble.
 // It is a Store over another.
-type Guard struct {
+type GuardedStore struct {
 	store  Store
 	reads  *rate.Limiter
 	writes *rate.Limiter
@@ -67,20 +67,20 @@
 	inFlight  int
 	most      float64
 	waiters   []chan struct{}
-	counts    GuardCounts
+	counts    CallCounts
 }
 
-// GuardCounts count calls.
-type GuardCounts struct {
+// CallCounts count calls.
+type CallCounts struct {
 	Reads, Writes int64
 	// Refused were not sent because the guard was open, Failed were sent and
 	// failed, Opened is how often the guard opened.
 	Refused, Failed, Opened int64
 }
 
-// NewGuard returns a guard over a store.
-func NewGuard(store Store, budget Budget) *Guard {
-	return &Guard{
+// NewGuardedStore returns a guard over a store.
+func NewGuardedStore(store Store, budget Budget) *GuardedStore {
+	return &GuardedStore{
 		store: store, budget: budget, most: firstInFlight,
 		reads:  rate.NewLimiter(rate.Limit(budget.ReadsPerSecond), burstOf(budget.ReadsPerSecond)),
 		writes: rate.NewLimiter(rate.Limit(budget.WritesPerSecond), burstOf(budget.WritesPerSecond)),
@@ -91,25 +91,25 @@
 func burstOf(perSecond float64) int { return max(1, int(2*perSecond)) }
 
 // Counts returns the counters so far.
-func (g *Guard) Counts() GuardCounts {
+func (g *GuardedStore) Counts() CallCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts
 }
 
-// Open reports whether the store is not being asked at present.
-func (g *Guard) Open() bool {
+// CircuitOpen reports whether the store is not being asked at present.
+func (g *GuardedStore) CircuitOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.failures >= openAfter
 }
 
 // Commit sends a commit within the budget.
-func (g *Guard) Commit(ctx context.Context, c Commit) Outcome {
+func (g *GuardedStore) Commit(ctx context.Context, c Commit) Outcome {
 	if err := g.enter(ctx, g.writes); err != nil {
 		return Refused{Err: err}
 	}
-	g.count(func(n *GuardCounts) { n.Writes++ })
+	g.count(func(n *CallCounts) { n.Writes++ })
 	started := time.Now()
 	outcome := g.store.Commit(ctx, c)
 	g.leave(commitFailed(ctx, outcome), time.Since(started))
@@ -129,11 +129,11 @@
 }
 
 // Get reads a row within the budget.
-func (g *Guard) Get(ctx context.Context, key string) (Row, bool, error) {
+func (g *GuardedStore) Get(ctx context.Context, key string) (Row, bool, error) {
 	if err := g.enter(ctx, g.reads); err != nil {
 		return Row{}, false, err
 	}
-	g.count(func(n *GuardCounts) { n.Reads++ })
+	g.count(func(n *CallCounts) { n.Reads++ })
 	started := time.Now()
 	row, ok, err := g.store.Get(ctx, key)
 	g.leave(err != nil && !errors.Is(ctx.Err(), context.Canceled), time.Since(started))
@@ -141,39 +141,39 @@
 }
 
 // List reads rows within the budget.
-func (g *Guard) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
+func (g *GuardedStore) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	if err := g.enter(ctx, g.reads); err != nil {
 		return nil, err
 	}
-	g.count(func(n *GuardCounts) { n.Reads++ })
+	g.count(func(n *CallCounts) { n.Reads++ })
 	started := time.Now()
 	rows, err := g.store.List(ctx, prefix, after, limit)
 	g.leave(err != nil && !errors.Is(ctx.Err(), context.Canceled), time.Since(started))
 	return rows, err
 }
 
-func (g *Guard) count(change func(*GuardCounts)) {
+func (g *GuardedStore) count(change func(*CallCounts)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	change(&g.counts)
 }
 
 // enter waits for the budget and for a place among the calls in flight.
-func (g *Guard) enter(ctx context.Context, limiter *rate.Limiter) error {
+func (g *GuardedStore) enter(ctx context.Context, limiter *rate.Limiter) error {
 	if !g.admit(time.Now()) {
-		g.count(func(n *GuardCounts) { n.Refused++ })
-		return ErrOpen
+		g.count(func(n *CallCounts) { n.Refused++ })
+		return ErrCircuitOpen
 	}
 	if err := limiter.Wait(ctx); err != nil {
 		g.abandon()
-		return ErrBusy
+		return ErrBudgetExceeded
 	}
 	return g.acquire(ctx)
 }
 
 // admit lets calls pass while the store answers; while it does not, one probe
 // once the pause is over.
-func (g *Guard) admit(now time.Time) bool {
+func (g *GuardedStore) admit(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ramp(now)
@@ -188,7 +188,7 @@
 }
 
 // ramp raises the budget after an outage. The lock is held.
-func (g *Guard) ramp(now time.Time) {
+func (g *GuardedStore) ramp(now time.Time) {
 	if g.rampFrom.IsZero() {
 		return
 	}
@@ -203,13 +203,13 @@
 	g.writes.SetBurstAt(now, burstOf(part*g.budget.WritesPerSecond))
 }
 
-func (g *Guard) abandon() {
+func (g *GuardedStore) abandon() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.probing = false
 }
 
-func (g *Guard) acquire(ctx context.Context) error {
+func (g *GuardedStore) acquire(ctx context.Context) error {
 	g.mu.Lock()
 	if float64(g.inFlight) < g.most {
 		g.inFlight++
@@ -224,12 +224,12 @@
 		return nil
 	case <-ctx.Done():
 		g.giveUp(turn)
-		return ErrBusy
+		return ErrBudgetExceeded
 	}
 }
 
 // giveUp leaves the queue; a turn that came meanwhile is passed on.
-func (g *Guard) giveUp(turn chan struct{}) {
+func (g *GuardedStore) giveUp(turn chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.probing = false
@@ -244,7 +244,7 @@
 }
 
 // wake gives free places to those who wait. The lock is held.
-func (g *Guard) wake() {
+func (g *GuardedStore) wake() {
 	for len(g.waiters) > 0 && float64(g.inFlight) < g.most {
 		close(g.waiters[0])
 		g.waiters = g.waiters[1:]
@@ -253,7 +253,7 @@
 }
 
 // leave ends a call and learns from it.
-func (g *Guard) leave(failed bool, took time.Duration) {
+func (g *GuardedStore) leave(failed bool, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
@@ -272,7 +272,7 @@
 	g.wake()
 }
 
-func (g *Guard) fail(now time.Time) {
+func (g *GuardedStore) fail(now time.Time) {
 	g.counts.Failed++
 	if g.failures == 0 {
 		g.downSince = now
@@ -288,7 +288,7 @@
 	g.counts.Opened++
 }
 
-func (g *Guard) succeed(now time.Time) {
+func (g *GuardedStore) succeed(now time.Time) {
 	if g.failures >= openAfter {
 		g.rampFrom = now
 		g.rampTime = min(max(now.Sub(g.downSince), leastRamp), mostRamp)
--- a/pkg/table/guard_test.go
+++ b/pkg/table/guard_test.go
@@ -16,7 +16,7 @@
 func TestGuardSparesAStoreThatComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
-		guard := table.NewGuard(store, table.Budget{ReadsPerSecond: 50, WritesPerSecond: 30})
+		guard := table.NewGuardedStore(store, table.Budget{ReadsPerSecond: 50, WritesPerSecond: 30})
 		ctx, cancel := context.WithCancel(context.Background())
 		for range 20 {
 			go func() {
@@ -39,7 +39,7 @@
 			t.Errorf("reads during the outage: got %d, want one probe in some seconds", got)
 		}
 		store.SetFaults(nil)
-		for guard.Open() {
+		for guard.CircuitOpen() {
 			time.Sleep(10 * time.Millisecond)
 		}
 		before = store.Count(tables.OperationGet)
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		store.SetFaults(func(tables.Call) tables.Fault { return tables.Down{} })
-		guard := table.NewGuard(store, table.Budget{ReadsPerSecond: 50, WritesPerSecond: 30})
+		guard := table.NewGuardedStore(store, table.Budget{ReadsPerSecond: 50, WritesPerSecond: 30})
 		write := table.Commit{Writes: []table.Write{{Key: "k", If: table.Absent{}}}}
 		for range 5 {
 			if _, ok := guard.Commit(context.Background(), write).(table.Unknown); !ok {
@@ -71,7 +71,7 @@
 		}
 		begun := time.Now()
 		refused, ok := guard.Commit(context.Background(), write).(table.Refused)
-		if !ok || !errors.Is(refused.Err, table.ErrOpen) || time.Since(begun) != 0 {
+		if !ok || !errors.Is(refused.Err, table.ErrCircuitOpen) || time.Since(begun) != 0 {
 			t.Errorf("after five failures: got %v %v after %v, want Refused with ErrOpen at once", ok, refused.Err, time.Since(begun))
 		}
 		if got := store.Count(tables.OperationCommit); got != 5 {
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -59,8 +59,8 @@
 // Outcome is the end of a commit.
 type Outcome interface{ outcome() }
 
-// Done says that the commit took effect.
-type Done struct{ Version int64 }
+// Committed says that the commit took effect.
+type Committed struct{ Version int64 }
 
 // Refused says that the commit did not take effect and never will. Conflicts
 // is empty when the service turned it away for another reason, given in Err.
@@ -72,9 +72,9 @@
 // Unknown says that the commit may have taken effect, or may yet.
 type Unknown struct{ Err error }
 
-func (Done) outcome()    {}
-func (Refused) outcome() {}
-func (Unknown) outcome() {}
+func (Committed) outcome() {}
+func (Refused) outcome()   {}
+func (Unknown) outcome()   {}
 
 // Store is the table service. For a missing row, Get returns ok false and a Version
 // less than that of any row written later. List
--- a/pkg/table/tablehttp/client.go
+++ b/pkg/table/tablehttp/client.go
@@ -26,9 +26,9 @@
 	timeout time.Duration
 }
 
-// New returns a client of the table service at address, an IP number and port.
+// NewClient returns a client of the table service at address, an IP number and port.
 // No call takes longer than timeout.
-func New(address string, timeout time.Duration, client *http.Client) *Client {
+func NewClient(address string, timeout time.Duration, client *http.Client) *Client {
 	return &Client{base: "http://" + address, http: client, timeout: timeout}
 }
 
@@ -76,16 +76,16 @@
 		return table.Unknown{Err: err}
 	}
 	if response.StatusCode == http.StatusOK {
-		return table.Done{Version: result.Version}
+		return table.Committed{Version: result.Version}
 	}
-	return table.Refused{Conflicts: DomainRows(result.Conflicts)}
+	return table.Refused{Conflicts: TableRows(result.Conflicts)}
 }
 
 // Get reads one row.
 func (c *Client) Get(ctx context.Context, key string) (table.Row, bool, error) {
 	var row Row
 	found, err := c.read(ctx, PathRow+"?key="+url.QueryEscape(key), &row)
-	return row.Domain(), found, err
+	return row.TableRow(), found, err
 }
 
 // List reads rows in key order.
@@ -93,7 +93,7 @@
 	query := url.Values{"prefix": {prefix}, "after": {after}, "limit": {strconv.Itoa(limit)}}
 	var rows Rows
 	_, err := c.read(ctx, PathRows+"?"+query.Encode(), &rows)
-	return DomainRows(rows.Rows), err
+	return TableRows(rows.Rows), err
 }
 
 func (c *Client) read(ctx context.Context, path string, target any) (bool, error) {
--- a/pkg/table/tablehttp/messages.go
+++ b/pkg/table/tablehttp/messages.go
@@ -60,8 +60,8 @@
 	return Row{r.Key, r.Value, r.Version, r.Token.Writer, r.Token.Sequence}
 }
 
-// Domain maps back to a domain row.
-func (r Row) Domain() table.Row {
+// TableRow maps back to a domain row.
+func (r Row) TableRow() table.Row {
 	return table.Row{Key: r.Key, Value: r.Value, Version: r.Version, Token: table.Token{Writer: r.Writer, Sequence: r.Sequence}}
 }
 
@@ -74,11 +74,11 @@
 	return out
 }
 
-// DomainRows maps back to domain rows.
-func DomainRows(rows []Row) []table.Row {
+// TableRows maps back to domain rows.
+func TableRows(rows []Row) []table.Row {
 	out := make([]table.Row, len(rows))
 	for i, r := range rows {
-		out[i] = r.Domain()
+		out[i] = r.TableRow()
 	}
 	return out
 }
@@ -102,8 +102,8 @@
 	return out
 }
 
-// Domain maps back to a domain commit.
-func (c Commit) Domain() table.Commit {
+// TableCommit maps back to a domain commit.
+func (c Commit) TableCommit() table.Commit {
 	out := table.Commit{Token: table.Token{Writer: c.Writer, Sequence: c.Sequence}}
 	for _, w := range c.Writes {
 		write := table.Write{Key: w.Key, Value: w.Value, Delete: w.Delete, CheckOnly: w.Check, If: table.Always{}}
--- a/pkg/table/writer.go
+++ b/pkg/table/writer.go
@@ -68,7 +68,7 @@
 		return Unknown{err}
 	}
 	if ok && row.Token == c.Token {
-		return Done{row.Version}
+		return Committed{row.Version}
 	}
 	if !stillPossible(first.If, row, ok) {
 		return afterOverwrite(first, row, ok)
@@ -90,7 +90,7 @@
 	}
 	for _, row := range refused.Conflicts {
 		if row.Token == c.Token {
-			return Done{row.Version}
+			return Committed{row.Version}
 		}
 		if row.Key == first.Key {
 			return afterOverwrite(first, row, row.Version != 0)
--- a/pkg/table/writer_test.go
+++ b/pkg/table/writer_test.go
@@ -48,8 +48,8 @@
 				store.SetFaults(faultAt(1, c.fault))
 				w := table.NewWriter(store, "w")
 				outcome := commit(w, table.Write{Key: "a", Value: []byte("1"), If: table.Absent{}})
-				if _, ok := outcome.(table.Done); !ok {
-					t.Errorf("got %#v, want Done", outcome)
+				if _, ok := outcome.(table.Committed); !ok {
+					t.Errorf("got %#v, want Committed", outcome)
 				}
 				time.Sleep(time.Second)
 				row, _, _ := store.Get(context.Background(), "a")
@@ -89,7 +89,7 @@
 			for i := range 12 {
 				key := string(rune('a' + i))
 				switch commit(writers[i%2], table.Write{Key: key, Value: []byte(key), If: table.Absent{}}).(type) {
-				case table.Done:
+				case table.Committed:
 					done++
 				case table.Unknown:
 					unknown++
--- a/pkg/usage/reporter.go
+++ b/pkg/usage/reporter.go
@@ -164,7 +164,7 @@
 func (r *Reporter) writeCounts(ctx context.Context, window int64) (map[string]int, error) {
 	counts := r.roster.StartedRequests(window)
 	switch o := r.commitCounts(ctx, window, counts).(type) {
-	case table.Done:
+	case table.Committed:
 		if storeversion.Era(o.Version) != r.era {
 			return nil, r.deleteRow(ctx, window, o.Version)
 		}
@@ -195,7 +195,7 @@
 // deleteOldRow deletes the row of an old report. A row that remains is harmless.
 func (r *Reporter) deleteOldRow(ctx context.Context, window int64) {
 	outcome := r.writer.Store().Commit(ctx, table.Commit{Writes: []table.Write{{Key: rowKey(window), Delete: true, If: table.Always{}}}})
-	if _, ok := outcome.(table.Done); !ok {
+	if _, ok := outcome.(table.Committed); !ok {
 		r.log.Debug().Int64("window", window).Msg("failed to delete old usage row")
 	}
 }
--- a/pkg/usage/restore.go
+++ b/pkg/usage/restore.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		switch o := r.commitCounts(ctx, window, counts).(type) {
-		case table.Done:
+		case table.Committed:
 		case table.Refused:
 			if len(o.Conflicts) == 0 {
 				return fmt.Errorf("usage of window %d: %w", window, errors.Join(o.Err, errNotWritten))
@@ -103,7 +103,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, isDone := r.writer.Commit(ctx, table.Write{Key: restoredKey, Value: value, If: condition}).(table.Done); !isDone {
+	if _, isDone := r.writer.Commit(ctx, table.Write{Key: restoredKey, Value: value, If: condition}).(table.Committed); !isDone {
 		return 0, errNotWritten
 	}
 	return first, nil
@@ -113,7 +113,7 @@
 // holder may have reported the window with different counts. It returns errRestored.
 func (r *Reporter) deleteRow(ctx context.Context, window, version int64) error {
 	outcome := r.writer.Commit(ctx, table.Write{Key: rowKey(window), Delete: true, If: table.AtVersion{Version: version}})
-	if _, isDone := outcome.(table.Done); !isDone {
+	if _, isDone := outcome.(table.Committed); !isDone {
 		r.log.Warn().Int64("window", window).Msg("failed to delete usage row written after a store restore")
 	}
 	return errRestored
--- a/pkg/usage/usage_test.go
+++ b/pkg/usage/usage_test.go
@@ -46,7 +46,7 @@
 		}
 		r.rows[w.Key] = table.Row{Key: w.Key, Value: w.Value, Version: r.version, Token: c.Token}
 	}
-	return table.Done{Version: r.version}
+	return table.Committed{Version: r.version}
 }
 
 func (r *rows) Get(_ context.Context, key string) (table.Row, bool, error) {
