--- a/pkg/table/guard.go
+++ b/pkg/table/guard.go
@@ -10,115 +10,124 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget is what one node may ask of the store.
+// Budget limits the call rates of one node to the table service.
 type Budget struct {
 	ReadsPerSecond  float64
 	WritesPerSecond float64
 }
 
-// ErrCircuitOpen says that the store has failed and is not asked for a while. What
-// was refused with it was not sent.
+// ErrCircuitOpen is returned for calls that are rejected without being sent
+// because recent calls to the store failed.
 var ErrCircuitOpen = errors.New("table: the store does not answer; not asked again yet")
 
-// ErrBudgetExceeded says that the node's budget did not allow a call within its time.
+// ErrBudgetExceeded is returned for calls that were not sent because the rate
+// and concurrency limits did not admit them before their context ended.
 var ErrBudgetExceeded = errors.New("table: over the node's budget")
 
-// Parameters of the guard.
+// Parameters of GuardedStore.
 const (
-	// openAfter failures in a row stop calls for a while.
-	openAfter = 5
-	// firstOpen and mostOpen bound that while; it is drawn at random below a
-	// bound that doubles, so that nodes do not come back together.
-	firstOpen = time.Second
-	mostOpen  = 30 * time.Second
-	// A node takes as long to its full budget once the store is back as the
-	// store was away, within these bounds: after a blink there is no crowd.
-	leastRamp = time.Second
-	mostRamp  = 20 * time.Second
-	// rampStart is the part of the budget that it starts with.
-	rampStart = 0.05
-	// firstInFlight, mostInFlight and leastInFlight bound calls at once.
-	firstInFlight = 8.0
-	mostInFlight  = 64.0
-	leastInFlight = 1.0
-	// slowCall halves nothing but shrinks the bound as a failure does.
-	slowCall = time.Second
-	shrink   = 0.7
+	// failureThreshold is the number of consecutive failures that opens the
+	// circuit.
+	failureThreshold = 5
+	// The time until the next probe is random, below a bound that starts at
+	// initialOpenTime and doubles up to maxOpenTime with each further failure. The
+	// randomness keeps nodes from retrying at the same moment.
+	initialOpenTime = time.Second
+	maxOpenTime     = 30 * time.Second
+	// After an outage the rate limits ramp up to the full budget over a time
+	// equal to the length of the outage, within these bounds. After a short
+	// outage few calls are waiting, so a short ramp is enough.
+	minRampTime = time.Second
+	maxRampTime = 20 * time.Second
+	// rampStartFraction is the fraction of the budget at the start of the ramp.
+	rampStartFraction = 0.05
+	// The limit on concurrent calls starts at initialConcurrencyLimit and adapts to
+	// the results of calls between minConcurrencyLimit and maxConcurrencyLimit.
+	initialConcurrencyLimit = 8.0
+	maxConcurrencyLimit     = 64.0
+	minConcurrencyLimit     = 1.0
+	// A call slower than slowCallThreshold multiplies the concurrency limit by
+	// decreaseFactor, as a failure does, but does not count as a failure.
+	slowCallThreshold = time.Second
+	decreaseFactor    = 0.7
 )
 
-// GuardedStore keeps a node within its budget and spares a store that is in trouble.
-// It is a Store over another.
+// GuardedStore is a Store that forwards calls to another one. It limits the call
+// rate and the number of concurrent calls, and stops calls with a circuit breaker
+// while the other store fails.
 type GuardedStore struct {
-	store  Store
-	reads  *rate.Limiter
-	writes *rate.Limiter
-	budget Budget
+	store        Store
+	readLimiter  *rate.Limiter
+	writeLimiter *rate.Limiter
+	budget       Budget
 
-	mu       sync.Mutex
-	failures int
-	// opened counts how often in a row the guard opened without a success.
-	opened  int
-	retryAt time.Time
-	probing bool
-	// downSince is when the failures in a row began.
-	downSince time.Time
-	rampFrom  time.Time
-	rampTime  time.Duration
-	inFlight  int
-	most      float64
-	waiters   []chan struct{}
-	counts    CallCounts
+	mu                  sync.Mutex
+	consecutiveFailures int
+	// consecutiveOpens counts the failures since the last successful call that
+	// opened the circuit or kept it open.
+	consecutiveOpens int
+	nextProbeAt      time.Time
+	probing          bool
+	// failingSince is the time of the first of the consecutive failures.
+	failingSince     time.Time
+	rampStartedAt    time.Time
+	rampDuration     time.Duration
+	inFlight         int
+	concurrencyLimit float64
+	waiters          []chan struct{}
+	counts           CallCounts
 }
 
-// CallCounts count calls.
+// CallCounts are the call counters of a GuardedStore.
 type CallCounts struct {
 	Reads, Writes int64
-	// Refused were not sent because the guard was open, Failed were sent and
-	// failed, Opened is how often the guard opened.
+	// Refused calls were not sent because the circuit was open. Failed calls were
+	// sent and failed. Opened counts those of them that opened the circuit or kept
+	// it open.
 	Refused, Failed, Opened int64
 }
 
-// NewGuardedStore returns a guard over a store.
+// NewGuardedStore returns a GuardedStore that forwards calls to store.
 func NewGuardedStore(store Store, budget Budget) *GuardedStore {
 	return &GuardedStore{
-		store: store, budget: budget, most: firstInFlight,
-		reads:  rate.NewLimiter(rate.Limit(budget.ReadsPerSecond), burstOf(budget.ReadsPerSecond)),
-		writes: rate.NewLimiter(rate.Limit(budget.WritesPerSecond), burstOf(budget.WritesPerSecond)),
+		store: store, budget: budget, concurrencyLimit: initialConcurrencyLimit,
+		readLimiter:  rate.NewLimiter(rate.Limit(budget.ReadsPerSecond), burstSize(budget.ReadsPerSecond)),
+		writeLimiter: rate.NewLimiter(rate.Limit(budget.WritesPerSecond), burstSize(budget.WritesPerSecond)),
 	}
 }
 
-// burstOf allows two seconds' worth at once.
-func burstOf(perSecond float64) int { return max(1, int(2*perSecond)) }
+// burstSize returns a burst of two seconds' worth of calls.
+func burstSize(perSecond float64) int { return max(1, int(2*perSecond)) }
 
-// Counts returns the counters so far.
+// Counts returns the current counters.
 func (g *GuardedStore) Counts() CallCounts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.counts
 }
 
-// CircuitOpen reports whether the store is not being asked at present.
+// CircuitOpen reports whether calls are rejected because the store is failing.
 func (g *GuardedStore) CircuitOpen() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.failures >= openAfter
+	return g.consecutiveFailures >= failureThreshold
 }
 
-// Commit sends a commit within the budget.
+// Commit forwards a commit within the limits.
 func (g *GuardedStore) Commit(ctx context.Context, c Commit) Outcome {
-	if err := g.enter(ctx, g.writes); err != nil {
+	if err := g.beginCall(ctx, g.writeLimiter); err != nil {
 		return Refused{Err: err}
 	}
 	g.count(func(n *CallCounts) { n.Writes++ })
 	started := time.Now()
 	outcome := g.store.Commit(ctx, c)
-	g.leave(commitFailed(ctx, outcome), time.Since(started))
+	g.endCall(isStoreFailure(ctx, outcome), time.Since(started))
 	return outcome
 }
 
-// commitFailed reports whether the store is at fault. A commit cut short by
-// its caller says nothing of the store, unless the time was up.
-func commitFailed(ctx context.Context, o Outcome) bool {
+// isStoreFailure reports whether the outcome counts as a failure of the store. A
+// commit cancelled by its caller does not, but one that reached its deadline does.
+func isStoreFailure(ctx context.Context, o Outcome) bool {
 	switch o := o.(type) {
 	case Unknown:
 		return !errors.Is(ctx.Err(), context.Canceled)
@@ -128,27 +137,27 @@
 	return false
 }
 
-// Get reads a row within the budget.
+// Get forwards a read of one row within the limits.
 func (g *GuardedStore) Get(ctx context.Context, key string) (Row, bool, error) {
-	if err := g.enter(ctx, g.reads); err != nil {
+	if err := g.beginCall(ctx, g.readLimiter); err != nil {
 		return Row{}, false, err
 	}
 	g.count(func(n *CallCounts) { n.Reads++ })
 	started := time.Now()
 	row, ok, err := g.store.Get(ctx, key)
-	g.leave(err != nil && !errors.Is(ctx.Err(), context.Canceled), time.Since(started))
+	g.endCall(err != nil && !errors.Is(ctx.Err(), context.Canceled), time.Since(started))
 	return row, ok, err
 }
 
-// List reads rows within the budget.
+// List forwards a read of several rows within the limits.
 func (g *GuardedStore) List(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
-	if err := g.enter(ctx, g.reads); err != nil {
+	if err := g.beginCall(ctx, g.readLimiter); err != nil {
 		return nil, err
 	}
 	g.count(func(n *CallCounts) { n.Reads++ })
 	started := time.Now()
 	rows, err := g.store.List(ctx, prefix, after, limit)
-	g.leave(err != nil && !errors.Is(ctx.Err(), context.Canceled), time.Since(started))
+	g.endCall(err != nil && !errors.Is(ctx.Err(), context.Canceled), time.Since(started))
 	return rows, err
 }
 
@@ -158,142 +167,144 @@
 	change(&g.counts)
 }
 
-// enter waits for the budget and for a place among the calls in flight.
-func (g *GuardedStore) enter(ctx context.Context, limiter *rate.Limiter) error {
-	if !g.admit(time.Now()) {
+// beginCall waits for the rate limit and for a slot among the concurrent calls.
+func (g *GuardedStore) beginCall(ctx context.Context, limiter *rate.Limiter) error {
+	if !g.allow(time.Now()) {
 		g.count(func(n *CallCounts) { n.Refused++ })
 		return ErrCircuitOpen
 	}
 	if err := limiter.Wait(ctx); err != nil {
-		g.abandon()
+		g.abandonProbe()
 		return ErrBudgetExceeded
 	}
-	return g.acquire(ctx)
+	return g.acquireSlot(ctx)
 }
 
-// admit lets calls pass while the store answers; while it does not, one probe
-// once the pause is over.
-func (g *GuardedStore) admit(now time.Time) bool {
+// allow reports whether a call may be sent. While the circuit is open it allows
+// one call at a time, as a probe, from nextProbeAt on.
+func (g *GuardedStore) allow(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ramp(now)
-	if g.failures < openAfter {
+	g.updateRamp(now)
+	if g.consecutiveFailures < failureThreshold {
 		return true
 	}
-	if g.probing || now.Before(g.retryAt) {
+	if g.probing || now.Before(g.nextProbeAt) {
 		return false
 	}
 	g.probing = true
 	return true
 }
 
-// ramp raises the budget after an outage. The lock is held.
-func (g *GuardedStore) ramp(now time.Time) {
-	if g.rampFrom.IsZero() {
+// updateRamp raises the rate limits after an outage. The caller holds g.mu.
+func (g *GuardedStore) updateRamp(now time.Time) {
+	if g.rampStartedAt.IsZero() {
 		return
 	}
-	part := rampStart + (1-rampStart)*now.Sub(g.rampFrom).Seconds()/g.rampTime.Seconds()
-	if part >= 1 {
-		part = 1
-		g.rampFrom = time.Time{}
+	fraction := rampStartFraction + (1-rampStartFraction)*now.Sub(g.rampStartedAt).Seconds()/g.rampDuration.Seconds()
+	if fraction >= 1 {
+		fraction = 1
+		g.rampStartedAt = time.Time{}
 	}
-	g.reads.SetLimitAt(now, rate.Limit(part*g.budget.ReadsPerSecond))
-	g.writes.SetLimitAt(now, rate.Limit(part*g.budget.WritesPerSecond))
-	g.reads.SetBurstAt(now, burstOf(part*g.budget.ReadsPerSecond))
-	g.writes.SetBurstAt(now, burstOf(part*g.budget.WritesPerSecond))
+	g.readLimiter.SetLimitAt(now, rate.Limit(fraction*g.budget.ReadsPerSecond))
+	g.writeLimiter.SetLimitAt(now, rate.Limit(fraction*g.budget.WritesPerSecond))
+	g.readLimiter.SetBurstAt(now, burstSize(fraction*g.budget.ReadsPerSecond))
+	g.writeLimiter.SetBurstAt(now, burstSize(fraction*g.budget.WritesPerSecond))
 }
 
-func (g *GuardedStore) abandon() {
+func (g *GuardedStore) abandonProbe() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.probing = false
 }
 
-func (g *GuardedStore) acquire(ctx context.Context) error {
+func (g *GuardedStore) acquireSlot(ctx context.Context) error {
 	g.mu.Lock()
-	if float64(g.inFlight) < g.most {
+	if float64(g.inFlight) < g.concurrencyLimit {
 		g.inFlight++
 		g.mu.Unlock()
 		return nil
 	}
-	turn := make(chan struct{})
-	g.waiters = append(g.waiters, turn)
+	slot := make(chan struct{})
+	g.waiters = append(g.waiters, slot)
 	g.mu.Unlock()
 	select {
-	case <-turn:
+	case <-slot:
 		return nil
 	case <-ctx.Done():
-		g.giveUp(turn)
+		g.cancelWait(slot)
 		return ErrBudgetExceeded
 	}
 }
 
-// giveUp leaves the queue; a turn that came meanwhile is passed on.
-func (g *GuardedStore) giveUp(turn chan struct{}) {
+// cancelWait removes the slot's waiter from the queue. If the slot was granted
+// in the meantime, it goes to the next waiter.
+func (g *GuardedStore) cancelWait(slot chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.probing = false
 	for i, waiter := range g.waiters {
-		if waiter == turn {
+		if waiter == slot {
 			g.waiters = append(g.waiters[:i], g.waiters[i+1:]...)
 			return
 		}
 	}
 	g.inFlight--
-	g.wake()
+	g.wakeWaiters()
 }
 
-// wake gives free places to those who wait. The lock is held.
-func (g *GuardedStore) wake() {
-	for len(g.waiters) > 0 && float64(g.inFlight) < g.most {
+// wakeWaiters grants free slots to waiters. The caller holds g.mu.
+func (g *GuardedStore) wakeWaiters() {
+	for len(g.waiters) > 0 && float64(g.inFlight) < g.concurrencyLimit {
 		close(g.waiters[0])
 		g.waiters = g.waiters[1:]
 		g.inFlight++
 	}
 }
 
-// leave ends a call and learns from it.
-func (g *GuardedStore) leave(failed bool, took time.Duration) {
+// endCall releases the call's slot, and updates the concurrency limit and the
+// circuit breaker from its result.
+func (g *GuardedStore) endCall(failed bool, duration time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
 	now := time.Now()
 	switch {
 	case failed:
-		g.fail(now)
-	case took > slowCall:
-		g.succeed(now)
-		g.most = max(leastInFlight, g.most*shrink)
+		g.recordFailure(now)
+	case duration > slowCallThreshold:
+		g.recordSuccess(now)
+		g.concurrencyLimit = max(minConcurrencyLimit, g.concurrencyLimit*decreaseFactor)
 	default:
-		g.succeed(now)
-		g.most = min(mostInFlight, g.most+1/g.most)
+		g.recordSuccess(now)
+		g.concurrencyLimit = min(maxConcurrencyLimit, g.concurrencyLimit+1/g.concurrencyLimit)
 	}
 	g.probing = false
-	g.wake()
+	g.wakeWaiters()
 }
 
-func (g *GuardedStore) fail(now time.Time) {
+func (g *GuardedStore) recordFailure(now time.Time) {
 	g.counts.Failed++
-	if g.failures == 0 {
-		g.downSince = now
+	if g.consecutiveFailures == 0 {
+		g.failingSince = now
 	}
-	g.failures++
-	g.most = max(leastInFlight, g.most*shrink)
-	if g.failures < openAfter {
+	g.consecutiveFailures++
+	g.concurrencyLimit = max(minConcurrencyLimit, g.concurrencyLimit*decreaseFactor)
+	if g.consecutiveFailures < failureThreshold {
 		return
 	}
-	bound := min(firstOpen<<min(g.opened, 8), mostOpen)
-	g.retryAt = now.Add(time.Duration(rand.Int64N(int64(bound)) + 1))
-	g.opened++
+	bound := min(initialOpenTime<<min(g.consecutiveOpens, 8), maxOpenTime)
+	g.nextProbeAt = now.Add(time.Duration(rand.Int64N(int64(bound)) + 1))
+	g.consecutiveOpens++
 	g.counts.Opened++
 }
 
-func (g *GuardedStore) succeed(now time.Time) {
-	if g.failures >= openAfter {
-		g.rampFrom = now
-		g.rampTime = min(max(now.Sub(g.downSince), leastRamp), mostRamp)
-		g.ramp(now)
+func (g *GuardedStore) recordSuccess(now time.Time) {
+	if g.consecutiveFailures >= failureThreshold {
+		g.rampStartedAt = now
+		g.rampDuration = min(max(now.Sub(g.failingSince), minRampTime), maxRampTime)
+		g.updateRamp(now)
 	}
-	g.failures = 0
-	g.opened = 0
+	g.consecutiveFailures = 0
+	g.consecutiveOpens = 0
 }
--- a/pkg/table/guard_test.go
+++ b/pkg/table/guard_test.go
@@ -11,9 +11,9 @@
 	"ironhollow/pkg/table"
 )
 
-// TestGuardSparesAStoreThatComesBack has callers ask all the time through an
-// outage of an hour, and counts what reaches the store.
-func TestGuardSparesAStoreThatComesBack(t *testing.T) {
+// TestGuardedStoreLimitsLoadDuringAndAfterOutage counts the calls that reach the
+// store while 20 callers keep reading before, during and after an outage of an hour.
+func TestGuardedStoreLimitsLoadDuringAndAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		guard := table.NewGuardedStore(store, table.Budget{ReadsPerSecond: 50, WritesPerSecond: 30})
@@ -21,22 +21,22 @@
 		for range 20 {
 			go func() {
 				for ctx.Err() == nil {
-					call, done := context.WithTimeout(ctx, time.Second)
-					_, _, _ = guard.Get(call, "k")
-					done()
+					callCtx, cancelCall := context.WithTimeout(ctx, time.Second)
+					_, _, _ = guard.Get(callCtx, "k")
+					cancelCall()
 					time.Sleep(100 * time.Millisecond)
 				}
 			}()
 		}
 		time.Sleep(time.Minute)
 		if got := store.Count(tables.OperationGet); got < 45*60 || got > 51*60+100 {
-			t.Errorf("reads in a minute at 200 asked for: got %d, want the budget of 50 a second", got)
+			t.Errorf("reads in a minute at 200 requested per second: got %d, want the budget of 50 per second", got)
 		}
 		store.SetFaults(func(tables.Call) tables.Fault { return tables.Down{} })
 		before := store.Count(tables.OperationGet)
 		time.Sleep(time.Hour)
 		if got := store.Count(tables.OperationGet) - before; got > 600 {
-			t.Errorf("reads during the outage: got %d, want one probe in some seconds", got)
+			t.Errorf("reads during the outage: got %d, want one probe every few seconds", got)
 		}
 		store.SetFaults(nil)
 		for guard.CircuitOpen() {
@@ -50,15 +50,16 @@
 		time.Sleep(time.Second)
 		full := store.Count(tables.OperationGet) - before
 		if first > 15 || full < 45 {
-			t.Errorf("reads in the first second: got %d, want few; after half a minute: got %d, want the budget", first, full)
+			t.Errorf("reads in the first second: got %d, want 15 or fewer; after half a minute: got %d, want 45 or more", first, full)
 		}
 		cancel()
 		time.Sleep(5 * time.Second)
 	})
 }
 
-// TestGuardRefusesAtOnceWhileTheStoreIsDown tells "not sent" from "unknown".
-func TestGuardRefusesAtOnceWhileTheStoreIsDown(t *testing.T) {
+// TestGuardedStoreRejectsCallsWhileCircuitIsOpen checks that commits the store did
+// not answer are Unknown, and that commits not sent are Refused.
+func TestGuardedStoreRejectsCallsWhileCircuitIsOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := tables.New()
 		store.SetFaults(func(tables.Call) tables.Fault { return tables.Down{} })
@@ -66,13 +67,13 @@
 		write := table.Commit{Writes: []table.Write{{Key: "k", If: table.Absent{}}}}
 		for range 5 {
 			if _, ok := guard.Commit(context.Background(), write).(table.Unknown); !ok {
-				t.Fatal("a commit the store did not answer: want Unknown")
+				t.Fatal("commit that the store did not answer: want Unknown")
 			}
 		}
-		begun := time.Now()
+		started := time.Now()
 		refused, ok := guard.Commit(context.Background(), write).(table.Refused)
-		if !ok || !errors.Is(refused.Err, table.ErrCircuitOpen) || time.Since(begun) != 0 {
-			t.Errorf("after five failures: got %v %v after %v, want Refused with ErrOpen at once", ok, refused.Err, time.Since(begun))
+		if !ok || !errors.Is(refused.Err, table.ErrCircuitOpen) || time.Since(started) != 0 {
+			t.Errorf("after five failures: got %v %v after %v, want Refused with ErrCircuitOpen immediately", ok, refused.Err, time.Since(started))
 		}
 		if got := store.Count(tables.OperationCommit); got != 5 {
 			t.Errorf("commits that reached the store: got %d, want 5", got)
--- a/pkg/table/main_test.go
+++ b/pkg/table/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests: the same verdict on each run.
+// TestMain sets a fixed seed for property tests, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20261202")
 	os.Exit(m.Run())
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,38 +1,38 @@
-// Package table is the edge to the platform's transactional table service.
-// A commit ends in one of three ways that are three types: Done, Refused and
-// Unknown. Nothing else in ironhollow may guess which of them it was.
+// Package table is the interface to the platform's transactional table service.
+// The outcome of a commit is one of three types: Committed, Refused and Unknown.
+// Other packages must rely on that type and not infer an outcome on their own.
 package table
 
 import "context"
 
-// Row is one row as read.
+// Row is a row read from the store.
 type Row struct {
 	// Key is never empty.
 	Key   string
 	Value []byte
-	// Version grows with every write of the row and is never reused.
+	// Version increases with every write of the row and is never reused.
 	Version int64
-	// Token names the commit that wrote the row.
+	// Token identifies the commit that wrote the row.
 	Token Token
 }
 
 // Token identifies one commit: the incarnation of its writer and a sequence
-// that the writer never reuses.
+// number that the writer never reuses.
 type Token struct {
 	Writer   string
 	Sequence int64
 }
 
-// Condition is what must hold of a row for a write to take effect.
+// Condition is a precondition on a row for a write to take effect.
 type Condition interface{ condition() }
 
-// Always puts no condition on the row.
+// Always holds for any row, and for a missing one.
 type Always struct{}
 
-// Absent asks that the row does not exist.
+// Absent requires that the row does not exist.
 type Absent struct{}
 
-// AtVersion asks that the row exists at exactly this version.
+// AtVersion requires that the row exists at exactly this version.
 type AtVersion struct{ Version int64 }
 
 func (Always) condition()    {}
@@ -46,7 +46,7 @@
 	If    Condition
 	// Delete removes the row; Value is then ignored.
 	Delete bool
-	// CheckOnly tests the condition and writes nothing.
+	// CheckOnly checks the condition without writing the row.
 	CheckOnly bool
 }
 
@@ -56,30 +56,31 @@
 	Writes []Write
 }
 
-// Outcome is the end of a commit.
+// Outcome is the result of a commit.
 type Outcome interface{ outcome() }
 
-// Committed says that the commit took effect.
+// Committed means that the commit took effect.
 type Committed struct{ Version int64 }
 
-// Refused says that the commit did not take effect and never will. Conflicts
-// is empty when the service turned it away for another reason, given in Err.
+// Refused means that the commit did not take effect and never will. Conflicts
+// holds the rows whose conditions failed; it is empty when the commit was refused
+// for another reason, given in Err.
 type Refused struct {
 	Conflicts []Row
 	Err       error
 }
 
-// Unknown says that the commit may have taken effect, or may yet.
+// Unknown means that the commit may have taken effect or may still do so.
 type Unknown struct{ Err error }
 
 func (Committed) outcome() {}
 func (Refused) outcome()   {}
 func (Unknown) outcome()   {}
 
-// Store is the table service. For a missing row, Get returns ok false and a Version
-// less than that of any row written later. List
-// returns rows with the prefix and a key greater than after, in key order, at
-// most limit of them. Errors are those of the transport or an outage.
+// Store is the table service. For a missing row, Get returns ok false and a row
+// whose Version is less than that of any row written later. List returns at most
+// limit rows, in key order, that have the prefix and a key greater than after.
+// Errors come from the transport or from an outage of the service.
 type Store interface {
 	Commit(ctx context.Context, c Commit) Outcome
 	Get(ctx context.Context, key string) (row Row, ok bool, err error)
--- a/pkg/table/tablehttp/client.go
+++ b/pkg/table/tablehttp/client.go
@@ -16,24 +16,25 @@
 	"ironhollow/pkg/table"
 )
 
-// maxAnswer bounds what is read of one answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits how much of one response body is read.
+const maxResponseBytes = 64 << 20
 
 // Client is a table.Store over HTTP.
 type Client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration
+	baseURL    string
+	httpClient *http.Client
+	timeout    time.Duration
 }
 
-// NewClient returns a client of the table service at address, an IP number and port.
-// No call takes longer than timeout.
+// NewClient returns a client of the table service at address, an IP address and
+// port. The timeout applies to each call.
 func NewClient(address string, timeout time.Duration, client *http.Client) *Client {
-	return &Client{base: "http://" + address, http: client, timeout: timeout}
+	return &Client{baseURL: "http://" + address, httpClient: client, timeout: timeout}
 }
 
-// Commit sends a commit once. An answer that can't be had after bytes may have
-// left is Unknown; only a failed dial or the service's own word is Refused.
+// Commit sends a commit once. The outcome is Refused only if the request could not
+// be created, the connection could not be opened or the service refused the commit.
+// After any other error the request may have been sent, so the outcome is Unknown.
 func (c *Client) Commit(ctx context.Context, commit table.Commit) table.Outcome {
 	body, err := json.Marshal(FromCommit(commit))
 	if err != nil {
@@ -41,29 +42,29 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+PathCommit, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+PathCommit, bytes.NewReader(body))
 	if err != nil {
 		return table.Refused{Err: err}
 	}
-	// The transport must not resend a commit on its own.
+	// Without GetBody the transport cannot send the commit again on its own.
 	request.GetBody = nil
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
-		return outcomeOfError(err)
+		return outcomeFromError(err)
 	}
-	defer drainClose(response.Body)
-	return outcomeOfAnswer(response)
+	defer drainAndClose(response.Body)
+	return outcomeFromResponse(response)
 }
 
-func outcomeOfError(err error) table.Outcome {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+func outcomeFromError(err error) table.Outcome {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return table.Refused{Err: err}
 	}
 	return table.Unknown{Err: err}
 }
 
-func outcomeOfAnswer(response *http.Response) table.Outcome {
+func outcomeFromResponse(response *http.Response) table.Outcome {
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusConflict:
 	case http.StatusTooManyRequests, http.StatusBadRequest:
@@ -72,7 +73,7 @@
 		return table.Unknown{Err: fmt.Errorf("table: %s", response.Status)}
 	}
 	var result Result
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(&result); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(&result); err != nil {
 		return table.Unknown{Err: err}
 	}
 	if response.StatusCode == http.StatusOK {
@@ -99,26 +100,27 @@
 func (c *Client) read(ctx context.Context, path string, target any) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.baseURL+path, nil)
 	if err != nil {
 		return false, err
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return false, err
 	}
-	defer drainClose(response.Body)
+	defer drainAndClose(response.Body)
 	switch response.StatusCode {
 	case http.StatusOK:
-		return true, json.NewDecoder(io.LimitReader(response.Body, maxAnswer)).Decode(target)
+		return true, json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(target)
 	case http.StatusNotFound:
 		return false, nil
 	}
 	return false, fmt.Errorf("table: %s", response.Status)
 }
 
-// drainClose lets the connection be used again.
-func drainClose(body io.ReadCloser) {
+// drainAndClose reads up to 64 KiB of the rest of the body before it closes it, so
+// that the connection can be reused.
+func drainAndClose(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, 1<<16))
 	_ = body.Close()
 }
--- a/pkg/table/tablehttp/messages.go
+++ b/pkg/table/tablehttp/messages.go
@@ -1,5 +1,5 @@
-// Package tablehttp is the table service's protocol: JSON over HTTP. The
-// client speaks it and the stand-in serves it.
+// Package tablehttp implements the table service's protocol, JSON over HTTP: the
+// client, and the messages that the stand-in for the service uses too.
 package tablehttp
 
 import "ironhollow/pkg/table"
@@ -11,14 +11,14 @@
 	PathRows   = "/v1/rows"
 )
 
-// Conditions as sent.
+// Values of Write.If.
 const (
-	ifAlways  = "always"
-	ifAbsent  = "absent"
-	ifVersion = "version"
+	conditionAlways  = "always"
+	conditionAbsent  = "absent"
+	conditionVersion = "version"
 )
 
-// Row is a row as sent.
+// Row is the wire form of table.Row.
 type Row struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -27,45 +27,46 @@
 	Sequence int64  `json:"sequence"`
 }
 
-// Write is a write as sent.
+// Write is the wire form of table.Write.
 type Write struct {
-	Key     string `json:"key"`
-	Value   []byte `json:"value,omitempty"`
-	If      string `json:"if"`
-	Version int64  `json:"version,omitempty"`
-	Delete  bool   `json:"delete,omitempty"`
-	Check   bool   `json:"check,omitempty"`
+	Key       string `json:"key"`
+	Value     []byte `json:"value,omitempty"`
+	If        string `json:"if"`
+	Version   int64  `json:"version,omitempty"`
+	Delete    bool   `json:"delete,omitempty"`
+	CheckOnly bool   `json:"check,omitempty"`
 }
 
-// Commit is a commit as sent.
+// Commit is the wire form of table.Commit.
 type Commit struct {
 	Writer   string  `json:"writer"`
 	Sequence int64   `json:"sequence"`
 	Writes   []Write `json:"writes"`
 }
 
-// Result answers a commit: a version, or the rows that stood against it.
+// Result is the response to a commit: the new version, or the rows whose conditions
+// failed.
 type Result struct {
 	Version   int64 `json:"version"`
 	Conflicts []Row `json:"conflicts,omitempty"`
 }
 
-// Rows answers a listing.
+// Rows is the response to a list request.
 type Rows struct {
 	Rows []Row `json:"rows"`
 }
 
-// FromRow maps a domain row.
+// FromRow converts a table.Row to its wire form.
 func FromRow(r table.Row) Row {
 	return Row{r.Key, r.Value, r.Version, r.Token.Writer, r.Token.Sequence}
 }
 
-// TableRow maps back to a domain row.
+// TableRow converts r to a table.Row.
 func (r Row) TableRow() table.Row {
 	return table.Row{Key: r.Key, Value: r.Value, Version: r.Version, Token: table.Token{Writer: r.Writer, Sequence: r.Sequence}}
 }
 
-// FromRows maps domain rows.
+// FromRows converts table.Rows to their wire form.
 func FromRows(rows []table.Row) []Row {
 	out := make([]Row, len(rows))
 	for i, r := range rows {
@@ -74,7 +75,7 @@
 	return out
 }
 
-// TableRows maps back to domain rows.
+// TableRows converts rows to table.Rows.
 func TableRows(rows []Row) []table.Row {
 	out := make([]table.Row, len(rows))
 	for i, r := range rows {
@@ -83,34 +84,34 @@
 	return out
 }
 
-// FromCommit maps a domain commit.
+// FromCommit converts a table.Commit to its wire form.
 func FromCommit(c table.Commit) Commit {
 	out := Commit{Writer: c.Token.Writer, Sequence: c.Token.Sequence}
 	for _, w := range c.Writes {
-		sent := Write{Key: w.Key, Value: w.Value, Delete: w.Delete, Check: w.CheckOnly}
-		switch cond := w.If.(type) {
+		write := Write{Key: w.Key, Value: w.Value, Delete: w.Delete, CheckOnly: w.CheckOnly}
+		switch condition := w.If.(type) {
 		case table.Absent:
-			sent.If = ifAbsent
+			write.If = conditionAbsent
 		case table.AtVersion:
-			sent.If = ifVersion
-			sent.Version = cond.Version
+			write.If = conditionVersion
+			write.Version = condition.Version
 		default:
-			sent.If = ifAlways
+			write.If = conditionAlways
 		}
-		out.Writes = append(out.Writes, sent)
+		out.Writes = append(out.Writes, write)
 	}
 	return out
 }
 
-// TableCommit maps back to a domain commit.
+// TableCommit converts c to a table.Commit.
 func (c Commit) TableCommit() table.Commit {
 	out := table.Commit{Token: table.Token{Writer: c.Writer, Sequence: c.Sequence}}
 	for _, w := range c.Writes {
-		write := table.Write{Key: w.Key, Value: w.Value, Delete: w.Delete, CheckOnly: w.Check, If: table.Always{}}
+		write := table.Write{Key: w.Key, Value: w.Value, Delete: w.Delete, CheckOnly: w.CheckOnly, If: table.Always{}}
 		switch w.If {
-		case ifAbsent:
+		case conditionAbsent:
 			write.If = table.Absent{}
-		case ifVersion:
+		case conditionVersion:
 			write.If = table.AtVersion{Version: w.Version}
 		}
 		out.Writes = append(out.Writes, write)
--- a/pkg/table/writer.go
+++ b/pkg/table/writer.go
@@ -11,39 +11,39 @@
 	"ironhollow/pkg/pause"
 )
 
-// Writer makes commits whose unknown outcomes are resolved by reading back.
+// Writer commits writes and resolves unknown outcomes by reading back the rows.
 type Writer struct {
 	store Store
-	// incarnation is unique to this start of the process.
+	// incarnation is unique to this run of the process.
 	incarnation string
 	sequence    atomic.Int64
 }
 
-// NewWriter returns a writer; incarnation must be unique to this process start.
+// NewWriter returns a writer. The incarnation must be unique to this run of the process.
 func NewWriter(store Store, incarnation string) *Writer {
 	return &Writer{store: store, incarnation: incarnation}
 }
 
-// Store returns the store the writer writes to.
+// Store returns the store that the writer commits to.
 func (w *Writer) Store() Store { return w.store }
 
-// Incarnation returns the writer's name in tokens.
+// Incarnation returns the value that identifies the writer in its tokens.
 func (w *Writer) Incarnation() string { return w.incarnation }
 
-// errOverwritten marks a commit whose first row another writer has since
-// changed, so that its fate can't be read back.
+// errOverwritten is the error of a commit whose outcome cannot be determined by
+// reading, because another writer has since changed its first row.
 var errOverwritten = errors.New("row was overwritten before the outcome was known")
 
-// Commit commits the writes. After an unknown outcome it reads the first row
-// that was to be written and decides, resending while the row is unchanged,
-// until ctx ends. Resending is safe because every write is conditional; a
-// commit with an Always condition must be harmless when repeated.
+// Commit commits the writes. While the outcome is unknown, it reads the first row
+// that the commit writes to determine the outcome, and sends the commit again if
+// that row is unchanged, until ctx ends. Sending it again is safe because every
+// write is conditional; a write with an Always condition must be idempotent.
 //
-// Refused after an unknown outcome is returned only where it is certain: the
-// row is at a version other than the one asked for, so that no copy of this
-// commit still under way can take effect, and it does not bear our token. For
-// rows that others may overwrite after us that is not certain, and the
-// outcome stays Unknown.
+// After an unknown outcome Commit returns Refused only if that is certain: the
+// row no longer meets the condition, so that no copy of this commit in transit can
+// still take effect, and the row does not have this commit's token. This is not
+// certain for rows that other writers may overwrite after this commit; then
+// the outcome stays Unknown.
 func (w *Writer) Commit(ctx context.Context, writes ...Write) Outcome {
 	c := Commit{Token: Token{w.incarnation, w.sequence.Add(1)}, Writes: writes}
 	outcome := w.store.Commit(ctx, c)
@@ -60,9 +60,10 @@
 	}
 }
 
-// resolve decides an unknown outcome by reading, resending if still possible.
+// resolve determines an unknown outcome by reading the first written row, and
+// sends the commit again if that row still meets its condition.
 func (w *Writer) resolve(ctx context.Context, c Commit) Outcome {
-	first := firstWritten(c.Writes)
+	first := firstUpsert(c.Writes)
 	row, ok, err := w.store.Get(ctx, first.Key)
 	if err != nil {
 		return Unknown{err}
@@ -70,14 +71,14 @@
 	if ok && row.Token == c.Token {
 		return Committed{row.Version}
 	}
-	if !stillPossible(first.If, row, ok) {
-		return afterOverwrite(first, row, ok)
+	if !conditionHolds(first.If, row, ok) {
+		return outcomeAfterOverwrite(first, row, ok)
 	}
 	return w.resend(ctx, c, first)
 }
 
-// resend sends the commit once more. A conflict now may come of an earlier copy
-// that took effect in between, even one that was overwritten since.
+// resend sends the commit once more. A conflict may then be caused by an earlier
+// copy that took effect in the meantime, even if it has been overwritten since.
 func (w *Writer) resend(ctx context.Context, c Commit, first Write) Outcome {
 	outcome := w.store.Commit(ctx, c)
 	refused, ok := outcome.(Refused)
@@ -85,7 +86,7 @@
 		return outcome
 	}
 	if len(refused.Conflicts) == 0 {
-		// This copy was turned away, but an earlier one may still be under way.
+		// This copy was refused, but an earlier one may still be in transit.
 		return Unknown{refused.Err}
 	}
 	for _, row := range refused.Conflicts {
@@ -93,19 +94,22 @@
 			return Committed{row.Version}
 		}
 		if row.Key == first.Key {
-			return afterOverwrite(first, row, row.Version != 0)
+			return outcomeAfterOverwrite(first, row, row.Version != 0)
 		}
 	}
-	// The first row is as it was, so no copy took effect, and the other rows'
-	// versions never come back.
+	// The first row is unchanged, so no copy took effect. None will, because
+	// versions are not reused and the conflicting rows cannot return to the
+	// versions that the commit requires.
 	return refused
 }
 
-// afterOverwrite judges a row that moved on under another writer's token. An
-// Absent row that another created first was never ours: rows made under that
-// condition are not deleted by anyone while their maker waits. A versioned row
-// may have been ours in between.
-func afterOverwrite(first Write, row Row, exists bool) Outcome {
+// outcomeAfterOverwrite returns the outcome for a row that another writer has
+// changed. If the condition was Absent and the row exists, the other writer
+// created it first and this commit never took effect, because no one deletes a row
+// created under that condition while its creator waits for the outcome. With a
+// version condition, this commit may have taken effect before the row was
+// overwritten.
+func outcomeAfterOverwrite(first Write, row Row, exists bool) Outcome {
 	_, wasInsert := first.If.(Absent)
 	if wasInsert && exists {
 		return Refused{Conflicts: []Row{row}}
@@ -113,7 +117,7 @@
 	return Unknown{errOverwritten}
 }
 
-func firstWritten(writes []Write) Write {
+func firstUpsert(writes []Write) Write {
 	for _, write := range writes {
 		if !write.CheckOnly && !write.Delete {
 			return write
@@ -122,7 +126,7 @@
 	return writes[0]
 }
 
-func stillPossible(c Condition, row Row, exists bool) bool {
+func conditionHolds(c Condition, row Row, exists bool) bool {
 	switch c := c.(type) {
 	case Absent:
 		return !exists
@@ -133,16 +137,16 @@
 	}
 }
 
-// Delays between attempts to resolve an unknown outcome.
+// Bounds of the backoff between attempts to resolve an unknown outcome.
 const (
-	firstPause = 50 * time.Millisecond
-	mostPause  = 2 * time.Second
+	initialResolveDelay = 50 * time.Millisecond
+	maxResolveDelay     = 2 * time.Second
 )
 
 func newBackoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstPause
-	b.MaxInterval = mostPause
+	b.InitialInterval = initialResolveDelay
+	b.MaxInterval = maxResolveDelay
 	b.RandomizationFactor = 0.5
 	return b
 }
--- a/pkg/table/writer_test.go
+++ b/pkg/table/writer_test.go
@@ -12,16 +12,16 @@
 	"ironhollow/pkg/table"
 )
 
-// commitTime bounds each commit of these tests, in the bubble's own time.
-const commitTime = 5 * time.Second
+// commitTimeout is the timeout of each commit, in the fake time of synctest.
+const commitTimeout = 5 * time.Second
 
 func commit(w *table.Writer, writes ...table.Write) table.Outcome {
-	ctx, cancel := context.WithTimeout(context.Background(), commitTime)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	return w.Commit(ctx, writes...)
 }
 
-// faultAt returns faults in which only the n-th call is befallen.
+// faultAt returns a function that injects f into the n-th call only.
 func faultAt(n int64, f tables.Fault) func(tables.Call) tables.Fault {
 	return func(c tables.Call) tables.Fault {
 		if c.Number == n {
@@ -36,9 +36,9 @@
 		name  string
 		fault tables.Fault
 	}{
-		{"the answer is lost after the write took effect", tables.LoseAnswer{}},
+		{"the response is lost after the write took effect", tables.LoseAnswer{}},
 		{"the request is lost", tables.Down{}},
-		{"the write takes effect long after its answer was given up", tables.Late{For: 30 * time.Millisecond}},
+		{"the write takes effect after its caller stopped waiting", tables.Late{For: 30 * time.Millisecond}},
 		{"the write takes effect while it is being resolved", tables.Late{For: 300 * time.Millisecond}},
 	}
 	for _, c := range cases {
@@ -61,14 +61,14 @@
 	}
 }
 
-// TestCommitsNeverContradictTheStore has several writers add to one counter
-// under faults at any call. Whatever the faults, a writer that was told Done
-// is in the count, one told Refused is not, and the count is neither less than
-// the Done ones nor more than those and the Unknown ones.
-func TestCommitsNeverContradictTheStore(t *testing.T) {
+// TestOutcomesAgreeWithStoredRows has two writers insert rows while the store
+// injects faults at any call. There must be at least as many rows as Committed
+// outcomes, at most as many as Committed and Unknown ones together, and no row
+// for a Refused outcome.
+func TestOutcomesAgreeWithStoredRows(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.IntRange(0, 7), 1, 40).Draw(rt, "faults")
-		done, unknown, refused := 0, 0, map[string]bool{}
+		committed, unknown, refused := 0, 0, map[string]bool{}
 		var rows []table.Row
 		synctest.Test(t, func(*testing.T) {
 			store := tables.New()
@@ -90,7 +90,7 @@
 				key := string(rune('a' + i))
 				switch commit(writers[i%2], table.Write{Key: key, Value: []byte(key), If: table.Absent{}}).(type) {
 				case table.Committed:
-					done++
+					committed++
 				case table.Unknown:
 					unknown++
 				case table.Refused:
@@ -101,12 +101,12 @@
 			store.SetFaults(nil)
 			rows, _ = store.List(context.Background(), "", "", 100)
 		})
-		if len(rows) < done || len(rows) > done+unknown {
-			rt.Fatalf("rows: got %d, want %d to %d", len(rows), done, done+unknown)
+		if len(rows) < committed || len(rows) > committed+unknown {
+			rt.Fatalf("rows: got %d, want %d to %d", len(rows), committed, committed+unknown)
 		}
 		for _, row := range rows {
 			if refused[row.Key] {
-				rt.Fatalf("row %s: got a row, want none after Refused", row.Key)
+				rt.Fatalf("row %s exists, want none after Refused", row.Key)
 			}
 		}
 	})
