--- a/pkg/config/publisher.go
+++ b/pkg/config/publisher.go
@@ -17,12 +17,12 @@
 	sectionPrefix = "config/section/"
 )
 
-// listPage is how many rows one read of the store asks for.
-const listPage = 500
+// listPageSize is the maximum number of rows per List call.
+const listPageSize = 500
 
 func changeKey(revision int64) string { return fmt.Sprintf("%s%012d", changePrefix, revision) }
 
-// storedSection, storedChange and storedHead are the rows' JSON.
+// storedSection, storedChange and storedHead are the JSON values of the rows.
 type storedSection struct {
 	Kind     string `json:"kind"`
 	Name     string `json:"name"`
@@ -32,9 +32,9 @@
 
 type storedChange struct {
 	Revision int64 `json:"revision"`
-	// Request is the operator's own name for the apply.
-	Request  string          `json:"request"`
-	Sections []storedSection `json:"sections"`
+	// RequestID is chosen by the operator's client and identifies the apply request.
+	RequestID string          `json:"request"`
+	Sections  []storedSection `json:"sections"`
 }
 
 type storedHead struct {
@@ -46,10 +46,10 @@
 	writer *table.Writer
 }
 
-// NewStore returns the configuration's part of the table service.
+// NewStore returns a Store that reads and writes through writer.
 func NewStore(writer *table.Writer) *Store { return &Store{writer: writer} }
 
-// Head returns the latest revision in the store, 0 for none.
+// Head returns the latest revision in the store, or 0 if there is none.
 func (s *Store) Head(ctx context.Context) (int64, error) {
 	revision, _, err := s.head(ctx)
 	return revision, err
@@ -67,9 +67,9 @@
 	return head.Revision, row.Version, nil
 }
 
-// Changes returns the changes after a revision, oldest first, a page at most.
+// Changes returns the changes after a revision, oldest first, at most listPageSize.
 func (s *Store) Changes(ctx context.Context, after int64) ([]Change, error) {
-	rows, err := s.writer.Store().List(ctx, changePrefix, changeKey(after), listPage)
+	rows, err := s.writer.Store().List(ctx, changePrefix, changeKey(after), listPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -79,21 +79,20 @@
 		if err != nil {
 			return nil, err
 		}
-		changes = append(changes, Change{Revision: stored.Revision, Sections: domainSections(stored.Sections)})
+		changes = append(changes, Change{Revision: stored.Revision, Sections: toSections(stored.Sections)})
 	}
 	return changes, nil
 }
 
-// Load brings a holder to the store's latest revision. A holder with nothing
-// reads all sections, then the changes since it began: the listing may catch
-// sections of a later revision, and the changes put that right.
+// Load updates a holder to the store's latest revision. An empty holder first
+// gets a snapshot of all sections; later revisions are applied as changes.
 func (s *Store) Load(ctx context.Context, h *Holder) error {
 	head, err := s.Head(ctx)
 	if err != nil {
 		return err
 	}
 	if h.Current().Revision() == 0 && head > 0 {
-		if err := s.loadWhole(ctx, h); err != nil {
+		if err := s.loadSnapshot(ctx, h); err != nil {
 			return err
 		}
 	}
@@ -114,8 +113,10 @@
 	return nil
 }
 
-// loadWhole reads every section between two equal reads of the head.
-func (s *Store) loadWhole(ctx context.Context, h *Holder) error {
+// loadSnapshot reads all sections and applies them as a snapshot. A listing may
+// mix sections of several revisions, so it is repeated until the head is the same
+// before and after.
+func (s *Store) loadSnapshot(ctx context.Context, h *Holder) error {
 	for {
 		before, err := s.Head(ctx)
 		if err != nil {
@@ -140,7 +141,7 @@
 	var all []storedSection
 	last := ""
 	for {
-		rows, err := s.writer.Store().List(ctx, sectionPrefix, last, listPage)
+		rows, err := s.writer.Store().List(ctx, sectionPrefix, last, listPageSize)
 		if err != nil {
 			return nil, err
 		}
@@ -152,25 +153,27 @@
 			all = append(all, stored)
 			last = row.Key
 		}
-		if len(rows) < listPage {
-			return domainSections(all), nil
+		if len(rows) < listPageSize {
+			return toSections(all), nil
 		}
 	}
 }
 
-// Publish writes the sections as the revision after seen. It is done at most
-// once for one request name: a repeated request finds its own change and gets
-// that revision again. Errors carry RevisionConflict, ApplyUnknown or StoreDown.
-func (s *Store) Publish(ctx context.Context, seen int64, request string, next []fleet.Section) (int64, error) {
-	if _, err := fleet.Build(seen+1, next); err != nil {
+// Publish writes the sections as the revision after baseRevision. It takes effect
+// at most once per requestID: a repeated request finds its own change and returns
+// the same revision. If no section differs from the current ones, it writes nothing
+// and returns the current revision. Errors have the code BadConfig, RevisionConflict,
+// ApplyUnknown or StoreDown.
+func (s *Store) Publish(ctx context.Context, baseRevision int64, requestID string, next []fleet.Section) (int64, error) {
+	if _, err := fleet.Build(baseRevision+1, next); err != nil {
 		return 0, code.New(code.BadConfig, err.Error())
 	}
-	head, version, err := s.head(ctx)
+	head, headVersion, err := s.head(ctx)
 	if err != nil {
 		return 0, code.New(code.StoreDown, err.Error())
 	}
-	if head != seen {
-		return s.settleRace(ctx, seen, head, request)
+	if head != baseRevision {
+		return s.resolveConflict(ctx, baseRevision, head, requestID)
 	}
 	old, err := s.sections(ctx)
 	if err != nil {
@@ -180,24 +183,26 @@
 	if len(changed) == 0 && head > 0 {
 		return head, nil
 	}
-	revision := seen + 1
-	switch outcome := s.writer.Commit(ctx, revisionWrites(revision, version, request, changed)...).(type) {
+	revision := baseRevision + 1
+	switch outcome := s.writer.Commit(ctx, revisionWrites(revision, headVersion, requestID, changed)...).(type) {
 	case table.Committed:
 		return revision, nil
 	case table.Refused:
 		if len(outcome.Conflicts) == 0 {
 			return 0, code.New(code.StoreDown, fmt.Sprint(outcome.Err))
 		}
-		return s.settleRace(ctx, seen, revision, request)
+		return s.resolveConflict(ctx, baseRevision, revision, requestID)
 	case table.Unknown:
 		return 0, code.New(code.ApplyUnknown, fmt.Sprintf("revision %d: %v", revision, outcome.Err))
 	}
 	panic("table: unknown outcome type")
 }
 
-// settleRace tells a lost race from a repeat of a request that won it before.
-func (s *Store) settleRace(ctx context.Context, seen, head int64, request string) (int64, error) {
-	row, ok, err := s.writer.Store().Get(ctx, changeKey(seen+1))
+// resolveConflict handles a base revision that is no longer the latest. It returns
+// the next revision if an earlier attempt of the same request wrote it, and a
+// RevisionConflict error otherwise.
+func (s *Store) resolveConflict(ctx context.Context, baseRevision, currentRevision int64, requestID string) (int64, error) {
+	row, ok, err := s.writer.Store().Get(ctx, changeKey(baseRevision+1))
 	if err != nil {
 		return 0, code.New(code.StoreDown, err.Error())
 	}
@@ -206,23 +211,24 @@
 		if err != nil {
 			return 0, err
 		}
-		if stored.Request == request {
+		if stored.RequestID == requestID {
 			return stored.Revision, nil
 		}
 	}
-	return 0, code.New(code.RevisionConflict, fmt.Sprintf("revision %d was seen, but %d is in force", seen, head))
+	return 0, code.New(code.RevisionConflict, fmt.Sprintf("revision %d was seen, but %d is in force", baseRevision, currentRevision))
 }
 
-// revisionWrites puts the change row first: its insert is what decides an
-// unknown outcome, since change rows are never overwritten.
-func revisionWrites(revision, headVersion int64, request string, changed []fleet.Section) []table.Write {
-	stored := storedChange{Revision: revision, Request: request}
+// revisionWrites returns the writes of one revision. The change row is first,
+// because table.Writer resolves unknown outcomes by reading the first row and change
+// rows are never overwritten.
+func revisionWrites(revision, headVersion int64, requestID string, changed []fleet.Section) []table.Write {
+	stored := storedChange{Revision: revision, RequestID: requestID}
 	writes := []table.Write{{Key: changeKey(revision), If: table.Absent{}}}
-	var headIf table.Condition = table.AtVersion{Version: headVersion}
+	var headCondition table.Condition = table.AtVersion{Version: headVersion}
 	if headVersion == 0 {
-		headIf = table.Absent{}
+		headCondition = table.Absent{}
 	}
-	writes = append(writes, table.Write{Key: headKey, Value: mustJSON(storedHead{revision}), If: headIf})
+	writes = append(writes, table.Write{Key: headKey, Value: mustJSON(storedHead{revision}), If: headCondition})
 	for _, section := range changed {
 		row := storedSection{section.Kind(), section.Name(), section.Body(), revision}
 		stored.Sections = append(stored.Sections, row)
@@ -245,7 +251,7 @@
 	return stored, nil
 }
 
-func domainSections(stored []storedSection) []fleet.Section {
+func toSections(stored []storedSection) []fleet.Section {
 	sections := make([]fleet.Section, len(stored))
 	for i, s := range stored {
 		sections[i] = fleet.NewSection(s.Kind, s.Name, s.Body)
@@ -256,7 +262,7 @@
 func mustJSON(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // Plain structs of strings and numbers.
+		panic(err) // Structs of strings and numbers can always be encoded.
 	}
 	return encoded
 }
