--- a/pkg/settings/schema.go
+++ b/pkg/settings/schema.go
@@ -11,14 +11,15 @@
 	"time"
 )
 
-// Schema is a JSON schema of an INI file: its properties are the sections, and
-// theirs are the keys. A section of type array is repeated: each [kind name]
-// in the file becomes one element with that name.
+// Schema is a JSON schema for an INI file. Its properties are the sections, and the
+// properties of those are the keys. A section of type array may occur several times
+// in a file: each [kind name] becomes one element with that name.
 type Schema struct {
 	root property
 }
 
-// property is the part of JSON schema that INI files need.
+// property is a property of a JSON schema, with the keywords used for INI files.
+// x-min and x-max are extensions that limit durations.
 type property struct {
 	Type        string              `json:"type"`
 	Format      string              `json:"format"`
@@ -34,7 +35,7 @@
 	MaxDuration string              `json:"x-max"`
 }
 
-// ParseSchema reads a JSON schema.
+// ParseSchema parses a JSON schema.
 func ParseSchema(data []byte) (Schema, error) {
 	var root property
 	if err := json.Unmarshal(data, &root); err != nil {
@@ -43,11 +44,11 @@
 	return Schema{root: root}, nil
 }
 
-// Read checks a file against the schema and decodes it, defaults filled in,
-// into target, a pointer to the struct generated from the schema. The error
-// is of type Problems when the file is at fault.
+// Read validates a file against the schema, fills in defaults and decodes the result
+// into target, a pointer to the struct generated from the schema. The error is of
+// type Problems if the file is invalid.
 func (s Schema) Read(file string, data []byte, target any) error {
-	sections, problems := parse(file, data)
+	sections, problems := parseDocument(file, data)
 	if sections == nil && len(problems) > 0 {
 		return problems
 	}
@@ -55,7 +56,7 @@
 	for _, sec := range sections {
 		problems = append(problems, s.readSection(file, sec, tree)...)
 	}
-	problems = append(problems, s.fillMissing(file, tree)...)
+	problems = append(problems, s.fillMissingSections(file, tree)...)
 	if len(problems) > 0 {
 		sort.SliceStable(problems, func(i, j int) bool { return problems[i].line < problems[j].line })
 		return problems
@@ -71,16 +72,16 @@
 }
 
 func (s Schema) readSection(file string, sec section, tree map[string]any) Problems {
-	kind, ok := s.root.Properties[sec.kind]
+	sectionSchema, ok := s.root.Properties[sec.kind]
 	if !ok {
 		return Problems{{file, sec.line, "[" + sec.kind + "]", "unknown section; valid: " + strings.Join(sortedKeys(s.root.Properties), ", ")}}
 	}
-	repeated := kind.Type == "array"
-	shape := kind
+	repeated := sectionSchema.Type == "array"
+	elementSchema := sectionSchema
 	if repeated {
-		shape = *kind.Items
+		elementSchema = *sectionSchema.Items
 	}
-	values, problems := readKeys(file, sec, shape)
+	values, problems := readKeys(file, sec, elementSchema)
 	switch {
 	case repeated && sec.name == "":
 		problems = append(problems, Problem{file, sec.line, "[" + sec.kind + "]", "needs a name: [" + sec.kind + " NAME]"})
@@ -96,13 +97,13 @@
 	return problems
 }
 
-func readKeys(file string, sec section, shape property) (map[string]any, Problems) {
+func readKeys(file string, sec section, sectionSchema property) (map[string]any, Problems) {
 	var problems Problems
 	values := map[string]any{}
 	for _, e := range sec.entries {
-		p, ok := shape.Properties[e.key]
+		p, ok := sectionSchema.Properties[e.key]
 		if !ok || e.key == "name" {
-			problems = append(problems, Problem{file, e.line, e.key, "unknown key; valid: " + strings.Join(keysBut(shape.Properties, "name"), ", ")})
+			problems = append(problems, Problem{file, e.line, e.key, "unknown key; valid: " + strings.Join(keysExcept(sectionSchema.Properties, "name"), ", ")})
 			continue
 		}
 		value, message := p.parse(e.value)
@@ -112,29 +113,30 @@
 		}
 		values[e.key] = value
 	}
-	return values, append(problems, fillKeys(file, sec.line, sec.kind, shape, sec.entries, values)...)
+	return values, append(problems, fillMissingKeys(file, sec.line, sec.kind, sectionSchema, sec.entries, values)...)
 }
 
-func fillKeys(file string, line int, kind string, shape property, given []entry, values map[string]any) Problems {
+func fillMissingKeys(file string, line int, kind string, sectionSchema property, entries []entry, values map[string]any) Problems {
 	var problems Problems
-	for _, key := range sortedKeys(shape.Properties) {
+	for _, key := range sortedKeys(sectionSchema.Properties) {
 		if _, ok := values[key]; ok {
 			continue
 		}
-		p := shape.Properties[key]
-		isGiven := slices.ContainsFunc(given, func(e entry) bool { return e.key == key })
+		p := sectionSchema.Properties[key]
+		isGiven := slices.ContainsFunc(entries, func(e entry) bool { return e.key == key })
 		switch {
 		case p.Default != nil:
 			values[key] = p.defaultValue()
-		case key != "name" && slices.Contains(shape.Required, key) && !isGiven:
-			problems = append(problems, Problem{file, line, key, "missing in [" + kind + "]; valid: " + p.valid()})
+		case key != "name" && slices.Contains(sectionSchema.Required, key) && !isGiven:
+			problems = append(problems, Problem{file, line, key, "missing in [" + kind + "]; valid: " + p.validText()})
 		}
 	}
 	return problems
 }
 
-// fillMissing gives sections that are absent their defaults.
-func (s Schema) fillMissing(file string, tree map[string]any) Problems {
+// fillMissingSections adds the sections that are not in the file, with their
+// defaults. It reports required keys of such sections at line 1.
+func (s Schema) fillMissingSections(file string, tree map[string]any) Problems {
 	var problems Problems
 	for _, kind := range sortedKeys(s.root.Properties) {
 		p := s.root.Properties[kind]
@@ -142,46 +144,46 @@
 			continue
 		}
 		values := map[string]any{}
-		problems = append(problems, fillKeys(file, 1, kind, p, nil, values)...)
+		problems = append(problems, fillMissingKeys(file, 1, kind, p, nil, values)...)
 		tree[kind] = values
 	}
 	return problems
 }
 
-// parse reads one value; the message is empty when it is valid.
+// parse converts the text of one value. The message is empty if it is valid.
 func (p property) parse(text string) (any, string) {
-	bad := "got " + strconv.Quote(text) + ", valid: " + p.valid()
+	invalid := "got " + strconv.Quote(text) + ", valid: " + p.validText()
 	switch p.Type {
 	case "integer":
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || !p.inRange(float64(n)) {
-			return nil, bad
+			return nil, invalid
 		}
 		return n, ""
 	case "number":
 		f, err := strconv.ParseFloat(text, 64)
 		if err != nil || !p.inRange(f) {
-			return nil, bad
+			return nil, invalid
 		}
 		return f, ""
 	case "boolean":
 		b, err := strconv.ParseBool(text)
 		if err != nil {
-			return nil, bad
+			return nil, invalid
 		}
 		return b, ""
 	case "array":
 		return p.parseList(text)
 	}
 	if !p.validString(text) {
-		return nil, bad
+		return nil, invalid
 	}
-	return p.encoded(text), ""
+	return p.encode(text), ""
 }
 
-// encoded gives a valid string in the form the generated structs take: a
-// duration is a number of nanoseconds there.
-func (p property) encoded(text string) any {
+// encode converts a valid string to the JSON value that the generated structs
+// expect. Durations are numbers of nanoseconds there.
+func (p property) encode(text string) any {
 	if p.Format != "duration" {
 		return text
 	}
@@ -192,13 +194,14 @@
 	return int64(d)
 }
 
-// defaultValue returns the default in the form the generated structs take.
+// defaultValue returns the default as the JSON value that the generated structs
+// expect.
 func (p property) defaultValue() any {
 	text, ok := p.Default.(string)
 	if !ok {
 		return p.Default
 	}
-	return p.encoded(text)
+	return p.encode(text)
 }
 
 func (p property) parseList(text string) (any, string) {
@@ -218,7 +221,7 @@
 }
 
 func (p property) inRange(f float64) bool {
-	if f != f {
+	if f != f { // NaN
 		return false
 	}
 	return (p.Minimum == nil || f >= *p.Minimum) && (p.Maximum == nil || f <= *p.Maximum)
@@ -244,21 +247,21 @@
 }
 
 func (p property) durationInRange(d time.Duration) bool {
-	least, err := time.ParseDuration(p.MinDuration)
-	if err == nil && d < least {
+	minimum, err := time.ParseDuration(p.MinDuration)
+	if err == nil && d < minimum {
 		return false
 	}
-	most, err := time.ParseDuration(p.MaxDuration)
-	return err != nil || d <= most
+	maximum, err := time.ParseDuration(p.MaxDuration)
+	return err != nil || d <= maximum
 }
 
-// valid describes the range of a key to its reader.
-func (p property) valid() string {
+// validText describes the valid values in error messages and comments.
+func (p property) validText() string {
 	switch {
 	case len(p.Enum) > 0:
 		return strings.Join(p.Enum, " | ")
 	case p.Type == "array":
-		return "a list, by commas, of: " + p.Items.valid()
+		return "a list, by commas, of: " + p.Items.validText()
 	case p.Type == "integer" || p.Type == "number":
 		return p.Type + p.rangeText()
 	case p.Format == "duration":
@@ -283,8 +286,8 @@
 	return ""
 }
 
-// Defaults renders a file with every section and key, its meaning and default:
-// what --print-defaults shows and the settings page is made from.
+// Defaults returns a file with the description and default of every section and
+// key. It is printed by --print-defaults and used to generate the settings page.
 func (s Schema) Defaults() string {
 	var b strings.Builder
 	for _, kind := range sortedKeys(s.root.Properties) {
@@ -295,9 +298,9 @@
 			p = *p.Items
 		}
 		fmt.Fprintf(&b, "# %s\n[%s]\n", p.Description, header)
-		for _, key := range keysBut(p.Properties, "name") {
+		for _, key := range keysExcept(p.Properties, "name") {
 			k := p.Properties[key]
-			fmt.Fprintf(&b, "# %s Valid: %s.\n", k.Description, k.valid())
+			fmt.Fprintf(&b, "# %s Valid: %s.\n", k.Description, k.validText())
 			if k.Default == nil {
 				fmt.Fprintf(&b, "# %s =\n", key)
 				continue
@@ -321,12 +324,12 @@
 	return strings.Join(parts, ", ")
 }
 
-func sortedKeys(m map[string]property) []string { return keysBut(m, "") }
+func sortedKeys(m map[string]property) []string { return keysExcept(m, "") }
 
-func keysBut(m map[string]property, but string) []string {
+func keysExcept(m map[string]property, except string) []string {
 	keys := make([]string, 0, len(m))
 	for key := range m {
-		if key != but {
+		if key != except {
 			keys = append(keys, key)
 		}
 	}
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"ironhollow/schema"
 )
 
-const entryFile = `[node]
+const entrySettings = `[node]
 id = n1
 data-center = dc1
 caller-address = 127.0.0.1:7000
@@ -21,7 +21,7 @@
 objects = 127.0.0.1:7003
 `
 
-func read(t *testing.T, text string) (entryschema.Entry, error) {
+func readEntry(t *testing.T, text string) (entryschema.Entry, error) {
 	t.Helper()
 	shape, err := settings.ParseSchema(schema.Entry)
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 func TestDefaultsAreFilledIn(t *testing.T) {
-	entry, err := read(t, entryFile)
+	entry, err := readEntry(t, entrySettings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,24 +41,24 @@
 	}
 }
 
-func TestBadSettingsAreRefusedWithOneClearLineEach(t *testing.T) {
+func TestInvalidSettingsAreReportedWithLineAndKey(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"a host name", "127.0.0.1:7000", "localhost:7000", "e.ini:4: caller-address: got \"localhost:7000\", valid: an IP number and port"},
 		{"a missing key", "id = n1\n", "", "e.ini:1: id: missing in [node]"},
 		{"a number out of range", "[platform]\n", "[limits]\njobs = 0\n[platform]\n", "jobs: got \"0\", valid: integer from 1 to 100000"},
-		{"a section that is missing", entryFile[strings.Index(entryFile, "[platform]"):], "", "table: missing in [platform]"},
+		{"a section that is missing", entrySettings[strings.Index(entrySettings, "[platform]"):], "", "table: missing in [platform]"},
 	}
 	for _, c := range cases {
-		_, err := read(t, strings.Replace(entryFile, c.from, c.to, 1))
+		_, err := readEntry(t, strings.Replace(entrySettings, c.from, c.to, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want it to say %q", c.name, err, c.want)
+			t.Errorf("%s: got %v, want an error that contains %q", c.name, err, c.want)
 		}
 	}
 }
 
-// TestPrintedDefaultsAreGood reads what --print-defaults prints, with the keys
-// that have no default filled in.
-func TestPrintedDefaultsAreGood(t *testing.T) {
+// TestPrintedDefaultsAreValid reads the output of --print-defaults after it fills in
+// the keys without a default.
+func TestPrintedDefaultsAreValid(t *testing.T) {
 	shape, err := settings.ParseSchema(schema.Control)
 	if err != nil {
 		t.Fatal(err)
@@ -72,6 +72,6 @@
 	}
 	var control controlschema.Control
 	if err := shape.Read("c.ini", []byte(text), &control); err != nil {
-		t.Errorf("got %v\nof\n%s", err, text)
+		t.Errorf("got error %v for\n%s", err, text)
 	}
 }
