--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -35,8 +35,8 @@
 ) *callerapi.API {
 	return callerapi.New(callerapi.Deps{
 		Node: self.ID, Owner: self.Owner(), Limits: settings.limits, Config: holder, Nodes: nodes, Router: router,
-		Runner: runner, Rates: rates, Gates: gates, Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claims,
-		Plain: plain, Notices: notices, Budget: budget, History: history, Tracer: tracer, Metrics: counters,
+		Runner: runner, RateLimiter: rates, ConcurrencyLimiters: gates, Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claims,
+		PlainServices: plain, Notices: notices, RetryBudget: budget, History: history, Tracer: tracer, Metrics: counters,
 	})
 }
 
@@ -45,7 +45,7 @@
 	guard *table.GuardedStore, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
 	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engines engine.API,
 	runner *stream.Runner, rates *limit.RateLimiter, gates *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
-	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
+	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, accepts *accept.Committer, history *explain.History, mesh *peer.Mesh,
 	peers *peer.Server, api *callerapi.API, t process.TLS,
 ) *App {
 	return &App{
--- a/pkg/app/node/heartbeat.go
+++ b/pkg/app/node/heartbeat.go
@@ -123,7 +123,7 @@
 	if !ok {
 		return
 	}
-	writtenAt, _ := n.clock.Store()
+	writtenAt, _ := n.clock.StoreTime()
 	row := roster.Row{
 		Host:        n.host(),
 		Sequence:    n.row.sequence,
@@ -160,7 +160,7 @@
 		DataCenter:    n.settings.DataCenter,
 		CallerAddress: n.settings.CallerAddress,
 		PeerAddress:   n.settings.PeerAddress,
-		StartedAt:     n.clock.Since(),
+		StartedAt:     n.clock.StoreStartTime(),
 		Millicores:    int(millicoresPerCore * n.settings.Cores),
 		Leaving:       n.lifecycle.leaving(),
 	}
--- a/pkg/app/node/life.go
+++ b/pkg/app/node/life.go
@@ -24,7 +24,7 @@
 func newLifecycle(clock *storeclock.Clock) *lifecycle { return &lifecycle{clock: clock} }
 
 // startLeaving begins the shutdown.
-func (l *lifecycle) startLeaving() { l.leavingSince.Store(max(int64(l.clock.Running()), 1)) }
+func (l *lifecycle) startLeaving() { l.leavingSince.Store(max(int64(l.clock.Uptime()), 1)) }
 
 // leaving reports whether the shutdown has begun.
 func (l *lifecycle) leaving() bool { return l.leavingSince.Load() != 0 }
@@ -34,7 +34,7 @@
 	switch {
 	case !l.leaving():
 		return forward.Serving
-	case l.clock.Running()-time.Duration(l.leavingSince.Load()) < streamAcceptTime:
+	case l.clock.Uptime()-time.Duration(l.leavingSince.Load()) < streamAcceptTime:
 		return forward.Draining
 	default:
 		return forward.Stopping
--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -49,7 +49,7 @@
 	if t.Peer == nil {
 		return nil
 	}
-	return t.Peer.PeerClient()
+	return t.Peer.PeerClientConfig()
 }
 
 // PeerServer returns the configuration for connections from own processes, nil without TLS.
@@ -57,7 +57,7 @@
 	if t.Peer == nil {
 		return nil
 	}
-	return t.Peer.PeerServer()
+	return t.Peer.PeerServerConfig()
 }
 
 // ExternalServer returns the configuration for connections from callers or operators, nil without
@@ -66,7 +66,7 @@
 	if t.External == nil {
 		return nil
 	}
-	config := t.External.Server()
+	config := t.External.ServerConfig()
 	// The servers speak only HTTP/1.1, on separate listeners.
 	config.NextProtos = []string{"http/1.1"}
 	return config
--- a/pkg/engine/client.go
+++ b/pkg/engine/client.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if response.StatusCode == http.StatusOK {
-		return newEventReader(response.Body, response.Header.Get(HeaderLoad), httpx.NoticeOf(response.StatusCode, response.Header)), nil
+		return newEventReader(response.Body, response.Header.Get(HeaderLoad), httpx.ParseNotice(response.StatusCode, response.Header)), nil
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
 	_ = response.Body.Close()
@@ -117,7 +117,7 @@
 
 // refusalNotice returns the notice from the headers of a refusal.
 func refusalNotice(response *http.Response) endpoint.Notice {
-	notice := httpx.NoticeOf(response.StatusCode, response.Header)
+	notice := httpx.ParseNotice(response.StatusCode, response.Header)
 	notice.Refused = true
 	if report, ok := parseReport(response.Header.Get(HeaderLoad)); ok {
 		notice.Leaving = report.Leaving
