--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -34,7 +34,7 @@
 	log         *log.Logger
 	registry    *prometheus.Registry
 	tracer      *trace.TracerProvider
-	guard       *table.Guard
+	guard       *table.GuardedStore
 	writer      *table.Writer
 	config      *config.Holder
 	store       *config.Store
@@ -44,7 +44,7 @@
 	peers       *peer.Server
 	leases      *lease.Manager
 	engineAPI   engine.API
-	cloud    cloud.API
+	cloud       cloud.API
 	hostList    hostlist.Source
 	operatorAPI *operatorapi.API
 	counters    *Counters
@@ -80,10 +80,12 @@
 
 func newHTTPClient() *http.Client { return httpx.NewClient(connsPerHost) }
 
-func newGuard(s Settings, client *http.Client) *table.Guard { return process.NewGuard(s.table, client) }
+func newGuard(s Settings, client *http.Client) *table.GuardedStore {
+	return process.NewGuard(s.table, client)
+}
 
 // newWriter returns the writer, with the name by which tokens and leases identify this process.
-func newWriter(guard *table.Guard, s Settings, incarnation Incarnation) *table.Writer {
+func newWriter(guard *table.GuardedStore, s Settings, incarnation Incarnation) *table.Writer {
 	return table.NewWriter(guard, "control-"+membership.OwnerOf(s.id, int64(incarnation)))
 }
 
@@ -93,7 +95,7 @@
 
 func newMesh(s Settings, incarnation Incarnation, nodes *membership.Table, endpoints *endpoint.Directory, holder *config.Holder) *peer.Mesh {
 	self := membership.Node{ID: s.id, Incarnation: int64(incarnation), Status: membership.Alive, DataCenter: s.dataCenter, Region: s.region}
-	return peer.NewFollower(self, nodes, endpoints, holder)
+	return peer.NewAttached(self, nodes, endpoints, holder)
 }
 
 func newTLS(s Settings) (process.TLS, error) {
@@ -121,7 +123,7 @@
 func newRegisterer(registry *prometheus.Registry) prometheus.Registerer { return registry }
 
 func newApp(
-	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.Guard,
+	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.GuardedStore,
 	writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table, endpoints *endpoint.Directory,
 	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engineAPI engine.API, cloudAPI cloud.API, hostList hostlist.Source,
 	operatorAPI *operatorapi.API, counters *Counters, t process.TLS,
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -104,7 +104,7 @@
 var errNotReady = errors.New("not attached to an entry, and no configuration yet")
 
 func (a *App) ready() error {
-	if a.config.Current().Revision() == 0 && a.peers.Linked() == 0 {
+	if a.config.Current().Revision() == 0 && a.peers.LinkCount() == 0 {
 		return errNotReady
 	}
 	return nil
@@ -179,19 +179,19 @@
 		return
 	}
 	if before == 0 {
-		loaded := config.New()
+		loaded := config.NewHolder()
 		if a.store.Load(ctx, loaded) == nil {
-			a.publish(peer.News{Changes: loaded.After(0)})
+			a.publish(peer.Update{Changes: loaded.ChangesAfter(0)})
 		}
 	} else if changes, err := a.store.Changes(ctx, before); err == nil {
-		a.publish(peer.News{Changes: changes})
+		a.publish(peer.Update{Changes: changes})
 	}
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
 
 func (a *App) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	status := operatorwire.ControlStatus{
-		Node: a.settings.id, Revision: a.config.Current().Revision(), StoreDown: a.guard.Open(),
+		Node: a.settings.id, Revision: a.config.Current().Revision(), StoreDown: a.guard.CircuitOpen(),
 		Nodes: operatorwire.FromNodes(a.nodes.Nodes()), Endpoints: operatorwire.FromEndpoints(a.endpoints.View().Infos()),
 	}
 	for _, g := range a.leases.Grants() {
--- a/pkg/app/control/tasks.go
+++ b/pkg/app/control/tasks.go
@@ -15,8 +15,8 @@
 const callTimeout = 3 * time.Second
 
 // publish floods an update through the mesh by way of the entry that this process is attached to.
-func (a *App) publish(update peer.News) {
-	a.peers.Send(a.mesh.Tell(update, time.Now()))
+func (a *App) publish(update peer.Update) {
+	a.peers.Send(a.mesh.Publish(update, time.Now()))
 }
 
 // pollNotices reads new reclaim notices from the cloud and publishes them, if this process holds
@@ -34,7 +34,7 @@
 	if err != nil || len(notices) == 0 {
 		return
 	}
-	var update peer.News
+	var update peer.Update
 	for _, n := range notices {
 		after = max(after, n.Sequence)
 		info, known := a.endpoints.Get(n.Endpoint.ID)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return
 	}
-	var update peer.News
+	var update peer.Update
 	for _, received := range hosts {
 		current, known := a.endpoints.Get(received.ID)
 		if known {
@@ -151,7 +151,7 @@
 		updated.State = endpoint.Leaving
 	}
 	if updated != info {
-		a.publish(peer.News{Endpoints: []endpoint.Info{updated}})
+		a.publish(peer.Update{Endpoints: []endpoint.Info{updated}})
 	}
 }
 
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -45,7 +45,7 @@
 	log                 *log.Logger
 	registry            *prometheus.Registry
 	tracer              *sdktrace.TracerProvider
-	guard               *table.Guard
+	guard               *table.GuardedStore
 	writer              *table.Writer
 	config              *config.Holder
 	store               *config.Store
@@ -62,7 +62,7 @@
 	worker              *job.Worker
 	batcher             *job.Batcher
 	claims              *claim.Claims
-	acceptGatherer      *accept.Gatherer
+	acceptGatherer      *accept.Committer
 	history             *explain.History
 	mesh                *peer.Mesh
 	peers               *peer.Server
@@ -99,9 +99,11 @@
 	return self
 }
 
-func newGuard(s Settings, client *http.Client) *table.Guard { return process.NewGuard(s.table, client) }
+func newGuard(s Settings, client *http.Client) *table.GuardedStore {
+	return process.NewGuard(s.table, client)
+}
 
-func newWriter(guard *table.Guard, self membership.Node) *table.Writer {
+func newWriter(guard *table.GuardedStore, self membership.Node) *table.Writer {
 	return table.NewWriter(guard, self.Owner())
 }
 
@@ -151,7 +153,7 @@
 
 // newAcceptGatherer returns the gatherer that commits the accepted jobs of the entries of this
 // data centre together. Its messages are sent over the links to peers.
-func newAcceptGatherer(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.Guard, peers *peer.Server) *accept.Gatherer {
+func newAcceptGatherer(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.GuardedStore, peers *peer.Server) *accept.Committer {
 	gatherer := accept.New(self, nodes, batcher, guard, peers)
 	peers.SetHandler(gatherer.Handle)
 	return gatherer
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -48,13 +48,13 @@
 		if a.store.Load(ctx, a.config) != nil {
 			return
 		}
-		a.peers.Send(a.mesh.Tell(peer.News{Changes: a.config.After(0)}, now()))
+		a.peers.Send(a.mesh.Publish(peer.Update{Changes: a.config.ChangesAfter(0)}, now()))
 	} else {
 		changes, err := a.store.Changes(ctx, before)
 		if err != nil {
 			return
 		}
-		a.peers.Send(a.mesh.Tell(peer.News{Changes: changes}, now()))
+		a.peers.Send(a.mesh.Publish(peer.Update{Changes: changes}, now()))
 	}
 	a.log.Info().Int64("revision", a.config.Current().Revision()).Msg("configuration in force")
 }
@@ -113,7 +113,7 @@
 
 // publishEndpoint updates an endpoint here and at the other entries.
 func (a *App) publishEndpoint(info endpoint.Info) {
-	a.peers.Send(a.mesh.Tell(peer.News{Endpoints: []endpoint.Info{info}}, now()))
+	a.peers.Send(a.mesh.Publish(peer.Update{Endpoints: []endpoint.Info{info}}, now()))
 }
 
 // withReport returns an endpoint's info updated from a report by its engine.
@@ -236,7 +236,7 @@
 func (a *App) recoverJobs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if rescued, err := a.worker.RescueIfUnsure(ctx); err == nil && rescued > 0 {
+	if rescued, err := a.worker.ReconcileIfRequested(ctx); err == nil && rescued > 0 {
 		a.log.Info().Int("jobs", rescued).Msg("added own jobs found in the store")
 	}
 	for _, n := range a.nodes.Nodes() {
@@ -264,7 +264,7 @@
 		if membership.IncarnationOfOwner(owner) > incarnation {
 			continue
 		}
-		taken, remaining, err := a.worker.Recover(ctx, owner, job.Part{Rank: rank, Of: parts})
+		taken, remaining, err := a.worker.Recover(ctx, owner, job.Shard{Index: rank, Count: parts})
 		if err != nil {
 			return
 		}
@@ -297,6 +297,6 @@
 		}
 	}
 	if len(unknown) > 0 {
-		a.peers.Send(a.mesh.Tell(peer.News{Nodes: unknown}, now()))
+		a.peers.Send(a.mesh.Publish(peer.Update{Nodes: unknown}, now()))
 	}
 }
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -35,17 +35,17 @@
 ) *callerapi.API {
 	return callerapi.New(callerapi.Deps{
 		Node: self.ID, Owner: self.Owner(), Limits: settings.limits, Config: holder, Nodes: nodes, Router: router,
-		Runner: runner, Rates: rateLimiter, Gates: concurrencyLimiters, Jobs: jobs, Worker: worker, JobStat: jobCounters, Claims: claims,
-		Plain: plainServices, Notices: notices, Budget: budget, History: history, Tracer: tracer, Metrics: counters,
+		Runner: runner, RateLimiter: rateLimiter, ConcurrencyLimiters: concurrencyLimiters, Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claims,
+		PlainServices: plainServices, Notices: notices, RetryBudget: budget, History: history, Tracer: tracer, Metrics: counters,
 	})
 }
 
 func newApp(
 	settings Settings, self membership.Node, logger *log.Logger, registry *prometheus.Registry, tracer *sdktrace.TracerProvider,
-	guard *table.Guard, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
+	guard *table.GuardedStore, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
 	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engineAPI engine.API,
 	runner *stream.Runner, rateLimiter *limit.RateLimiter, concurrencyLimiters *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
-	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, acceptGatherer *accept.Gatherer, history *explain.History, mesh *peer.Mesh,
+	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, acceptGatherer *accept.Committer, history *explain.History, mesh *peer.Mesh,
 	peers *peer.Server, api *callerapi.API, t process.TLS,
 ) *App {
 	return &App{
--- a/pkg/app/entry/register.go
+++ b/pkg/app/entry/register.go
@@ -82,6 +82,6 @@
 	if err != nil {
 		return err
 	}
-	a.peers.Send(a.mesh.Tell(peer.News{Nodes: nodes}, now()))
+	a.peers.Send(a.mesh.Publish(peer.Update{Nodes: nodes}, now()))
 	return nil
 }
--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -142,7 +142,7 @@
 }
 
 func (a *App) dialSeeds(ctx context.Context) {
-	if a.peers.Linked() > 0 {
+	if a.peers.LinkCount() > 0 {
 		return
 	}
 	for _, seed := range a.settings.seeds {
@@ -164,7 +164,7 @@
 		if membership.IncarnationOfOwner(owner) >= a.self.Incarnation {
 			continue
 		}
-		if taken, _, err := a.worker.Recover(ctx, owner, job.Part{Of: 1}); err == nil && taken > 0 {
+		if taken, _, err := a.worker.Recover(ctx, owner, job.Shard{Count: 1}); err == nil && taken > 0 {
 			a.log.Info().Str("owner", owner).Int("jobs", taken).Msg("jobs of an earlier incarnation taken over")
 		}
 	}
--- a/pkg/app/entry/wire.go
+++ b/pkg/app/entry/wire.go
@@ -30,8 +30,8 @@
 	wire.Build(
 		newHTTPClient, newSelf, newGuard, newWriter, newObjectStore, newRouter, newEngineAPI, newPlainServiceAPI, newBudget, newBatcher,
 		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAcceptGatherer, newTracer,
-		wire.Bind(new(job.Committer), new(*accept.Gatherer)),
-		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
+		wire.Bind(new(job.Committer), new(*accept.Committer)),
+		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
 		limit.NewRateLimiter, limit.NewConcurrencyLimiters, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
 		peer.NewMesh, peer.NewCounters, callerapi.NewCounters, quarantine.NewWatch, notice.New,
 	)
--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -19,8 +19,8 @@
 }
 
 // NewGuard returns a client of the table service that is limited by a guard.
-func NewGuard(t TableConfig, client *http.Client) *table.Guard {
-	return table.NewGuard(tablehttp.New(t.Address, t.Timeout, client), t.Budget)
+func NewGuard(t TableConfig, client *http.Client) *table.GuardedStore {
+	return table.NewGuardedStore(tablehttp.NewClient(t.Address, t.Timeout, client), t.Budget)
 }
 
 // TLS has the keys for connections between own processes (Peer) and for connections from callers
@@ -49,7 +49,7 @@
 	if t.Peer == nil {
 		return nil
 	}
-	return t.Peer.PeerClient()
+	return t.Peer.PeerClientConfig()
 }
 
 // PeerServer returns the configuration for connections from own processes, nil without TLS.
@@ -57,7 +57,7 @@
 	if t.Peer == nil {
 		return nil
 	}
-	return t.Peer.PeerServer()
+	return t.Peer.PeerServerConfig()
 }
 
 // ExternalServer returns the configuration for connections from callers or operators, nil without
@@ -66,7 +66,7 @@
 	if t.External == nil {
 		return nil
 	}
-	config := t.External.Server()
+	config := t.External.ServerConfig()
 	// The servers speak only HTTP/1.1, on separate listeners.
 	config.NextProtos = []string{"http/1.1"}
 	return config
