--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -30,31 +30,31 @@
 
 // App is a control process with all its components.
 type App struct {
-	settings    Settings
-	log         *log.Logger
-	registry    *prometheus.Registry
-	tracer      *trace.TracerProvider
-	guard       *table.GuardedStore
-	writer      *table.Writer
-	config      *config.Holder
-	store       *config.Store
-	nodes       *membership.Table
-	endpoints   *endpoint.Directory
-	mesh        *peer.Mesh
-	peers       *peer.Server
-	leases      *lease.Manager
-	engineAPI   engine.API
-	cloud       cloud.API
-	hostList    hostlist.Source
-	operatorAPI *operatorapi.API
-	counters    *Counters
-	tls         process.TLS
+	settings     Settings
+	log          *log.Logger
+	registry     *prometheus.Registry
+	tracer       *trace.TracerProvider
+	guardedStore *table.GuardedStore
+	writer       *table.Writer
+	config       *config.Holder
+	store        *config.Store
+	nodes        *membership.Table
+	endpoints    *endpoint.Directory
+	mesh         *peer.Mesh
+	peers        *peer.Server
+	leases       *lease.Manager
+	engineAPI    engine.API
+	cloud        cloud.API
+	hostList     hostlist.Source
+	operatorAPI  *operatorapi.API
+	counters     *Counters
+	tls          process.TLS
 
 	mu sync.Mutex
 	// lastNotice is the sequence number of the last reclaim notice read.
 	lastNotice int64
-	// pendingOrders contains the endpoints that this process has to order, or has ordered, to load
-	// another model and that have not been seen to do so.
+	// pendingOrders contains the ids of the endpoints that this process orders to load another
+	// model, until a plan requires no change of them.
 	pendingOrders map[string]bool
 	// lastPlanInput is the input of the last placement plan.
 	lastPlanInput  planInput
@@ -80,13 +80,13 @@
 
 func newHTTPClient() *http.Client { return httpx.NewClient(connsPerHost) }
 
-func newGuard(s Settings, client *http.Client) *table.GuardedStore {
+func newGuardedStore(s Settings, client *http.Client) *table.GuardedStore {
 	return process.NewGuard(s.table, client)
 }
 
 // newWriter returns the writer, with the name by which tokens and leases identify this process.
-func newWriter(guard *table.GuardedStore, s Settings, incarnation Incarnation) *table.Writer {
-	return table.NewWriter(guard, "control-"+membership.OwnerOf(s.id, int64(incarnation)))
+func newWriter(store *table.GuardedStore, s Settings, incarnation Incarnation) *table.Writer {
+	return table.NewWriter(store, "control-"+membership.OwnerOf(s.id, int64(incarnation)))
 }
 
 func newLeaseManager(writer *table.Writer, s Settings) *lease.Manager {
@@ -123,13 +123,13 @@
 func newRegisterer(registry *prometheus.Registry) prometheus.Registerer { return registry }
 
 func newApp(
-	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guard *table.GuardedStore,
+	settings Settings, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider, guardedStore *table.GuardedStore,
 	writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table, endpoints *endpoint.Directory,
 	mesh *peer.Mesh, peers *peer.Server, leases *lease.Manager, engineAPI engine.API, cloudAPI cloud.API, hostList hostlist.Source,
 	operatorAPI *operatorapi.API, counters *Counters, t process.TLS,
 ) *App {
 	return &App{
-		settings: settings, log: logger, registry: registry, tracer: tracer, guard: guard, writer: writer, config: holder,
+		settings: settings, log: logger, registry: registry, tracer: tracer, guardedStore: guardedStore, writer: writer, config: holder,
 		store: store, nodes: nodes, endpoints: endpoints, mesh: mesh, peers: peers, leases: leases, engineAPI: engineAPI,
 		cloud: cloudAPI, hostList: hostList, operatorAPI: operatorAPI, counters: counters, tls: t,
 		pendingOrders: map[string]bool{}, recordedEpochs: map[lease.Shard]int64{},
--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -191,7 +191,7 @@
 
 func (a *App) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	status := operatorwire.ControlStatus{
-		Node: a.settings.id, Revision: a.config.Current().Revision(), StoreDown: a.guard.CircuitOpen(),
+		Node: a.settings.id, Revision: a.config.Current().Revision(), StoreDown: a.guardedStore.CircuitOpen(),
 		Nodes: operatorwire.FromNodes(a.nodes.Nodes()), Endpoints: operatorwire.FromEndpoints(a.endpoints.View().Infos()),
 	}
 	for _, g := range a.leases.Grants() {
--- a/pkg/app/control/wire.go
+++ b/pkg/app/control/wire.go
@@ -18,7 +18,7 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	wire.Build(
-		newHTTPClient, newGuard, newWriter, newLeaseManager, newMesh, newTLS, newPeers, newEngineAPI, newCloudAPI, newHostListSource, newOperatorAPI,
+		newHTTPClient, newGuardedStore, newWriter, newLeaseManager, newMesh, newTLS, newPeers, newEngineAPI, newCloudAPI, newHostListSource, newOperatorAPI,
 		newRegisterer, newApp, NewCounters,
 		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, peer.NewCounters,
 	)
--- a/pkg/app/control/wire_gen.go
+++ b/pkg/app/control/wire_gen.go
@@ -8,7 +8,6 @@
 
 import (
 	"context"
-
 	"github.com/phuslu/log"
 	"github.com/prometheus/client_golang/prometheus"
 	"go.opentelemetry.io/otel/sdk/trace"
@@ -22,7 +21,7 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	client := newHTTPClient()
-	guardedStore := newGuard(settings, client)
+	guardedStore := newGuardedStore(settings, client)
 	writer := newWriter(guardedStore, settings, incarnation)
 	holder := config.NewHolder()
 	store := config.NewStore(writer)
--- a/pkg/app/entry/admin.go
+++ b/pkg/app/entry/admin.go
@@ -40,7 +40,7 @@
 	status := operatorwire.EntryStatus{
 		Node: self.ID, Incarnation: self.Incarnation, DataCenter: self.DataCenter, Leaving: self.Leaving,
 		Revision: a.config.Current().Revision(), InFlight: a.api.InFlight(), JobsWaiting: waiting, JobsRunning: running,
-		Links: a.peers.LinkCount(), StoreDown: a.guard.CircuitOpen(), Suspected: counts.Suspected, Refuted: counts.Refuted,
+		Links: a.peers.LinkCount(), StoreDown: a.guardedStore.CircuitOpen(), Suspected: counts.Suspected, Refuted: counts.Refuted,
 		Declared: counts.DeclaredDead, Pauses: counts.Pauses,
 		Nodes: operatorwire.FromNodes(a.nodes.Nodes()), Endpoints: operatorwire.FromEndpoints(a.endpoints.View().Infos()),
 	}
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -45,7 +45,7 @@
 	log                 *log.Logger
 	registry            *prometheus.Registry
 	tracer              *sdktrace.TracerProvider
-	guard               *table.GuardedStore
+	guardedStore        *table.GuardedStore
 	writer              *table.Writer
 	config              *config.Holder
 	store               *config.Store
@@ -62,7 +62,7 @@
 	worker              *job.Worker
 	batcher             *job.Batcher
 	claims              *claim.Claims
-	acceptGatherer      *accept.Committer
+	acceptCommitter     *accept.Committer
 	history             *explain.History
 	mesh                *peer.Mesh
 	peers               *peer.Server
@@ -99,12 +99,12 @@
 	return self
 }
 
-func newGuard(s Settings, client *http.Client) *table.GuardedStore {
+func newGuardedStore(s Settings, client *http.Client) *table.GuardedStore {
 	return process.NewGuard(s.table, client)
 }
 
-func newWriter(guard *table.GuardedStore, self membership.Node) *table.Writer {
-	return table.NewWriter(guard, self.Owner())
+func newWriter(store *table.GuardedStore, self membership.Node) *table.Writer {
+	return table.NewWriter(store, self.Owner())
 }
 
 func newObjectStore(s Settings, client *http.Client) object.Store {
@@ -151,12 +151,12 @@
 	return peer.NewServer(ctx, mesh, peer.RoleEntry, t.PeerClient(), counters)
 }
 
-// newAcceptGatherer returns the gatherer that commits the accepted jobs of the entries of this
-// data centre together. Its messages are sent over the links to peers.
-func newAcceptGatherer(self membership.Node, nodes *membership.Table, batcher *job.Batcher, guard *table.GuardedStore, peers *peer.Server) *accept.Committer {
-	gatherer := accept.New(self, nodes, batcher, guard, peers)
-	peers.SetHandler(gatherer.Handle)
-	return gatherer
+// newAcceptCommitter returns the committer that commits the accepted jobs of this data centre's
+// entries together. Its messages are sent over the links to peers.
+func newAcceptCommitter(self membership.Node, nodes *membership.Table, batcher *job.Batcher, store *table.GuardedStore, peers *peer.Server) *accept.Committer {
+	committer := accept.New(self, nodes, batcher, store, peers)
+	peers.SetHandler(committer.Handle)
+	return committer
 }
 
 func newTracer(provider *sdktrace.TracerProvider) trace.Tracer {
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -246,13 +246,13 @@
 	}
 }
 
-// recoverNodeJobs takes over this entry's part of the jobs that a node still owns under the given
+// recoverNodeJobs takes over this entry's shard of the jobs that a node still owns under the given
 // or an earlier incarnation.
 func (a *App) recoverNodeJobs(ctx context.Context, id string, incarnation int64) {
 	serving := a.nodes.ServingNodes()
 	rank := membership.RankOf(id, a.self.ID, serving)
-	parts := min(recoveringEntries, len(serving))
-	if rank < 0 || rank >= parts || a.wasRecovered(id, incarnation) {
+	shardCount := min(recoveringEntries, len(serving))
+	if rank < 0 || rank >= shardCount || a.wasRecovered(id, incarnation) {
 		return
 	}
 	owners, err := a.jobs.Owners(ctx, id)
@@ -264,7 +264,7 @@
 		if membership.IncarnationOfOwner(owner) > incarnation {
 			continue
 		}
-		taken, remaining, err := a.worker.Recover(ctx, owner, job.Shard{Index: rank, Count: parts})
+		taken, remaining, err := a.worker.Recover(ctx, owner, job.Shard{Index: rank, Count: shardCount})
 		if err != nil {
 			return
 		}
--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -42,17 +42,17 @@
 
 func newApp(
 	settings Settings, self membership.Node, logger *log.Logger, registry *prometheus.Registry, tracer *sdktrace.TracerProvider,
-	guard *table.GuardedStore, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
+	guardedStore *table.GuardedStore, writer *table.Writer, holder *config.Holder, store *config.Store, nodes *membership.Table,
 	endpoints *endpoint.Directory, estimator *hazard.Estimator, router *route.Router, engineAPI engine.API,
 	runner *stream.Runner, rateLimiter *limit.RateLimiter, concurrencyLimiters *limit.ConcurrencyLimiters, budget *retry.Budget, jobs *job.Store,
-	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, acceptGatherer *accept.Committer, history *explain.History, mesh *peer.Mesh,
+	worker *job.Worker, batcher *job.Batcher, claims *claim.Claims, acceptCommitter *accept.Committer, history *explain.History, mesh *peer.Mesh,
 	peers *peer.Server, api *callerapi.API, t process.TLS,
 ) *App {
 	return &App{
-		settings: settings, self: self, log: logger, registry: registry, tracer: tracer, guard: guard, writer: writer,
+		settings: settings, self: self, log: logger, registry: registry, tracer: tracer, guardedStore: guardedStore, writer: writer,
 		config: holder, store: store, nodes: nodes, endpoints: endpoints, hazard: estimator, router: router,
 		engineAPI: engineAPI, runner: runner, rateLimiter: rateLimiter, concurrencyLimiters: concurrencyLimiters, budget: budget, jobs: jobs, worker: worker,
-		batcher: batcher, claims: claims, acceptGatherer: acceptGatherer, history: history, mesh: mesh, peers: peers, api: api,
+		batcher: batcher, claims: claims, acceptCommitter: acceptCommitter, history: history, mesh: mesh, peers: peers, api: api,
 		tls: t, recovered: map[string]bool{}, drainRequested: make(chan struct{}),
 	}
 }
--- a/pkg/app/entry/register.go
+++ b/pkg/app/entry/register.go
@@ -58,7 +58,7 @@
 	var nodes []membership.Node
 	after := ""
 	for {
-		rows, err := a.guard.List(ctx, nodePrefix, after, listPageSize)
+		rows, err := a.guardedStore.List(ctx, nodePrefix, after, listPageSize)
 		if err != nil {
 			return nil, err
 		}
--- a/pkg/app/entry/wire.go
+++ b/pkg/app/entry/wire.go
@@ -28,8 +28,8 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	wire.Build(
-		newHTTPClient, newSelf, newGuard, newWriter, newObjectStore, newRouter, newEngineAPI, newPlainServiceAPI, newBudget, newBatcher,
-		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAcceptGatherer, newTracer,
+		newHTTPClient, newSelf, newGuardedStore, newWriter, newObjectStore, newRouter, newEngineAPI, newPlainServiceAPI, newBudget, newBatcher,
+		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAcceptCommitter, newTracer,
 		wire.Bind(new(job.Committer), new(*accept.Committer)),
 		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
 		limit.NewRateLimiter, limit.NewConcurrencyLimiters, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
--- a/pkg/app/entry/wire_gen.go
+++ b/pkg/app/entry/wire_gen.go
@@ -8,7 +8,6 @@
 
 import (
 	"context"
-
 	"github.com/phuslu/log"
 	"github.com/prometheus/client_golang/prometheus"
 	"go.opentelemetry.io/otel/sdk/trace"
@@ -32,7 +31,7 @@
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	node := newSelf(settings, incarnation)
 	client := newHTTPClient()
-	guardedStore := newGuard(settings, client)
+	guardedStore := newGuardedStore(settings, client)
 	writer := newWriter(guardedStore, node)
 	holder := config.NewHolder()
 	store := config.NewStore(writer)
@@ -59,7 +58,7 @@
 	}
 	peerCounters := peer.NewCounters(registerer)
 	server := newPeers(ctx, mesh, tls, peerCounters)
-	committer := newAcceptGatherer(node, table, batcher, guardedStore, server)
+	committer := newAcceptCommitter(node, table, batcher, guardedStore, server)
 	jobStore := job.NewStore(writer, objectStore, committer)
 	jobGenerator := newGenerator(holder, runner, concurrencyLimiters)
 	jobCounters := job.NewCounters(registerer)
