--- a/pkg/app/control/shards.go
+++ b/pkg/app/control/shards.go
@@ -106,7 +106,7 @@
 		}
 	}
 	for shard := range a.recordedEpochs {
-		if _, still := epochs[shard]; !still {
+		if _, held := epochs[shard]; !held {
 			a.log.Info().Int("shard", int(shard)).Msg("shard no longer held")
 		}
 	}
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -236,8 +236,8 @@
 func (a *App) recoverJobs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if rescued, err := a.worker.ReconcileIfRequested(ctx); err == nil && rescued > 0 {
-		a.log.Info().Int("jobs", rescued).Msg("added own jobs found in the store")
+	if added, err := a.worker.ReconcileIfRequested(ctx); err == nil && added > 0 {
+		a.log.Info().Int("jobs", added).Msg("added own jobs found in the store")
 	}
 	for _, n := range a.nodes.Nodes() {
 		if n.Status == membership.Dead {
@@ -274,7 +274,7 @@
 		}
 	}
 	if left == 0 {
-		a.setRecovered(id, incarnation)
+		a.markRecovered(id, incarnation)
 	}
 }
 
--- a/pkg/app/entry/recovered.go
+++ b/pkg/app/entry/recovered.go
@@ -9,7 +9,7 @@
 	return a.recovered[membership.OwnerOf(id, incarnation)]
 }
 
-func (a *App) setRecovered(id string, incarnation int64) {
+func (a *App) markRecovered(id string, incarnation int64) {
 	a.recoveredMu.Lock()
 	defer a.recoveredMu.Unlock()
 	a.recovered[membership.OwnerOf(id, incarnation)] = true
