--- a/pkg/app/cli/cli_test.go
+++ b/pkg/app/cli/cli_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	store := tables.New()
 	mux := http.NewServeMux()
-	operatorapi.New(config.NewStore(table.NewWriter(store, "c")), config.New(), keyHashes).Register(mux)
+	operatorapi.New(config.NewStore(table.NewWriter(store, "c")), config.NewHolder(), keyHashes).Register(mux)
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return controlServer{store, server.Listener.Addr().String()}
--- a/pkg/app/entry/wire.go
+++ b/pkg/app/entry/wire.go
@@ -28,10 +28,10 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	wire.Build(
-		newHTTPClient, newSelf, newGuard, newWriter, newObjects, newRouter, newEngines, newPlain, newBudget, newBatcher,
-		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAccepts, newTracer,
-		wire.Bind(new(job.Committer), new(*accept.Gatherer)),
-		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
+		newHTTPClient, newSelf, newGuardedStore, newWriter, newObjectStore, newRouter, newEngineAPI, newPlainServiceAPI, newBudget, newBatcher,
+		newWorker, newTLS, newPeers, newRegisterer, newGenerator, newAPI, newApp, newAcceptCommitter, newTracer,
+		wire.Bind(new(job.Committer), new(*accept.Committer)),
+		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, hazard.New, stream.New, stream.NewCounters,
 		limit.NewRateLimiter, limit.NewConcurrencyLimiters, job.NewStore, job.NewCounters, claim.New, explain.NewHistory,
 		peer.NewMesh, peer.NewCounters, callerapi.NewCounters, quarantine.NewWatch, notice.New,
 	)
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -72,7 +72,7 @@
 
 func newPool() *upstream.Pool { return upstream.New(unackedTimeout) }
 
-func newStore(platform Platform, client storeClient, s Settings, registry *prometheus.Registry) *storecalls.Counted {
+func newStore(platform Platform, client storeClient, s Settings, registry *prometheus.Registry) *storecalls.CountingStore {
 	return storecalls.New(platform.Store(client.Client, s), registry)
 }
 
@@ -135,7 +135,7 @@
 // the hosts agree on. While that is unknown, it uses this host's own time of day.
 func newCounter(s Settings, clock *storeclock.Clock, view *storeview.View) *usage.Counter {
 	fleetTime := func() time.Time {
-		storeNow, known := clock.Store()
+		storeNow, known := clock.StoreTime()
 		offset, agreed := view.Roster().ClockOffset()
 		if !known || !agreed {
 			return clock.Now()
@@ -145,7 +145,7 @@
 	return usage.NewCounter(s.UsageWindow, fleetTime)
 }
 
-func newWriter(store *storecalls.Counted, self Incarnation) *table.Writer {
+func newWriter(store *storecalls.CountingStore, self Incarnation) *table.Writer {
 	return table.NewWriter(store, string(self))
 }
 
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -20,7 +20,7 @@
 	nodeLifecycle := newLifecycle(clock)
 	nodeStoreClient := newStoreClient()
 	registry := process.NewRegistry()
-	counted := newStore(platform, nodeStoreClient, settings, registry)
+	countingStore := newStore(platform, nodeStoreClient, settings, registry)
 	replica := newRelayCopy(platform, clock)
 	nodePeerClient := newPeerClient()
 	location := newLocation(settings)
@@ -31,7 +31,7 @@
 	costLimiter := newLimiter(settings, clock)
 	pool := newPool()
 	counter := newCounter(settings, clock, view)
-	writer := newWriter(counted, incarnation)
+	writer := newWriter(countingStore, incarnation)
 	manager := newLeases(writer, incarnation, settings)
 	nodeDutyCloud := newDutyCloud(platform, nodeStoreClient, settings, manager)
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
@@ -56,7 +56,7 @@
 		log:                logger,
 		clock:              clock,
 		lifecycle:          nodeLifecycle,
-		store:              counted,
+		store:              countingStore,
 		storeCopy:          replica,
 		relayClient:        nodePeerClient,
 		view:               view,
--- a/pkg/callerapi/plain.go
+++ b/pkg/callerapi/plain.go
@@ -66,7 +66,7 @@
 	}
 	return plainservice.Call{
 		Method: p.request.Method, Path: path, Header: p.request.Header, Body: body, Length: length,
-		Deadline: p.deadline, Once: once,
+		Deadline: p.deadline, AtMostOnce: once,
 	}
 }
 
@@ -75,7 +75,7 @@
 
 // sendWithRetries sends a call to one endpoint after another until one responds, within the
 // retry budget.
-func (p plainCall) sendWithRetries(ctx context.Context, body []byte) (plainservice.Answer, error) {
+func (p plainCall) sendWithRetries(ctx context.Context, body []byte) (plainservice.Response, error) {
 	p.api.RetryBudget.RecordFirstSend(time.Now())
 	var avoid []endpoint.Ref
 	var lastErr error
@@ -101,14 +101,14 @@
 	if lastErr == nil {
 		lastErr = fmt.Errorf("%w: no endpoint of %s takes calls", plainservice.ErrNotSent, p.service.Name())
 	}
-	return plainservice.Answer{}, lastErr
+	return plainservice.Response{}, lastErr
 }
 
 // send sends a call once and applies the notice about the endpoint in its response or refusal.
-func (p plainCall) send(ctx context.Context, choice route.Choice, call plainservice.Call) (plainservice.Answer, error) {
+func (p plainCall) send(ctx context.Context, choice route.Choice, call plainservice.Call) (plainservice.Response, error) {
 	sent := time.Now()
 	response, err := p.api.PlainServices.Send(ctx, choice.Endpoint.Address, call)
-	var refused *plainservice.TurnedAway
+	var refused *plainservice.RejectedError
 	switch {
 	case err == nil:
 		p.api.Notices.ApplyResponse(choice.Endpoint, response.Notice, sent, time.Now())
@@ -222,7 +222,7 @@
 }
 
 // bufferResponse reads the complete response, so that a repeated call gets the same one.
-func (p plainCall) bufferResponse(response plainservice.Answer) (claim.Response, error) {
+func (p plainCall) bufferResponse(response plainservice.Response) (claim.Response, error) {
 	defer func() { _ = response.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(response.Body, p.api.Limits.ResponseBytes+1))
 	if err != nil {
--- a/pkg/job/store.go
+++ b/pkg/job/store.go
@@ -68,7 +68,7 @@
 		{Key: ownedKey(j.Owner, j.Deadline, j.ID), Value: []byte(j.ID), If: table.Always{}},
 	}
 	switch outcome := s.batcher.Commit(ctx, rows).(type) {
-	case table.Done:
+	case table.Committed:
 		j.version = outcome.Version
 		return j, true, nil
 	case table.Unknown:
@@ -175,7 +175,7 @@
 func (s *Store) replace(ctx context.Context, j *Job, stored storedJob, extra ...table.Write) error {
 	writes := append([]table.Write{{Key: rowKey(j.ID), Value: encodeRow(stored), If: table.AtVersion{Version: j.version}}}, extra...)
 	switch outcome := s.writer.Commit(ctx, writes...).(type) {
-	case table.Done:
+	case table.Committed:
 		j.version = outcome.Version
 		return nil
 	case table.Refused:
--- a/pkg/operatorapi/operatorapi.go
+++ b/pkg/operatorapi/operatorapi.go
@@ -74,7 +74,7 @@
 // serveGet returns the latest revision from the store, so that a subsequent apply is based on it.
 // If the store is down, it returns the revision in force in this process and sets Ironhollow-Stale.
 func (a *API) serveGet(w http.ResponseWriter, r *http.Request) {
-	holder := config.New()
+	holder := config.NewHolder()
 	if err := a.store.Load(r.Context(), holder); err != nil {
 		holder = a.holder
 		w.Header().Set("Ironhollow-Stale", "true")
--- a/pkg/quarantinesync/syncer.go
+++ b/pkg/quarantinesync/syncer.go
@@ -80,7 +80,7 @@
 // apply applies rows and deletes the expired ones.
 func (s *Syncer) apply(ctx context.Context, rows []table.Row) {
 	now := s.clock.Now()
-	storeNow, known := s.clock.Store()
+	storeNow, known := s.clock.StoreTime()
 	for _, row := range rows {
 		if !known {
 			return
@@ -144,7 +144,7 @@
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	outcome := s.writer.Commit(ctx, table.Write{Key: key(f), Delete: true, If: table.Always{}})
-	if _, isDone := outcome.(table.Done); !isDone {
+	if _, isDone := outcome.(table.Committed); !isDone {
 		s.log.Warn().Stringer("fingerprint", f).Msg("failed to delete the row of a request answered completely")
 		return false
 	}
@@ -157,7 +157,7 @@
 func (s *Syncer) write(ctx context.Context, c quarantine.Case) (done bool) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	storeNow, known := s.clock.Store()
+	storeNow, known := s.clock.StoreTime()
 	if !known {
 		return false
 	}
@@ -167,7 +167,7 @@
 		return false
 	}
 	outcome := s.writer.Commit(ctx, table.Write{Key: key(c.Fingerprint), Value: value, If: table.Always{}})
-	if _, isDone := outcome.(table.Done); !isDone {
+	if _, isDone := outcome.(table.Committed); !isDone {
 		s.log.Warn().Stringer("fingerprint", c.Fingerprint).Msg("failed to write a quarantined request to the store")
 		return false
 	}
