--- a/pkg/accept/accept.go
+++ b/pkg/accept/accept.go
@@ -107,7 +107,7 @@
 		switch answer.Outcome {
 		case peer.AcceptCommitted:
 			c.updateCounts(func(counts *Counts) { counts.Forwarded++ })
-			return table.Done{Version: answer.Version}
+			return table.Committed{Version: answer.Version}
 		case peer.AcceptConflict:
 			return c.commitLocally(ctx, rows)
 		}
@@ -132,7 +132,7 @@
 	}
 	for _, row := range refused.Conflicts {
 		if row.Key == rows[0].Key && bytes.Equal(row.Value, rows[0].Value) {
-			return table.Done{Version: row.Version}
+			return table.Committed{Version: row.Version}
 		}
 	}
 	return outcome
@@ -201,7 +201,7 @@
 	c.updateCounts(func(counts *Counts) { counts.Served++ })
 	answer := peer.Accepted{Request: m.Request, Outcome: peer.AcceptUnknown}
 	switch outcome := c.local.Commit(ctx, rows).(type) {
-	case table.Done:
+	case table.Committed:
 		answer.Outcome, answer.Version = peer.AcceptCommitted, outcome.Version
 	case table.Refused:
 		answer.Outcome = peer.AcceptRefused
--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -94,8 +94,8 @@
 						} else {
 							outcome = d.batchers[id].Commit(context.Background(), rows(id, fmt.Sprintf("%s-%d", id, n)))
 						}
-						if _, ok := outcome.(table.Done); !ok {
-							t.Errorf("got %#v, want Done", outcome)
+						if _, ok := outcome.(table.Committed); !ok {
+							t.Errorf("got %#v, want Committed", outcome)
 						}
 						mu.Lock()
 						total += time.Since(start)
@@ -161,10 +161,10 @@
 						done := 0
 						for id, outcomeType := range outcomes {
 							owns := ok && string(row.Value) == id+"k"
-							if outcomeType == "table.Done" {
+							if outcomeType == "table.Committed" {
 								done++
 								if !owns {
-									t.Errorf("outcome at %s: got Done, but the row is %q", id, row.Value)
+									t.Errorf("outcome at %s: got Committed, but the row is %q", id, row.Value)
 								}
 							}
 							if outcomeType == "table.Refused" && owns {
@@ -172,7 +172,7 @@
 							}
 						}
 						if done > 1 {
-							t.Errorf("entries with the outcome Done: got %d, want at most 1", done)
+							t.Errorf("entries with the outcome Committed: got %d, want at most 1", done)
 						}
 					})
 				})
--- a/pkg/app/control/wire.go
+++ b/pkg/app/control/wire.go
@@ -18,9 +18,9 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	wire.Build(
-		newHTTPClient, newGuard, newWriter, newLeases, newMesh, newTLS, newPeers, newEngines, newCloud, newHosts, newOperators,
+		newHTTPClient, newGuardedStore, newWriter, newLeaseManager, newMesh, newTLS, newPeers, newEngineAPI, newCloudAPI, newHostListSource, newOperatorAPI,
 		newRegisterer, newApp, NewCounters,
-		config.New, config.NewStore, membership.NewTable, endpoint.NewDirectory, peer.NewCounters,
+		config.NewHolder, config.NewStore, membership.NewTable, endpoint.NewDirectory, peer.NewCounters,
 	)
 	return nil, nil
 }
--- a/pkg/peer/update.go
+++ b/pkg/peer/update.go
@@ -53,7 +53,7 @@
 
 // answerPull sends the changes after the sender's revision and the buckets that differ.
 func (m *Mesh) answerPull(link LinkID, p Pull) []Outgoing {
-	update := Update{Changes: m.config.After(p.After)}
+	update := Update{Changes: m.config.ChangesAfter(p.After)}
 	if len(p.Nodes) == membership.BucketCount {
 		var selected [membership.BucketCount]bool
 		for i, sum := range m.nodes.Sums() {
