--- a/pkg/app/control/app.go
+++ b/pkg/app/control/app.go
@@ -81,7 +81,7 @@
 func newHTTPClient() *http.Client { return httpx.NewClient(connsPerHost) }
 
 func newGuardedStore(s Settings, client *http.Client) *table.GuardedStore {
-	return process.NewGuard(s.table, client)
+	return process.NewGuardedStore(s.table, client)
 }
 
 // newWriter returns the writer, with the name by which tokens and leases identify this process.
--- a/pkg/app/entry/app.go
+++ b/pkg/app/entry/app.go
@@ -100,7 +100,7 @@
 }
 
 func newGuardedStore(s Settings, client *http.Client) *table.GuardedStore {
-	return process.NewGuard(s.table, client)
+	return process.NewGuardedStore(s.table, client)
 }
 
 func newWriter(store *table.GuardedStore, self membership.Node) *table.Writer {
--- a/pkg/app/process/platform.go
+++ b/pkg/app/process/platform.go
@@ -18,8 +18,8 @@
 	Budget  table.Budget
 }
 
-// NewGuard returns a client of the table service that is limited by a guard.
-func NewGuard(t TableConfig, client *http.Client) *table.GuardedStore {
+// NewGuardedStore returns a client of the table service that is limited to the budget of t.
+func NewGuardedStore(t TableConfig, client *http.Client) *table.GuardedStore {
 	return table.NewGuardedStore(tablehttp.NewClient(t.Address, t.Timeout, client), t.Budget)
 }
 
