--- a/pkg/app/entry/parts.go
+++ b/pkg/app/entry/parts.go
@@ -36,7 +36,7 @@
 	return callerapi.New(callerapi.Deps{
 		Node: self.ID, Owner: self.Owner(), Limits: settings.limits, Config: holder, Nodes: nodes, Router: router,
 		Runner: runner, RateLimiter: rateLimiter, ConcurrencyLimiters: concurrencyLimiters, Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claims,
-		PlainServices: plainServices, Notices: notices, RetryBudget: budget, History: history, Tracer: tracer, Metrics: counters,
+		PlainServices: plainServices, Notices: notices, RetryBudget: budget, History: history, Tracer: tracer, APICounters: counters,
 	})
 }
 
--- a/pkg/callerapi/api.go
+++ b/pkg/callerapi/api.go
@@ -62,7 +62,7 @@
 	RetryBudget         *retry.Budget
 	History             *explain.History
 	Tracer              trace.Tracer
-	Metrics             *Counters
+	APICounters         *Counters
 }
 
 // API serves callers.
@@ -110,7 +110,7 @@
 		if recovered == http.ErrAbortHandler {
 			panic(recovered)
 		}
-		a.Metrics.Panics.Inc()
+		a.APICounters.Panics.Inc()
 		writeError(w, code.New(code.Internal, "fault in ironhollow"))
 	}()
 	next(w, r)
@@ -167,7 +167,7 @@
 			writeError(w, code.New(code.UnknownKey, "Authorization: Bearer KEY: no team has this key"))
 			return
 		}
-		a.Metrics.Requests.WithLabelValues(team.Name()).Inc()
+		a.APICounters.Requests.WithLabelValues(team.Name()).Inc()
 		next(w, r, c, team)
 	}
 }
@@ -192,7 +192,7 @@
 	if ok {
 		return nil
 	}
-	a.Metrics.OverRate.WithLabelValues(team.Name()).Inc()
+	a.APICounters.OverRate.WithLabelValues(team.Name()).Inc()
 	return retryAfterError{code.New(code.OverRate, "team "+team.Name()+" is over its rate"), after}
 }
 
@@ -215,7 +215,7 @@
 	var deadlineErr limit.DeadlineError
 	switch {
 	case errors.As(err, &deadlineErr):
-		a.Metrics.Overloaded.WithLabelValues(s.Name()).Inc()
+		a.APICounters.Overloaded.WithLabelValues(s.Name()).Inc()
 		return permit, retryAfterError{code.New(code.Overloaded, "the deadline can't be met at present"), deadlineErr.RetryAfter}
 	case errors.Is(err, context.DeadlineExceeded):
 		return permit, code.New(code.Overloaded, "the deadline passed while waiting for a place")
--- a/pkg/callerapi/chat.go
+++ b/pkg/callerapi/chat.go
@@ -129,7 +129,7 @@
 		record.Code = code.Of(err).Number()
 	}
 	a.History.Add(record)
-	a.Metrics.Duration.WithLabelValues(call.service.Name()).Observe(duration.Seconds())
+	a.APICounters.Duration.WithLabelValues(call.service.Name()).Observe(duration.Seconds())
 }
 
 // completion is a complete response in the OpenAI format.
@@ -181,7 +181,7 @@
 func (a *API) streamChat(ctx context.Context, w http.ResponseWriter, call chatCall) {
 	sink := newEventSink(w, a.Limits.WriteTimeout, call)
 	sink.onFirstToken = func() {
-		a.Metrics.FirstToken.WithLabelValues(call.service.Name()).Observe(time.Since(call.started).Seconds())
+		a.APICounters.FirstToken.WithLabelValues(call.service.Name()).Observe(time.Since(call.started).Seconds())
 	}
 	result, err := a.Runner.Run(ctx, call.request, sink)
 	a.recordResult(call, result, err)
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -161,7 +161,7 @@
 		Node: name, Owner: name, Limits: callerapi.Limits{BodyBytes: 4096, ResponseBytes: 4096, Requests: 100, WriteTimeout: 5 * time.Second},
 		Config: holder, Nodes: nodes, Router: router, Runner: runner, RateLimiter: limit.NewRateLimiter(), ConcurrencyLimiters: limit.NewConcurrencyLimiters(),
 		Jobs: jobs, Worker: worker, JobCounters: jobCounters, Claims: claim.New(writer), PlainServices: plainservice.New(httpx.NewClient(4)), Notices: notices,
-		RetryBudget: budget, History: explain.NewHistory(), Tracer: s.tracer(name), Metrics: callerapi.NewCounters(registry),
+		RetryBudget: budget, History: explain.NewHistory(), Tracer: s.tracer(name), APICounters: callerapi.NewCounters(registry),
 	})
 	e.server = httptest.NewServer(e.api)
 	e.self.CallerAddress = e.server.Listener.Addr().String()
