--- a/pkg/app/node/duties.go
+++ b/pkg/app/node/duties.go
@@ -43,7 +43,7 @@
 		if nowHeld != held {
 			held = nowHeld
 			n.log.Info().Bool("held", held).Msg("lease of the duties")
-			n.orderer.Reset()
+			n.endpointReconciler.Reset()
 		}
 		if held {
 			n.performDuties(ctx)
@@ -167,9 +167,9 @@
 		}
 		supply := func(dataCenter string, reclaimable bool) (int, int) {
 			place := autoscale.Pool{Service: service.Name, DataCenter: dataCenter, Reclaimable: reclaimable}
-			return serving[place], n.orderer.Booting(place, serving[place], service.Scaling.BootTime, now)
+			return serving[place], n.endpointReconciler.Booting(place, serving[place], service.Scaling.BootTime, now)
 		}
-		demand := n.traffic.Observe(service.Name, demands[service.Name], now)
+		demand := n.serviceDemandTracker.Observe(service.Name, demands[service.Name], now)
 		demand.MaxLoad = maxDemand
 		orders, _ := autoscale.Plan(service, demand, supply)
 		n.resetAfterRollout(service.Name)
@@ -177,21 +177,21 @@
 			preventScaleDown(orders, service.Scaling.MaxEndpoints)
 		}
 		count := func(p autoscale.Pool) int { return serving[p] }
-		n.orderer.Reconcile(ctx, orders, count, service.Scaling.BootTime, now, held)
+		n.endpointReconciler.Reconcile(ctx, orders, count, service.Scaling.BootTime, now, held)
 	}
 }
 
-// resetAfterRollout makes the orderer forget its orders for a service whose endpoints a roll-out has
+// resetAfterRollout discards the orders of the reconciler for a service whose endpoints a roll-out has
 // replaced: the number of endpoints of the new version is the number that the operator started.
 func (n *node) resetAfterRollout(service string) {
 	if order := n.rollouts.CompletedOrder(service); order != n.appliedOrders[service] {
 		n.appliedOrders[service] = order
-		n.orderer.ResetService(service)
+		n.endpointReconciler.ResetService(service)
 	}
 }
 
-// preventScaleDown changes orders to give up no endpoints while a version is rolled out: those of
-// the previous version must be able to serve all requests until the roll-out is decided.
+// preventScaleDown changes orders so that no endpoints are released while a version is rolled out:
+// those of the previous version must be able to serve all requests until the roll-out is decided.
 func preventScaleDown(orders []autoscale.Order, maxEndpoints int) {
 	for i := range orders {
 		orders[i].Retain = maxEndpoints
--- a/pkg/app/node/listen.go
+++ b/pkg/app/node/listen.go
@@ -40,7 +40,7 @@
 		{"ready", n.settings.ReadyAddress, &http.Server{Handler: n.readyHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
 		{"directory", n.settings.DirectoryAddress, &http.Server{Handler: n.directoryHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
 		{"peers", n.settings.PeerAddress, &http.Server{Handler: n.peersHandler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
-		{"metrics", n.settings.AdminAddress, &http.Server{Handler: process.AdminMux(n.registry, n.isReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
+		{"metrics", n.settings.AdminAddress, &http.Server{Handler: process.AdminMux(n.registry, n.checkReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}},
 	}
 	config := net.ListenConfig{
 		Control:         upstream.ControlUserTimeout(unackedTimeout),
@@ -66,7 +66,7 @@
 func (n *node) readyHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.platform.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
-		if n.isReady() != nil {
+		if n.checkReady() != nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
@@ -75,7 +75,7 @@
 
 func (n *node) peersHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("GET "+relay.Path, n.storeCopy)
+	mux.Handle("GET "+relay.Path, n.storeReplica)
 	return negroni.New(negroni.NewRecovery(), negroni.Wrap(mux))
 }
 
--- a/pkg/app/node/loads.go
+++ b/pkg/app/node/loads.go
@@ -35,7 +35,7 @@
 		TeamUsage:  n.limiter.LocalUsage(now),
 		Placements: n.router.DrainPlacements(),
 		Cases:      n.quarantineWatch.Reports(now),
-		Notices:    n.noticeBoard.Reports(now),
+		Notices:    n.noticeTracker.Reports(now),
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 	if len(update.Cases)+len(update.Notices) > 0 {
 		n.quarantineWatch.ApplyReports(update.Cases, update.Incarnation, now)
-		n.noticeBoard.ApplyReports(update.Notices, now)
+		n.noticeTracker.ApplyReports(update.Notices, now)
 		return
 	}
 	if update.Subscribes {
@@ -84,7 +84,7 @@
 	return gossip.Update{
 		Status:     roster.Status{Host: roster.Host{Incarnation: string(n.incarnation)}, Loads: n.loadSync.LocalLoadsAt(endpoints)},
 		Placements: n.router.DrainPlacements(),
-		Notices:    n.noticeBoard.ReportsFor(endpoints, n.clock.Now()),
+		Notices:    n.noticeTracker.ReportsFor(endpoints, n.clock.Now()),
 	}
 }
 
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -68,31 +68,31 @@
 	clock       *storeclock.Clock
 	lifecycle   *lifecycle
 	store       *storecalls.CountingStore
-	// storeCopy is the copy of the store that peers follow through this host.
-	storeCopy          *relay.Replica
-	relayClient        peerClient
-	view               *storeview.View
-	router             *route.Router
-	loadSync           *loadsync.Sync
-	limiter            *limit.CostLimiter
-	pool               *upstream.Pool
-	counter            *usage.Counter
-	reporter           *usage.Reporter
-	orderer            *autoscale.Reconciler
-	leases             *lease.Manager
-	traffic            *autoscale.DemandTracker
-	forwarder          *forward.Forwarder
-	registry           *prometheus.Registry
-	row                *rowState
-	role               *fleetRole
-	rollouts           *rollout.Splitter
-	rolloutCoordinator *rolloutsync.Coordinator
-	rolloutSender      *rolloutSender
-	appliedOrders      completedOrders
-	quarantineWatch    *quarantine.Watch
-	quarantineSyncer   *quarantinesync.Syncer
-	noticeBoard        *notice.Tracker
-	watchdog           *watchdog.Watchdog
+	// storeReplica is the replica of the store that other hosts follow through this host.
+	storeReplica         *relay.Replica
+	relayClient          peerClient
+	view                 *storeview.View
+	router               *route.Router
+	loadSync             *loadsync.Sync
+	limiter              *limit.CostLimiter
+	pool                 *upstream.Pool
+	counter              *usage.Counter
+	reporter             *usage.Reporter
+	endpointReconciler   *autoscale.Reconciler
+	leases               *lease.Manager
+	serviceDemandTracker *autoscale.DemandTracker
+	forwarder            *forward.Forwarder
+	registry             *prometheus.Registry
+	row                  *rowState
+	role                 *fleetRole
+	rollouts             *rollout.Splitter
+	rolloutCoordinator   *rolloutsync.Coordinator
+	rolloutSender        *rolloutSender
+	appliedOrders        completedOrders
+	quarantineWatch      *quarantine.Watch
+	quarantineSyncer     *quarantinesync.Syncer
+	noticeTracker        *notice.Tracker
+	watchdog             *watchdog.Watchdog
 
 	suspendLog *suspendLog
 }
@@ -151,7 +151,7 @@
 func (n *node) serve(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := relay.NewSource(n.store, n.storeCopy, n.relayClient.Client, n.view.Relays, n.view.MaxRelayLag, n.view.IsAdvertised, n.log)
+	source := relay.NewSource(n.store, n.storeReplica, n.relayClient.Client, n.view.Relays, n.view.MaxRelayLag, n.view.IsAdvertised, n.log)
 	go n.follow(background, source)
 	go n.runHeartbeat(background)
 	go n.sweepConnections(background)
@@ -245,8 +245,8 @@
 	return nil
 }
 
-// isReady returns nil if the process accepts callers, otherwise the reason why it does not.
-func (n *node) isReady() error {
+// checkReady returns nil if the process accepts callers, otherwise an error with the reason.
+func (n *node) checkReady() error {
 	switch {
 	case n.lifecycle.leaving():
 		return errors.New("stopping")
--- a/pkg/app/node/providers.go
+++ b/pkg/app/node/providers.go
@@ -76,10 +76,10 @@
 	return storecalls.New(platform.Store(client.Client, s), registry)
 }
 
-// newRelayCopy returns a copy that passes on a row of an endpoint only if its decoded content has
+// newReplica returns a replica that forwards a row of an endpoint only if its decoded content has
 // changed: a heartbeat only shows that the endpoint is alive, and the store removes a row that is
 // not renewed.
-func newRelayCopy(platform Platform, clock *storeclock.Clock) *relay.Replica {
+func newReplica(platform Platform, clock *storeclock.Clock) *relay.Replica {
 	endpoints := platform.Tables().Endpoints
 	changed := func(table string, previous, current []byte) bool {
 		if table != endpoints {
@@ -149,7 +149,7 @@
 	return table.NewWriter(store, string(self))
 }
 
-func newLeases(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
+func newLeaseManager(writer *table.Writer, self Incarnation, s Settings) *lease.Manager {
 	return lease.New(writer, string(self), lease.Timing{Duration: s.LeaseDuration, RenewInterval: s.LeaseDuration / renewalsPerLease}, boottime.Now)
 }
 
@@ -161,7 +161,7 @@
 	return usage.NewReporter(counter, view.Roster(), writer, cloud, view.StoreEra, logger)
 }
 
-func newOrderer(cloud *dutyCloud, logger *log.Logger) *autoscale.Reconciler {
+func newReconciler(cloud *dutyCloud, logger *log.Logger) *autoscale.Reconciler {
 	return autoscale.NewReconciler(cloud, logger)
 }
 
@@ -181,12 +181,12 @@
 	return watchdog.New(registry, logger)
 }
 
-func newNoticeBoard(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Tracker {
+func newNoticeTracker(view *storeview.View, router *route.Router, logger *log.Logger) *notice.Tracker {
 	return notice.New(view.Directory(), router, logger)
 }
 
 func newForwarder(platform Platform, view *storeview.View, location route.Location, router *route.Router, limiter *limit.CostLimiter, budget *retry.WindowBudget,
-	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, noticeBoard *notice.Tracker, lifecycle *lifecycle, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
+	pool *upstream.Pool, counter *usage.Counter, rollouts *rollout.Splitter, watch *quarantine.Watch, noticeTracker *notice.Tracker, lifecycle *lifecycle, clock *storeclock.Clock, registry *prometheus.Registry, logger *log.Logger,
 ) *forward.Forwarder {
 	// Once the view is ready, it stays ready.
 	var ready atomic.Bool
@@ -201,7 +201,7 @@
 		return lifecycle.phase()
 	}
 	return forward.New(platform.Protocol(), view.RouteTables(), router, limiter, budget, pool, counter,
-		fleet{view.Roster(), location.Node}, rollouts, watch, noticeBoard, phase, clock.Now, forward.NewMetrics(registry), logger)
+		fleet{view.Roster(), location.Node}, rollouts, watch, noticeTracker, phase, clock.Now, forward.NewMetrics(registry), logger)
 }
 
 // fleet is the roster as one host sees it.
--- a/pkg/app/node/rollouts.go
+++ b/pkg/app/node/rollouts.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// completedOrders is, by service, the last completed order that has been applied to the orderer of
-// endpoints. Only one goroutine uses it.
+// completedOrders is, by service, the last completed order after which the reconciler has been
+// reset for it.
+// Only one goroutine uses it.
 type completedOrders map[string]int64
 
 func newCompletedOrders() completedOrders { return completedOrders{} }
@@ -190,7 +191,7 @@
 	}
 }
 
-// rolloutFleet returns what the owner of an order needs to know of hosts and endpoints.
+// rolloutFleet returns the state of hosts and endpoints that the owner of an order decides on.
 func rolloutFleet(view *storeview.View, order rollout.Order) rollout.Fleet {
 	f := rollout.Fleet{Live: view.Roster().LiveIncarnations(), Advertised: view.Roster().Advertised()}
 	for _, info := range view.Directory().View().Infos() {
--- a/pkg/app/node/wire_gen.go
+++ b/pkg/app/node/wire_gen.go
@@ -21,7 +21,7 @@
 	nodeStoreClient := newStoreClient()
 	registry := process.NewRegistry()
 	countingStore := newStore(platform, nodeStoreClient, settings, registry)
-	replica := newRelayCopy(platform, clock)
+	replica := newReplica(platform, clock)
 	nodePeerClient := newPeerClient()
 	location := newLocation(settings)
 	splitter := newSplitter(settings)
@@ -32,14 +32,14 @@
 	pool := newPool()
 	counter := newCounter(settings, clock, view)
 	writer := newWriter(countingStore, incarnation)
-	manager := newLeases(writer, incarnation, settings)
+	manager := newLeaseManager(writer, incarnation, settings)
 	nodeDutyCloud := newDutyCloud(platform, nodeStoreClient, settings, manager)
 	reporter := newReporter(counter, view, writer, nodeDutyCloud, logger)
-	reconciler := newOrderer(nodeDutyCloud, logger)
+	reconciler := newReconciler(nodeDutyCloud, logger)
 	demandTracker := autoscale.NewDemandTracker()
 	windowBudget := newRetryBudget(settings)
 	watch := newQuarantineWatch(registry, logger)
-	tracker := newNoticeBoard(view, router, logger)
+	tracker := newNoticeTracker(view, router, logger)
 	forwarder := newForwarder(platform, view, location, router, costLimiter, windowBudget, pool, counter, splitter, watch, tracker, nodeLifecycle, clock, registry, logger)
 	nodeRowState := &rowState{}
 	nodeFleetRole := &fleetRole{}
@@ -50,38 +50,38 @@
 	watchdog := newWatchdog(registry, logger)
 	nodeSuspendLog := &suspendLog{}
 	nodeNode := &node{
-		settings:           settings,
-		platform:           platform,
-		incarnation:        incarnation,
-		log:                logger,
-		clock:              clock,
-		lifecycle:          nodeLifecycle,
-		store:              countingStore,
-		storeCopy:          replica,
-		relayClient:        nodePeerClient,
-		view:               view,
-		router:             router,
-		loadSync:           sync,
-		limiter:            costLimiter,
-		pool:               pool,
-		counter:            counter,
-		reporter:           reporter,
-		orderer:            reconciler,
-		leases:             manager,
-		traffic:            demandTracker,
-		forwarder:          forwarder,
-		registry:           registry,
-		row:                nodeRowState,
-		role:               nodeFleetRole,
-		rollouts:           splitter,
-		rolloutCoordinator: coordinator,
-		rolloutSender:      nodeRolloutSender,
-		appliedOrders:      nodeCompletedOrders,
-		quarantineWatch:    watch,
-		quarantineSyncer:   syncer,
-		noticeBoard:        tracker,
-		watchdog:           watchdog,
-		suspendLog:         nodeSuspendLog,
+		settings:             settings,
+		platform:             platform,
+		incarnation:          incarnation,
+		log:                  logger,
+		clock:                clock,
+		lifecycle:            nodeLifecycle,
+		store:                countingStore,
+		storeReplica:         replica,
+		relayClient:          nodePeerClient,
+		view:                 view,
+		router:               router,
+		loadSync:             sync,
+		limiter:              costLimiter,
+		pool:                 pool,
+		counter:              counter,
+		reporter:             reporter,
+		endpointReconciler:   reconciler,
+		leases:               manager,
+		serviceDemandTracker: demandTracker,
+		forwarder:            forwarder,
+		registry:             registry,
+		row:                  nodeRowState,
+		role:                 nodeFleetRole,
+		rollouts:             splitter,
+		rolloutCoordinator:   coordinator,
+		rolloutSender:        nodeRolloutSender,
+		appliedOrders:        nodeCompletedOrders,
+		quarantineWatch:      watch,
+		quarantineSyncer:     syncer,
+		noticeTracker:        tracker,
+		watchdog:             watchdog,
+		suspendLog:           nodeSuspendLog,
 	}
 	return nodeNode
 }
--- a/pkg/engine/engine.go
+++ b/pkg/engine/engine.go
@@ -20,7 +20,7 @@
 	Model, Version, Adapter string
 	// Messages is the caller's JSON array of messages, byte for byte.
 	Messages json.RawMessage
-	// Options is the JSON object with the caller's other members, which are passed on to the
+	// Options is the JSON object with the caller's other members, which are forwarded to the
 	// engine.
 	Options json.RawMessage
 	// MaxTokens is the maximum length of the complete answer, across all attempts.
--- a/pkg/entrychoice/entrychoice.go
+++ b/pkg/entrychoice/entrychoice.go
@@ -17,7 +17,7 @@
 // nodes are omitted while others have spare capacity.
 const fullLoad = 10
 
-// Choose returns the entry hosts to use, in order of preference. Each call shuffles the hosts anew,
+// Choose returns the entry hosts to use, in order of preference. Each call shuffles the hosts,
 // weighted by spare capacity, so that callers spread evenly whichever hosts they ask. Hosts in the
 // caller's data centre come first if the data centre is known and any of them has spare capacity.
 func Choose(nodes []membership.Node, dataCenter string, random *rand.Rand) []membership.Node {
--- a/pkg/limit/cost.go
+++ b/pkg/limit/cost.go
@@ -170,7 +170,7 @@
 }
 
 // minContenderRate is the requests per second from which an entry counts as a contender. Below
-// it, the entry's last request is some requestRateWindows ago.
+// it, the entry's last request is several times requestRateWindow ago.
 const minContenderRate = 0.02
 
 // contenders estimates how many entries, this one included, admit a request of the team before
--- a/pkg/notice/limits_test.go
+++ b/pkg/notice/limits_test.go
@@ -59,7 +59,7 @@
 type limitHost struct {
 	host
 	name string
-	// received is when it first received a response with a limit; hasLimit says that it did.
+	// received is when it first received a response with a limit; hasLimit is set once it did.
 	received  time.Duration
 	hasLimit  bool
 	responses []limitResponse
--- a/pkg/notice/board.go
+++ b/pkg/notice/tracker.go
@@ -80,14 +80,14 @@
 // hosts. It is for hosts that do not exchange reports; the tracker then keeps nothing to report.
 func (t *Tracker) OnLeave(handler func(endpoint.Info)) { t.leaveHandler.Store(&handler) }
 
-// ApplyResponse applies what a verified response to this host says about its endpoint; sent is
-// when the request was sent. A response without a limit withdraws the endpoint's limit.
+// ApplyResponse applies the notice in a verified response to this host; sent is when the request
+// was sent. A response without a limit withdraws the endpoint's limit.
 func (t *Tracker) ApplyResponse(info endpoint.Info, n endpoint.Notice, sent, now time.Time) {
 	if n.IsZero() && t.limitCount.Load() == 0 {
 		return
 	}
-	// The row may have lapsed and come back since the endpoint was chosen. Its incarnation has
-	// grown then, but the start time shows that it is the same run.
+	// The row may have expired and been written again since the endpoint was chosen. The
+	// incarnation is then higher, but an equal start time shows that it is the same run.
 	current, ok := t.directory.Get(info.ID)
 	if !ok || current.StartedMS != info.StartedMS {
 		return
--- a/pkg/notice/board_test.go
+++ b/pkg/notice/tracker_test.go
@@ -113,7 +113,7 @@
 	a.directory.Merge(again)
 	a.ApplyResponse(before, endpoint.Notice{Leaving: true}, now, now)
 	if a.chooses(0, now) {
-		t.Error("the host that received the notice chooses the same run after its row lapsed and came back")
+		t.Error("the host that received the notice chooses the same run after its row expired and was written again")
 	}
 	later := before
 	later.Incarnation, later.StartedMS = 3, 6
--- a/pkg/peer/mesh.go
+++ b/pkg/peer/mesh.go
@@ -195,7 +195,7 @@
 // idleLinkTimeout is how long a link that the mesh does not need is kept after its last use.
 const idleLinkTimeout = 5 * time.Minute
 
-// MarkUsed records that a link carried a message that is not the mesh's own.
+// MarkUsed records that a message other than the mesh's own was sent or received over a link.
 func (m *Mesh) MarkUsed(link LinkID, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/peer/message.go
+++ b/pkg/peer/message.go
@@ -1,5 +1,5 @@
 // Package peer implements the protocol between the system's own processes. Neighbours are connected
-// by WebSocket links that carry CBOR messages: updates are flooded over all links, and digests find
+// by WebSocket links and send CBOR messages: updates are flooded over all links, and digests find
 // and repair what was missed. The protocol itself (Mesh) does no I/O and reads no clock.
 package peer
 
--- a/pkg/peer/network_test.go
+++ b/pkg/peer/network_test.go
@@ -13,7 +13,7 @@
 	"ironhollow/pkg/peer"
 )
 
-// network carries messages between meshes in virtual time. It simulates links, retransmissions and
+// network delivers messages between meshes in virtual time. It simulates links, retransmissions and
 // partitions, but not processes or hosts.
 type network struct {
 	t    *testing.T
--- a/pkg/reclaim/reclaim.go
+++ b/pkg/reclaim/reclaim.go
@@ -87,7 +87,7 @@
 }
 
 // Plan decides for all streams of one endpoint that this process runs. Every stream gets
-// exactly one step; moves come first, in the order in which to carry them out.
+// exactly one step; moves come first, in the order in which to execute them.
 func Plan(streams []Stream, destinations []Destination, limits Limits, random *rand.Rand) []Step {
 	usable := limits.Notice - noticeMargin
 	budget := usable.Seconds() * limits.BytesPerSecond
--- a/pkg/rolloutlab/site.go
+++ b/pkg/rolloutlab/site.go
@@ -18,8 +18,8 @@
 	BadShare, SlowFactor float64
 	// StartsAfter is the fraction of the period after which the defect appears.
 	StartsAfter float64
-	// OnlyUnderLoad limits the defect to endpoints that carry about as many requests as those of
-	// the other version.
+	// OnlyUnderLoad limits the defect to endpoints that run about as many requests as those of the
+	// other version.
 	OnlyUnderLoad bool
 	// OnlyRarestRoute limits the defect to requests of the rarest route.
 	OnlyRarestRoute bool
--- a/pkg/settings/document.go
+++ b/pkg/settings/document.go
@@ -47,7 +47,7 @@
 
 // section is a section of a file with its entries in file order.
 type section struct {
-	// kind is the first word of the header and name the rest, which may be empty.
+	// kind is the part of the header before the first space and name the rest, which may be empty.
 	kind, name string
 	line       int
 	entries    []entry
