--- a/pkg/app/load/demo.go
+++ b/pkg/app/load/demo.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", d.words.shortSays, err)
 	}
-	d.say("- %s: %d tokens streamed, the first after %d ms: %.40s...", d.words.shortSays, answer.Tokens, answer.FirstToken.Milliseconds(), answer.Text)
+	d.say("- %s: %d tokens streamed, the first after %d ms: %.40s...", d.words.shortSays, answer.Tokens, answer.TimeToFirstToken.Milliseconds(), answer.Text)
 	return nil
 }
 
--- a/pkg/app/load/run.go
+++ b/pkg/app/load/run.go
@@ -79,8 +79,8 @@
 func (r loadRun) judge(report load.Report) error {
 	var faults []error
 	for _, s := range report.Sources {
-		if s.Wrong > 0 || (s.Cut > 0 && !r.allowCuts) {
-			faults = append(faults, fmt.Errorf("%s: %d wrong, %d cut off of %d", s.Source.Service, s.Wrong, s.Cut, s.Sent))
+		if s.Wrong > 0 || (s.Interrupted > 0 && !r.allowCuts) {
+			faults = append(faults, fmt.Errorf("%s: %d wrong, %d cut off of %d", s.Source.Service, s.Wrong, s.Interrupted, s.Sent))
 		}
 	}
 	return errors.Join(faults...)
@@ -93,7 +93,7 @@
 		return err
 	}
 	var faults []error
-	for key, outcome := range report.Asked {
+	for key, outcome := range report.CallOutcomes {
 		switch ran := runs[key]; {
 		case ran > 1:
 			faults = append(faults, fmt.Errorf("call %s ran %d times", key, ran))
@@ -103,7 +103,7 @@
 			faults = append(faults, fmt.Errorf("call %s was told \"done\", but it did not run", key))
 		}
 	}
-	_, _ = fmt.Fprintf(r.out, "%d calls that may not be repeated: none ran twice, and each was told the truth: %v\n", len(report.Asked), len(faults) == 0)
+	_, _ = fmt.Fprintf(r.out, "%d calls that may not be repeated: none ran twice, and each was told the truth: %v\n", len(report.CallOutcomes), len(faults) == 0)
 	return errors.Join(faults...)
 }
 
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -27,24 +27,24 @@
 	Nodes     int `json:"nodes"`
 	Endpoints int `json:"endpoints"`
 	// CPU is in percent of one core, memory in MB; each is a mean of processes.
-	EntryCPU      float64 `json:"entry_cpu_percent"`
-	EntryMemory   float64 `json:"entry_memory_mb"`
-	ControlCPU    float64 `json:"control_cpu_percent"`
-	ControlMemory float64 `json:"control_memory_mb"`
-	// WireBytes is all traffic of the fleet, headers of all layers counted, for
+	EntryCPUPercent      float64 `json:"entry_cpu_percent"`
+	EntryMemoryMB   float64 `json:"entry_memory_mb"`
+	ControlCPUPercent    float64 `json:"control_cpu_percent"`
+	ControlMemoryMB float64 `json:"control_memory_mb"`
+	// WireBytesPerNode is all traffic of the fleet, headers of all layers counted, for
 	// a node; PeerBytes the part that is messages between own processes.
-	WireBytes    float64 `json:"wire_bytes_per_node"`
-	PeerBytes    float64 `json:"peer_bytes_per_node"`
-	PeerMessages float64 `json:"peer_messages_per_node"`
+	WireBytesPerNode    float64 `json:"wire_bytes_per_node"`
+	PeerBytesPerNode    float64 `json:"peer_bytes_per_node"`
+	PeerMessagesPerNode float64 `json:"peer_messages_per_node"`
 	StoreCommits float64 `json:"store_commits"`
 	StoreReads   float64 `json:"store_reads"`
 	// Times are in seconds: until every entry knows.
-	LeavingKnown  float64 `json:"leaving_known_s"`
-	RevisionKnown float64 `json:"revision_known_s"`
-	TakeOver      float64 `json:"take_over_s"`
+	LeavingPropagation  float64 `json:"leaving_known_s"`
+	RevisionPropagation float64 `json:"revision_known_s"`
+	ShardTakeover      float64 `json:"take_over_s"`
 	// Suspected and WronglyDead are of processes stopped for 1.5 s and let go.
 	Suspected   int64 `json:"suspected"`
-	WronglyDead int64 `json:"wrongly_dead"`
+	FalselyDeclaredDead int64 `json:"wrongly_dead"`
 }
 
 // scale measures a running fleet.
@@ -235,13 +235,13 @@
 	countedSeconds := time.Since(countedAt).Seconds()
 	nodes := float64(point.Nodes)
 	const mega = 1 << 20
-	point.EntryCPU = 100 * (after.entryCPU - before.entryCPU).Seconds() / seconds / nodes
-	point.ControlCPU = 100 * (after.controlCPU - before.controlCPU).Seconds() / seconds / nodes
-	point.EntryMemory = float64(after.entryMemory) / mega / nodes
-	point.ControlMemory = float64(after.controlMemory) / mega / nodes
-	point.WireBytes = float64(after.wire-before.wire) / seconds / nodes
-	point.PeerBytes = (countedAfter.peerBytes - counted.peerBytes) / countedSeconds / nodes
-	point.PeerMessages = (countedAfter.peerMessages - counted.peerMessages) / countedSeconds / nodes
+	point.EntryCPUPercent = 100 * (after.entryCPU - before.entryCPU).Seconds() / seconds / nodes
+	point.ControlCPUPercent = 100 * (after.controlCPU - before.controlCPU).Seconds() / seconds / nodes
+	point.EntryMemoryMB = float64(after.entryMemory) / mega / nodes
+	point.ControlMemoryMB = float64(after.controlMemory) / mega / nodes
+	point.WireBytesPerNode = float64(after.wire-before.wire) / seconds / nodes
+	point.PeerBytesPerNode = (countedAfter.peerBytes - counted.peerBytes) / countedSeconds / nodes
+	point.PeerMessagesPerNode = (countedAfter.peerMessages - counted.peerMessages) / countedSeconds / nodes
 	point.StoreCommits = float64(after.store.Commits-before.store.Commits) / seconds
 	point.StoreReads = float64(after.store.Gets+after.store.Lists-before.store.Gets-before.store.Lists) / seconds
 	return nil
@@ -262,7 +262,7 @@
 		}
 		return false
 	})
-	point.LeavingKnown = time.Since(begun).Seconds()
+	point.LeavingPropagation = time.Since(begun).Seconds()
 	return err
 }
 
@@ -291,7 +291,7 @@
 		return err
 	}
 	err = s.until(ctx, time.Minute, "the revision is in force", func(st operatorwire.EntryStatus) bool { return st.Revision >= revision })
-	point.RevisionKnown = time.Since(begun).Seconds()
+	point.RevisionPropagation = time.Since(begun).Seconds()
 	return err
 }
 
@@ -322,7 +322,7 @@
 	time.Sleep(5 * time.Second)
 	suspected, dead, err := s.verdicts(ctx)
 	point.Suspected = suspected - beforeSuspected
-	point.WronglyDead = dead - beforeDead
+	point.FalselyDeclaredDead = dead - beforeDead
 	return err
 }
 
@@ -376,7 +376,7 @@
 			}
 		}
 		if len(found) == len(shards) {
-			point.TakeOver = time.Since(begun).Seconds()
+			point.ShardTakeover = time.Since(begun).Seconds()
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/pkg/app/load/scalereport.go
+++ b/pkg/app/load/scalereport.go
@@ -30,21 +30,21 @@
 }
 
 var scaleFigures = []figure{
-	{"entry, processor", "% of a core", "entry-cpu", func(p scalePoint) float64 { return p.EntryCPU }, 0},
-	{"control, processor", "% of a core", "control-cpu", func(p scalePoint) float64 { return p.ControlCPU }, 0},
-	{"both, processor", "% of a core", "both-cpu", func(p scalePoint) float64 { return p.EntryCPU + p.ControlCPU }, 4.4},
-	{"entry, memory", "MB", "entry-memory", func(p scalePoint) float64 { return p.EntryMemory }, 0},
-	{"control, memory", "MB", "control-memory", func(p scalePoint) float64 { return p.ControlMemory }, 0},
-	{"both, memory", "MB", "both-memory", func(p scalePoint) float64 { return p.EntryMemory + p.ControlMemory }, 256},
-	{"all control traffic of a node", "bytes/s", "wire", func(p scalePoint) float64 { return p.WireBytes }, 5000},
-	{"messages between own processes, of a node", "bytes/s of CBOR", "peer-bytes", func(p scalePoint) float64 { return p.PeerBytes }, 0},
-	{"messages between own processes, of a node", "1/s", "peer-messages", func(p scalePoint) float64 { return p.PeerMessages }, 0},
+	{"entry, processor", "% of a core", "entry-cpu", func(p scalePoint) float64 { return p.EntryCPUPercent }, 0},
+	{"control, processor", "% of a core", "control-cpu", func(p scalePoint) float64 { return p.ControlCPUPercent }, 0},
+	{"both, processor", "% of a core", "both-cpu", func(p scalePoint) float64 { return p.EntryCPUPercent + p.ControlCPUPercent }, 4.4},
+	{"entry, memory", "MB", "entry-memory", func(p scalePoint) float64 { return p.EntryMemoryMB }, 0},
+	{"control, memory", "MB", "control-memory", func(p scalePoint) float64 { return p.ControlMemoryMB }, 0},
+	{"both, memory", "MB", "both-memory", func(p scalePoint) float64 { return p.EntryMemoryMB + p.ControlMemoryMB }, 256},
+	{"all control traffic of a node", "bytes/s", "wire", func(p scalePoint) float64 { return p.WireBytesPerNode }, 5000},
+	{"messages between own processes, of a node", "bytes/s of CBOR", "peer-bytes", func(p scalePoint) float64 { return p.PeerBytesPerNode }, 0},
+	{"messages between own processes, of a node", "1/s", "peer-messages", func(p scalePoint) float64 { return p.PeerMessagesPerNode }, 0},
 	{"table service, commits of the fleet", "1/s", "commits", func(p scalePoint) float64 { return p.StoreCommits }, 0},
 	{"table service, reads of the fleet", "1/s", "reads", func(p scalePoint) float64 { return p.StoreReads }, 0},
-	{"a leaving endpoint known to all", "s", "leaving", func(p scalePoint) float64 { return p.LeavingKnown }, 2},
-	{"a revision in force everywhere", "s", "revision", func(p scalePoint) float64 { return p.RevisionKnown }, 10},
-	{"shards taken over after a kill", "s", "take-over", func(p scalePoint) float64 { return p.TakeOver }, 10},
-	{"nodes wrongly declared dead", "count", "wrongly-dead", func(p scalePoint) float64 { return float64(p.WronglyDead) }, 0},
+	{"a leaving endpoint known to all", "s", "leaving", func(p scalePoint) float64 { return p.LeavingPropagation }, 2},
+	{"a revision in force everywhere", "s", "revision", func(p scalePoint) float64 { return p.RevisionPropagation }, 10},
+	{"shards taken over after a kill", "s", "take-over", func(p scalePoint) float64 { return p.ShardTakeover }, 10},
+	{"nodes wrongly declared dead", "count", "wrongly-dead", func(p scalePoint) float64 { return float64(p.FalselyDeclaredDead) }, 0},
 }
 
 func scaleReportCommand() *cobra.Command {
--- a/pkg/load/client.go
+++ b/pkg/load/client.go
@@ -76,16 +76,16 @@
 	return nil, errNoEntry
 }
 
-// Forget drops the kept answer after an entry failed.
-func (c *Client) Forget() {
+// InvalidateEntries drops the kept answer after an entry failed.
+func (c *Client) InvalidateEntries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.until = time.Time{}
 }
 
-// Entry returns the next entry to use: the answer's first ones in turn, as a
+// NextEntry returns the next entry to use: the answer's first ones in turn, as a
 // caller with several connections spreads them.
-func (c *Client) Entry(ctx context.Context) (string, error) {
+func (c *Client) NextEntry(ctx context.Context) (string, error) {
 	entries, err := c.Entries(ctx)
 	if err != nil {
 		return "", err
@@ -124,17 +124,17 @@
 	return json.NewDecoder(response.Body).Decode(out)
 }
 
-// Refused is a numbered error of the system.
-type Refused struct {
+// APIError is a numbered error of the system.
+type APIError struct {
 	Status  int
 	Number  int
 	Outcome string
 	Message string
-	After   string
+	RetryAfter   string
 }
 
 // Error gives number and message.
-func (r *Refused) Error() string {
+func (r *APIError) Error() string {
 	return fmt.Sprintf("%d (%s): %s", r.Number, r.Outcome, r.Message)
 }
 
@@ -157,7 +157,7 @@
 		return fmt.Errorf("load: %s: %s", response.Status, bytes.TrimSpace(data))
 	}
 	e := answer.Error
-	return &Refused{response.StatusCode, e.Number, e.Outcome, e.Message, response.Header.Get("Retry-After")}
+	return &APIError{response.StatusCode, e.Number, e.Outcome, e.Message, response.Header.Get("Retry-After")}
 }
 
 // Prompt is a model call.
@@ -191,13 +191,13 @@
 type Answer struct {
 	Text       string
 	Tokens     int
-	FirstToken time.Duration
-	Total      time.Duration
-	// Gaps are the times between tokens.
-	Gaps []time.Duration
-	// Pieces counts the connections it took.
-	Pieces  int
-	Request string
+	TimeToFirstToken time.Duration
+	TotalTime      time.Duration
+	// InterTokenLatencies are the times between tokens.
+	InterTokenLatencies []time.Duration
+	// Attempts counts the connections it took.
+	Attempts  int
+	RequestID string
 }
 
 // mostPieces bounds how often a broken stream is taken up.
@@ -208,17 +208,17 @@
 func (c *Client) Stream(ctx context.Context, p Prompt) (Answer, error) {
 	s := streaming{client: c, prompt: p, begun: time.Now()}
 	var err error
-	for s.answer.Pieces < mostPieces {
+	for s.answer.Attempts < mostPieces {
 		err = s.piece(ctx)
-		s.answer.Pieces++
-		var refused *Refused
+		s.answer.Attempts++
+		var refused *APIError
 		if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
 			break
 		}
-		c.Forget()
+		c.InvalidateEntries()
 		time.Sleep(piecePause)
 	}
-	s.answer.Total = time.Since(s.begun)
+	s.answer.TotalTime = time.Since(s.begun)
 	s.answer.Text = s.text.String()
 	return s.answer, err
 }
@@ -239,7 +239,7 @@
 var errBroken = errors.New("load: stream broke off")
 
 func (s *streaming) piece(ctx context.Context) error {
-	address, err := s.client.Entry(ctx)
+	address, err := s.client.NextEntry(ctx)
 	if err != nil {
 		return err
 	}
@@ -255,7 +255,7 @@
 	if response.StatusCode != http.StatusOK {
 		return refusedOf(response)
 	}
-	s.answer.Request = response.Header.Get("Ironhollow-Request")
+	s.answer.RequestID = response.Header.Get("Ironhollow-Request")
 	return s.read(response.Body)
 }
 
@@ -282,7 +282,7 @@
 			return err
 		}
 		if c.Error.Number != 0 {
-			return &Refused{Status: http.StatusOK, Number: c.Error.Number, Outcome: c.Error.Outcome, Message: c.Error.Message}
+			return &APIError{Status: http.StatusOK, Number: c.Error.Number, Outcome: c.Error.Outcome, Message: c.Error.Message}
 		}
 		if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
 			s.take(c.Choices[0].Delta.Content)
@@ -295,9 +295,9 @@
 func (s *streaming) take(text string) {
 	now := time.Now()
 	if s.answer.Tokens == 0 {
-		s.answer.FirstToken = now.Sub(s.begun)
+		s.answer.TimeToFirstToken = now.Sub(s.begun)
 	} else {
-		s.answer.Gaps = append(s.answer.Gaps, now.Sub(s.last))
+		s.answer.InterTokenLatencies = append(s.answer.InterTokenLatencies, now.Sub(s.last))
 	}
 	s.last = now
 	s.answer.Tokens++
@@ -350,29 +350,29 @@
 	return j, json.NewDecoder(response.Body).Decode(&j)
 }
 
-// CallAnswer is a plain service's answer.
-type CallAnswer struct {
+// CallResponse is a plain service's answer.
+type CallResponse struct {
 	Body     []byte
 	Status   int
 	Replayed bool
 }
 
 // Call calls a plain service through an entry.
-func (c *Client) Call(ctx context.Context, address, method, service, path, key string, body []byte) (CallAnswer, error) {
+func (c *Client) Call(ctx context.Context, address, method, service, path, key string, body []byte) (CallResponse, error) {
 	header := http.Header{}
 	if key != "" {
 		header.Set("Idempotency-Key", key)
 	}
 	response, err := c.request(ctx, method, address, "/v1/services/"+service+path, body, header)
 	if err != nil {
-		return CallAnswer{}, err
+		return CallResponse{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.Header.Get("Ironhollow-Outcome") != "done" {
-		return CallAnswer{}, refusedOf(response)
+		return CallResponse{}, refusedOf(response)
 	}
 	data, err := io.ReadAll(response.Body)
-	return CallAnswer{data, response.StatusCode, response.Header.Get("Idempotent-Replayed") == "true"}, err
+	return CallResponse{data, response.StatusCode, response.Header.Get("Idempotent-Replayed") == "true"}, err
 }
 
 // SeedOf returns the seed the system gives a request without one of its own.
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -45,19 +45,19 @@
 type Report struct {
 	Sources []SourceReport
 	// Ledger is how often each call was asked for, to compare with the service.
-	Asked map[string]string
+	CallOutcomes map[string]string
 }
 
 // SourceReport is one source's part.
 type SourceReport struct {
 	Source  Source
 	Sent    int
-	Whole   int
+	Succeeded   int
 	Refused int
-	// Cut counts streams and connections that broke on the way; Wrong answers
+	// Interrupted counts streams and connections that broke on the way; Wrong answers
 	// that are not what they should be; Unknown ends that the system left open.
-	Cut, Wrong, Unknown int
-	Faults              []string
+	Interrupted, Wrong, Unknown int
+	Failures              []string
 	first, total        *hdrhistogram.Histogram
 }
 
@@ -71,7 +71,7 @@
 
 // Run sends the sources' load for a time and waits for the answers.
 func Run(ctx context.Context, sources []Source, entries []string, client *http.Client, lasts time.Duration, seed uint64) Report {
-	report := Report{Sources: make([]SourceReport, len(sources)), Asked: map[string]string{}}
+	report := Report{Sources: make([]SourceReport, len(sources)), CallOutcomes: map[string]string{}}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	for i, source := range sources {
@@ -81,7 +81,7 @@
 		r.total = hdrhistogram.New(leastMicros, mostMicros, digits)
 		caller := NewClient("key-"+source.Team, entries, client)
 		wait.Go(func() {
-			run := sourceRun{source: source, client: caller, report: r, mu: &mu, asked: report.Asked}
+			run := sourceRun{source: source, client: caller, report: r, mu: &mu, asked: report.CallOutcomes}
 			run.all(ctx, lasts, rand.New(rand.NewPCG(seed, uint64(i))))
 		})
 	}
@@ -133,7 +133,7 @@
 	p := s.prompt(n)
 	late := time.Since(due)
 	answer, err := s.client.Stream(ctx, p)
-	s.note(due, late+answer.FirstToken, answer.Pieces > 1, err, s.source.Check(p, answer.Request, answer.Text))
+	s.note(due, late+answer.TimeToFirstToken, answer.Attempts > 1, err, s.source.Check(p, answer.RequestID, answer.Text))
 }
 
 // jobWait bounds the wait for a job's result.
@@ -169,7 +169,7 @@
 }
 
 func isStoreDown(err error) bool {
-	var refused *Refused
+	var refused *APIError
 	return errors.As(err, &refused) && refused.Number == code.StoreDown.Number()
 }
 
@@ -182,7 +182,7 @@
 		return err
 	})
 	outcome = "done"
-	var refused *Refused
+	var refused *APIError
 	if errors.As(err, &refused) {
 		outcome = refused.Outcome
 	}
@@ -197,16 +197,16 @@
 	var err error
 	for range mostPieces {
 		var address string
-		address, err = s.client.Entry(ctx)
+		address, err = s.client.NextEntry(ctx)
 		if err == nil {
 			err = do(address)
 		}
-		var refused *Refused
+		var refused *APIError
 		if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
 			return err
 		}
 		*cut = true
-		s.client.Forget()
+		s.client.InvalidateEntries()
 		time.Sleep(piecePause)
 	}
 	return err
@@ -218,9 +218,9 @@
 	r := s.report
 	r.Sent++
 	if cut {
-		r.Cut++
+		r.Interrupted++
 	}
-	var refused *Refused
+	var refused *APIError
 	switch {
 	case errors.As(err, &refused) && refused.Outcome == "unknown":
 		r.Unknown++
@@ -234,12 +234,12 @@
 	case fault != "":
 		r.Wrong++
 	default:
-		r.Whole++
+		r.Succeeded++
 		_ = r.first.RecordValue(first.Microseconds())
 		_ = r.total.RecordValue(time.Since(due).Microseconds())
 	}
-	if fault != "" && len(r.Faults) < mostFaults {
-		r.Faults = append(r.Faults, fault)
+	if fault != "" && len(r.Failures) < mostFaults {
+		r.Failures = append(r.Failures, fault)
 	}
 }
 
@@ -251,10 +251,10 @@
 		ms := func(h *hdrhistogram.Histogram, q float64) string {
 			return fmt.Sprintf("%.1f ms", float64(h.ValueAtQuantile(q))/1000)
 		}
-		fmt.Fprintf(&b, "%-14s %-8s %6d %6d %8d %5d %6d %8d %12s %12s %12s\n", s.Source.Service, s.Source.Kind, s.Sent, s.Whole, s.Refused, s.Cut,
+		fmt.Fprintf(&b, "%-14s %-8s %6d %6d %8d %5d %6d %8d %12s %12s %12s\n", s.Source.Service, s.Source.Kind, s.Sent, s.Succeeded, s.Refused, s.Interrupted,
 			s.Wrong, s.Unknown, ms(s.first, 50), ms(s.first, 99), ms(s.total, 99))
-		sort.Strings(s.Faults)
-		for _, fault := range s.Faults {
+		sort.Strings(s.Failures)
+		for _, fault := range s.Failures {
 			fmt.Fprintf(&b, "    %s\n", fault)
 		}
 	}
