--- a/pkg/app/load/demo.go
+++ b/pkg/app/load/demo.go
@@ -20,40 +20,40 @@
 	"ironhollow/pkg/standin/services"
 )
 
-// fleetWords are what a demonstration sends for one of the users.
-type fleetWords struct {
-	short, long, plain  string
-	shortTeam, longTeam string
-	plainTeam           string
-	oncePath            string
-	shortText, longText string
-	longModel           string
-	shortSays, onceSays string
-	longTokens          int
+// fleetScenario holds the services, teams and requests of one demonstration fleet.
+type fleetScenario struct {
+	shortService, longService, plainService string
+	shortTeam, longTeam                     string
+	plainTeam                               string
+	atMostOncePath                          string
+	shortPrompt, longPrompt                 string
+	longModel                               string
+	shortLabel, atMostOnceLabel             string
+	longMaxTokens                           int
 }
 
-var fleets = map[string]fleetWords{
+var fleetScenarios = map[string]fleetScenario{
 	"authority": {
-		short: "eligibility", long: "review", plain: "ledger", shortTeam: "applicants", longTeam: "officers", plainTeam: "agents",
-		oncePath: "/confirmations", longModel: "narrative-70b", longTokens: 1200,
-		shortText: "Am I eligible for a market loan of 300?", longText: "Review the file of applicant 4711: " + strings.Repeat("repaid on time; ", 60),
-		shortSays: "eligibility text", onceSays: "disbursement confirmation",
+		shortService: "eligibility", longService: "review", plainService: "ledger", shortTeam: "applicants", longTeam: "officers", plainTeam: "agents",
+		atMostOncePath: "/confirmations", longModel: "narrative-70b", longMaxTokens: 1200,
+		shortPrompt: "Am I eligible for a market loan of 300?", longPrompt: "Review the file of applicant 4711: " + strings.Repeat("repaid on time; ", 60),
+		shortLabel: "eligibility text", atMostOnceLabel: "disbursement confirmation",
 	},
 	"head-office": {
-		short: "commentary", long: "recap", plain: "lobby", shortTeam: "spectators", longTeam: "stewards", plainTeam: "lobbies",
-		oncePath: "/seats", longModel: "narrator-70b", longTokens: 1100,
-		shortText: "Lap 12: car 7 closes on car 3.", longText: "Recap the season: " + strings.Repeat("round won by car 7; ", 60),
-		shortSays: "pit-wall commentary", onceSays: "seat check",
+		shortService: "commentary", longService: "recap", plainService: "lobby", shortTeam: "spectators", longTeam: "stewards", plainTeam: "lobbies",
+		atMostOncePath: "/seats", longModel: "narrator-70b", longMaxTokens: 1100,
+		shortPrompt: "Lap 12: car 7 closes on car 3.", longPrompt: "Recap the season: " + strings.Repeat("round won by car 7; ", 60),
+		shortLabel: "pit-wall commentary", atMostOnceLabel: "seat check",
 	},
 }
 
-// demo is one demonstration run.
+// demo is one run of the demonstration.
 type demo struct {
-	words    fleetWords
+	scenario fleetScenario
 	entries  []string
 	admins   []string
 	platform string
-	// onlyReady waits for the fleet and shows nothing.
+	// onlyReady makes the run stop once the fleet is ready.
 	onlyReady bool
 	out       io.Writer
 	http      *http.Client
@@ -66,11 +66,11 @@
 		Use:   "demo",
 		Short: "Show the promises on a running fleet; fails if one is broken",
 		RunE: func(command *cobra.Command, _ []string) error {
-			words, ok := fleets[fleet]
+			scenario, ok := fleetScenarios[fleet]
 			if !ok {
 				return fmt.Errorf("--fleet: got %q, valid: authority, head-office", fleet)
 			}
-			d.words, d.out = words, command.OutOrStdout()
+			d.scenario, d.out = scenario, command.OutOrStdout()
 			return d.run(command.Context())
 		},
 	}
@@ -87,12 +87,12 @@
 	return load.NewClient("key-"+team, d.entries, d.http)
 }
 
-func (d *demo) say(format string, args ...any) { _, _ = fmt.Fprintf(d.out, format+"\n", args...) }
+func (d *demo) printLine(format string, args ...any) { _, _ = fmt.Fprintf(d.out, format+"\n", args...) }
 
 func (d *demo) run(ctx context.Context) error {
 	steps := []func(context.Context) error{d.awaitReady}
 	if !d.onlyReady {
-		steps = append(steps, d.shortAnswer, d.jobElsewhere, d.callTwice, d.reclaimUnderJob)
+		steps = append(steps, d.streamShortAnswer, d.fetchJobFromOtherEntry, d.repeatCallWithKey, d.reclaimDuringJob)
 	}
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
@@ -100,27 +100,27 @@
 		}
 	}
 	if !d.onlyReady {
-		d.say("All promises shown were kept.")
+		d.printLine("All promises shown were kept.")
 	}
 	return nil
 }
 
-// awaitReady waits until every entry serves and both models are placed.
+// awaitReady waits until every entry is ready and the models are loaded.
 func (d *demo) awaitReady(ctx context.Context) error {
-	begun := time.Now()
+	start := time.Now()
 	for {
-		if d.ready(ctx) {
-			d.say("- %d entries serve, models are placed (%.1f s)", len(d.entries), time.Since(begun).Seconds())
+		if d.isReady(ctx) {
+			d.printLine("- %d entries serve, models are placed (%.1f s)", len(d.entries), time.Since(start).Seconds())
 			return nil
 		}
-		if time.Since(begun) > 30*time.Second {
+		if time.Since(start) > 30*time.Second {
 			return errors.New("the fleet was not ready within 30 s")
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-func (d *demo) ready(ctx context.Context) bool {
+func (d *demo) isReady(ctx context.Context) bool {
 	for _, admin := range d.admins {
 		var status operatorwire.EntryStatus
 		if httpx.CallJSON(ctx, d.http, http.MethodGet, "http://"+admin+"/status", nil, &status) != nil || status.Revision == 0 {
@@ -141,50 +141,51 @@
 			}
 			loaded[e.Model]++
 		}
-		if serving < len(d.admins) || plain == 0 || loaded[d.words.longModel] < 2 || len(loaded) < 3 {
+		if serving < len(d.admins) || plain == 0 || loaded[d.scenario.longModel] < 2 || len(loaded) < 3 {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *demo) shortAnswer(ctx context.Context) error {
-	answer, err := d.client(d.words.shortTeam).Stream(ctx, load.Prompt{Service: d.words.short, Text: d.words.shortText, MaxTokens: 60})
+func (d *demo) streamShortAnswer(ctx context.Context) error {
+	answer, err := d.client(d.scenario.shortTeam).Stream(ctx, load.Prompt{Service: d.scenario.shortService, Text: d.scenario.shortPrompt, MaxTokens: 60})
 	if err != nil {
-		return fmt.Errorf("%s: %w", d.words.shortSays, err)
+		return fmt.Errorf("%s: %w", d.scenario.shortLabel, err)
 	}
-	d.say("- %s: %d tokens streamed, the first after %d ms: %.40s...", d.words.shortSays, answer.Tokens, answer.TimeToFirstToken.Milliseconds(), answer.Text)
+	d.printLine("- %s: %d tokens streamed, the first after %d ms: %.40s...", d.scenario.shortLabel, answer.Tokens, answer.TimeToFirstToken.Milliseconds(), answer.Text)
 	return nil
 }
 
-// jobElsewhere has one entry accept a job and fetches its result from another.
-func (d *demo) jobElsewhere(ctx context.Context) error {
-	c := d.client(d.words.longTeam)
-	j, err := c.PostJob(ctx, d.entries[0], "demo-job-1", load.Prompt{Service: d.words.long, Text: d.words.longText, MaxTokens: 200})
+// fetchJobFromOtherEntry submits a job to one entry, submits it to a second one
+// with the same key, and fetches the result from the last entry.
+func (d *demo) fetchJobFromOtherEntry(ctx context.Context) error {
+	c := d.client(d.scenario.longTeam)
+	j, err := c.PostJob(ctx, d.entries[0], "demo-job-1", load.Prompt{Service: d.scenario.longService, Text: d.scenario.longPrompt, MaxTokens: 200})
 	if err != nil {
-		return fmt.Errorf("%s: %w", d.words.long, err)
+		return fmt.Errorf("%s: %w", d.scenario.longService, err)
 	}
-	again, err := c.PostJob(ctx, d.entries[1], "demo-job-1", load.Prompt{Service: d.words.long, Text: d.words.longText, MaxTokens: 200})
-	if err != nil || again.ID != j.ID {
-		return fmt.Errorf("%s sent again with its key: got job %q, want %q (%w)", d.words.long, again.ID, j.ID, err)
+	repeated, err := c.PostJob(ctx, d.entries[1], "demo-job-1", load.Prompt{Service: d.scenario.longService, Text: d.scenario.longPrompt, MaxTokens: 200})
+	if err != nil || repeated.ID != j.ID {
+		return fmt.Errorf("%s sent again with its key: got job %q, want %q (%w)", d.scenario.longService, repeated.ID, j.ID, err)
 	}
 	other := d.entries[len(d.entries)-1]
-	done, err := c.GetJob(ctx, other, j.ID, 20*time.Second)
-	if err != nil || done.Result == nil {
-		return fmt.Errorf("%s from another entry: %w, status %s", d.words.long, err, done.Status)
+	finished, err := c.GetJob(ctx, other, j.ID, 20*time.Second)
+	if err != nil || finished.Result == nil {
+		return fmt.Errorf("%s from another entry: %w, status %s", d.scenario.longService, err, finished.Status)
 	}
-	d.say("- %s: accepted by %s, whole result of %d characters fetched from %s", d.words.long, d.entries[0], len(done.Result.Text), other)
+	d.printLine("- %s: accepted by %s, whole result of %d characters fetched from %s", d.scenario.longService, d.entries[0], len(finished.Result.Text), other)
 	return nil
 }
 
-func (d *demo) callTwice(ctx context.Context) error {
-	c := d.client(d.words.plainTeam)
+func (d *demo) repeatCallWithKey(ctx context.Context) error {
+	c := d.client(d.scenario.plainTeam)
 	body := []byte(`{"loan":4711,"amount":300}`)
 	var answers []services.Answer
 	for i := range 2 {
-		got, err := c.Call(ctx, d.entries[i%len(d.entries)], http.MethodPost, d.words.plain, d.words.oncePath, "demo-once-1", body)
+		got, err := c.Call(ctx, d.entries[i%len(d.entries)], http.MethodPost, d.scenario.plainService, d.scenario.atMostOncePath, "demo-once-1", body)
 		if err != nil {
-			return fmt.Errorf("%s: %w", d.words.onceSays, err)
+			return fmt.Errorf("%s: %w", d.scenario.atMostOnceLabel, err)
 		}
 		var answer services.Answer
 		if err := json.Unmarshal(got.Body, &answer); err != nil {
@@ -193,22 +194,22 @@
 		answers = append(answers, answer)
 	}
 	if answers[0].Run != 1 || answers[0] != answers[1] {
-		return fmt.Errorf("%s ran more than once: %+v", d.words.onceSays, answers)
+		return fmt.Errorf("%s ran more than once: %+v", d.scenario.atMostOnceLabel, answers)
 	}
-	d.say("- %s sent twice with one key, at two entries: it ran once, and both got that run's answer", d.words.onceSays)
+	d.printLine("- %s sent twice with one key, at two entries: it ran once, and both got that run's answer", d.scenario.atMostOnceLabel)
 	return nil
 }
 
-// reclaimUnderJob reclaims the endpoint that runs a job and compares its result
-// with what the engine would have said undisturbed.
-func (d *demo) reclaimUnderJob(ctx context.Context) error {
-	c := d.client(d.words.longTeam)
-	prompt := load.Prompt{Service: d.words.long, Text: d.words.longText + " In full.", MaxTokens: d.words.longTokens}
-	j, err := d.longJob(ctx, c, prompt)
+// reclaimDuringJob reclaims the endpoint that runs a job and compares the result
+// with the answer of an uninterrupted run.
+func (d *demo) reclaimDuringJob(ctx context.Context) error {
+	c := d.client(d.scenario.longTeam)
+	prompt := load.Prompt{Service: d.scenario.longService, Text: d.scenario.longPrompt + " In full.", MaxTokens: d.scenario.longMaxTokens}
+	j, err := d.postLongJob(ctx, c, prompt)
 	if err != nil {
 		return err
 	}
-	host, err := d.runningOn(ctx, d.words.longModel, j.ID)
+	host, err := d.findRunningEngine(ctx, d.scenario.longModel, j.ID)
 	if err != nil {
 		return err
 	}
@@ -217,41 +218,41 @@
 	if err := httpx.CallJSON(ctx, d.http, http.MethodPost, "http://"+d.platform+"/standin/reclaim", order, &result); err != nil || result.Count != 1 {
 		return fmt.Errorf("reclaim of %s: %w, %d hosts", host, err, result.Count)
 	}
-	done, err := c.GetJob(ctx, d.entries[1], j.ID, 45*time.Second)
-	if err != nil || done.Result == nil {
-		return fmt.Errorf("%s after a reclaim: %w, %+v", d.words.long, err, done)
+	finished, err := c.GetJob(ctx, d.entries[1], j.ID, 45*time.Second)
+	if err != nil || finished.Result == nil {
+		return fmt.Errorf("%s after a reclaim: %w, %+v", d.scenario.longService, err, finished)
 	}
-	want := wholeAnswer(d.words.longModel, prompt, j.ID)
-	if done.Result.Text != want {
-		return fmt.Errorf("%s after a reclaim is not whole: got %d characters, want %d", d.words.long, len(done.Result.Text), len(want))
+	want := expectedAnswer(d.scenario.longModel, prompt, j.ID)
+	if finished.Result.Text != want {
+		return fmt.Errorf("%s after a reclaim is not whole: got %d characters, want %d", d.scenario.longService, len(finished.Result.Text), len(want))
 	}
-	d.say("- %s: its endpoint %s was reclaimed with 1.5 s notice while it ran; the answer is whole (%d characters, as undisturbed)", d.words.long, host, len(want))
+	d.printLine("- %s: its endpoint %s was reclaimed with 1.5 s notice while it ran; the answer is whole (%d characters, as undisturbed)", d.scenario.longService, host, len(want))
 	return nil
 }
 
-// longAnswer is how many characters make an answer that runs for longer than
-// the notice; how long an answer is depends on the job's id.
-const longAnswer = 6000
+// minLongAnswerLength is the number of characters from which an answer takes
+// longer than the reclaim notice. The length of an answer depends on the job id.
+const minLongAnswerLength = 6000
 
-// longJob posts jobs until one has a long answer.
-func (d *demo) longJob(ctx context.Context, c *load.Client, prompt load.Prompt) (load.Job, error) {
+// postLongJob submits jobs until the id of one gives a long answer.
+func (d *demo) postLongJob(ctx context.Context, c *load.Client, prompt load.Prompt) (load.Job, error) {
 	for range 20 {
 		j, err := c.PostJob(ctx, d.entries[0], "", prompt)
-		if err != nil || len(wholeAnswer(d.words.longModel, prompt, j.ID)) >= longAnswer {
+		if err != nil || len(expectedAnswer(d.scenario.longModel, prompt, j.ID)) >= minLongAnswerLength {
 			return j, err
 		}
 	}
 	return load.Job{}, errors.New("no job has a long answer")
 }
 
-// wholeAnswer is what the stand-in engine gives undisturbed.
-func wholeAnswer(model string, p load.Prompt, request string) string {
+// expectedAnswer returns the answer of the stand-in engine in an uninterrupted run.
+func expectedAnswer(model string, p load.Prompt, request string) string {
 	loaded := engines.Loaded{Model: model, Version: "1"}
 	return strings.Join(engines.Answer(loaded, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
 }
 
-// runningOn returns the engine that runs a request.
-func (d *demo) runningOn(ctx context.Context, model, request string) (string, error) {
+// findRunningEngine returns the endpoint of the engine that runs a request.
+func (d *demo) findRunningEngine(ctx context.Context, model, request string) (string, error) {
 	for range 200 {
 		var status operatorwire.EntryStatus
 		if err := httpx.CallJSON(ctx, d.http, http.MethodGet, "http://"+d.admins[0]+"/status", nil, &status); err != nil {
--- a/pkg/app/load/hop.go
+++ b/pkg/app/load/hop.go
@@ -19,18 +19,19 @@
 	"ironhollow/pkg/measure"
 )
 
-// hop measures what one entry hop adds, against a direct call and a naive hop.
-type hop struct {
+// hopBenchmark measures the overhead of one entry hop, compared with direct calls to
+// the engine and with calls through a plain pass-through proxy (the naive hop).
+type hopBenchmark struct {
 	engine, passthrough, entry, admin, service string
 	entryPID, passthroughPID                   int
 	workers, rounds, tokens                    int
-	lasts                                      time.Duration
-	out                                        string
+	roundDuration                              time.Duration
+	outPath                                    string
 	http                                       *http.Client
 }
 
 func hopCommand() *cobra.Command {
-	h := hop{http: httpx.NewClient(256)}
+	h := hopBenchmark{http: httpx.NewClient(256)}
 	command := &cobra.Command{
 		Use:   "hop",
 		Short: "Measure what one entry hop adds",
@@ -40,7 +41,7 @@
 				return err
 			}
 			_, _ = fmt.Fprint(command.OutOrStdout(), text)
-			return os.WriteFile(h.out, []byte(text), 0o644)
+			return os.WriteFile(h.outPath, []byte(text), 0o644)
 		},
 	}
 	flags := command.Flags()
@@ -54,90 +55,91 @@
 	flags.IntVar(&h.workers, "workers", 8, "requests at once")
 	flags.IntVar(&h.rounds, "rounds", 5, "rounds of each way, in turn")
 	flags.IntVar(&h.tokens, "tokens", 60, "tokens of an answer")
-	flags.DurationVar(&h.lasts, "for", 3*time.Second, "time of one round")
-	flags.StringVar(&h.out, "out", "", "file for the table")
+	flags.DurationVar(&h.roundDuration, "for", 3*time.Second, "time of one round")
+	flags.StringVar(&h.outPath, "out", "", "file for the table")
 	return command
 }
 
-// way is one path to the engine.
-type way struct {
+// target is one path to the engine, with the measurements of its counted rounds.
+type target struct {
 	name  string
 	url   string
 	model string
-	// admin and pid are of the process in between, empty for none.
+	// admin is the admin address and pid the id of the intermediate process;
+	// both are empty if there is none.
 	admin string
 	pid   int
-	// measured:
-	micros   []float64
-	requests int
-	cpu      time.Duration
-	allocs   float64
+	// The fields below are measured.
+	latencyMicros []float64
+	requests      int
+	cpuTime       time.Duration
+	allocations   float64
 }
 
-func (h hop) run(ctx context.Context) (string, error) {
-	ways := []*way{
+func (h hopBenchmark) run(ctx context.Context) (string, error) {
+	targets := []*target{
 		{name: "direct", url: "http://" + h.engine, model: "credit-8b"},
 		{name: "naive pass-through", url: "http://" + h.passthrough, model: "credit-8b", admin: h.passthrough, pid: h.passthroughPID},
 		{name: "entry", url: "http://" + h.entry, model: h.service, admin: h.admin, pid: h.entryPID},
 	}
 	for round := 0; round <= h.rounds; round++ {
-		for _, w := range ways {
-			// The first round warms up and is not counted.
-			if err := h.round(ctx, w, round > 0); err != nil {
-				return "", fmt.Errorf("%s: %w", w.name, err)
+		for _, t := range targets {
+			// The first round is a warm-up and does not count.
+			if err := h.runRound(ctx, t, round > 0); err != nil {
+				return "", fmt.Errorf("%s: %w", t.name, err)
 			}
 		}
 	}
-	return h.table(ways), nil
+	return h.formatTable(targets), nil
 }
 
-func (h hop) round(ctx context.Context, w *way, counted bool) error {
+func (h hopBenchmark) runRound(ctx context.Context, t *target, counted bool) error {
 	var before, after measure.Usage
 	var allocsBefore, allocsAfter map[string]float64
 	var err error
-	if w.pid != 0 {
-		if allocsBefore, err = measure.Counters(ctx, h.http, w.admin); err != nil {
+	if t.pid != 0 {
+		if allocsBefore, err = measure.Counters(ctx, h.http, t.admin); err != nil {
 			return err
 		}
-		if before, err = measure.ProcessUsage(w.pid); err != nil {
+		if before, err = measure.ProcessUsage(t.pid); err != nil {
 			return err
 		}
 	}
-	micros, err := h.load(ctx, w)
+	micros, err := h.runWorkers(ctx, t)
 	if err != nil || !counted {
 		return err
 	}
-	if w.pid != 0 {
-		if after, err = measure.ProcessUsage(w.pid); err != nil {
+	if t.pid != 0 {
+		if after, err = measure.ProcessUsage(t.pid); err != nil {
 			return err
 		}
-		if allocsAfter, err = measure.Counters(ctx, h.http, w.admin); err != nil {
+		if allocsAfter, err = measure.Counters(ctx, h.http, t.admin); err != nil {
 			return err
 		}
-		w.cpu += after.CPU - before.CPU
-		w.allocs += allocsAfter["go_memstats_mallocs_total"] - allocsBefore["go_memstats_mallocs_total"]
+		t.cpuTime += after.CPU - before.CPU
+		t.allocations += allocsAfter["go_memstats_mallocs_total"] - allocsBefore["go_memstats_mallocs_total"]
 	}
-	w.micros = append(w.micros, micros...)
-	w.requests += len(micros)
+	t.latencyMicros = append(t.latencyMicros, micros...)
+	t.requests += len(micros)
 	return nil
 }
 
-// load sends requests one after the other on each worker.
-func (h hop) load(ctx context.Context, w *way) ([]float64, error) {
+// runWorkers starts the workers for one round; each sends one request at a time.
+func (h hopBenchmark) runWorkers(ctx context.Context, t *target) ([]float64, error) {
 	var mu sync.Mutex
 	var micros []float64
-	var faults []error
-	var wait sync.WaitGroup
-	until := time.Now().Add(h.lasts)
+	var errs []error
+	var wg sync.WaitGroup
+	deadline := time.Now().Add(h.roundDuration)
 	for range h.workers {
-		wait.Go(func() {
-			for time.Now().Before(until) {
-				begun := time.Now()
-				err := h.one(ctx, w)
+		wg.Go(func() {
+			for time.Now().Before(deadline) {
+				start := time.Now()
+				err := h.sendRequest(ctx, t)
 				mu.Lock()
-				micros = append(micros, float64(time.Since(begun).Microseconds()))
+				micros = append(micros, float64(time.Since(start).Microseconds()))
 				if err != nil {
-					faults = append(faults, err)
+					errs = append(errs, err)
 				}
 				mu.Unlock()
 				if err != nil {
@@ -146,13 +148,13 @@
 			}
 		})
 	}
-	wait.Wait()
-	return micros, errors.Join(faults...)
+	wg.Wait()
+	return micros, errors.Join(errs...)
 }
 
-func (h hop) one(ctx context.Context, w *way) error {
-	body := fmt.Sprintf(`{"model":%q,"version":"1","adapter":"","stream":true,"max_tokens":%d,"seed":7,"messages":[{"role":"user","content":"Am I eligible?"}]}`, w.model, h.tokens)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, w.url+"/v1/chat/completions", bytes.NewReader([]byte(body)))
+func (h hopBenchmark) sendRequest(ctx context.Context, t *target) error {
+	body := fmt.Sprintf(`{"model":%q,"version":"1","adapter":"","stream":true,"max_tokens":%d,"seed":7,"messages":[{"role":"user","content":"Am I eligible?"}]}`, t.model, h.tokens)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, t.url+"/v1/chat/completions", bytes.NewReader([]byte(body)))
 	if err != nil {
 		return err
 	}
@@ -173,25 +175,25 @@
 	return nil
 }
 
-func (h hop) table(ways []*way) string {
+func (h hopBenchmark) formatTable(targets []*target) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# What one entry hop adds\n\nMade by `make bench-hop`: streamed answers of %d tokens from one stand-in engine, %d at once, %d rounds of %v\n"+
-		"of each way in turn, on one machine; limits, counters and sampling of traces are on in the entry.\n\n", h.tokens, h.workers, h.rounds, h.lasts)
+		"of each way in turn, on one machine; limits, counters and sampling of traces are on in the entry.\n\n", h.tokens, h.workers, h.rounds, h.roundDuration)
 	b.WriteString("| way | requests | p50 | p99 | requests/s a core of the hop | allocations a request |\n|---|---|---|---|---|---|\n")
-	for _, w := range ways {
-		sort.Float64s(w.micros)
+	for _, t := range targets {
+		sort.Float64s(t.latencyMicros)
 		perCore, allocs := "", ""
-		if w.pid != 0 {
-			perCore = fmt.Sprintf("%.0f", w.perCore())
-			allocs = fmt.Sprintf("%.0f", w.allocs/float64(w.requests))
+		if t.pid != 0 {
+			perCore = fmt.Sprintf("%.0f", t.requestsPerCore())
+			allocs = fmt.Sprintf("%.0f", t.allocations/float64(t.requests))
 		}
-		fmt.Fprintf(&b, "| %s | %d | %.2f ms | %.2f ms | %s | %s |\n", w.name, w.requests, measure.Quantile(w.micros, 0.5)/1000, measure.Quantile(w.micros, 0.99)/1000, perCore, allocs)
+		fmt.Fprintf(&b, "| %s | %d | %.2f ms | %.2f ms | %s | %s |\n", t.name, t.requests, measure.Quantile(t.latencyMicros, 0.5)/1000, measure.Quantile(t.latencyMicros, 0.99)/1000, perCore, allocs)
 	}
-	naive, entry := ways[1], ways[2]
+	naive, entry := targets[1], targets[2]
 	fmt.Fprintf(&b, "\nThe entry against the naive pass-through: %.2f of its requests/s a core (target at least 0.8), %.2f of its p50 and %.2f of its p99 (target at most 1.25).\n",
-		entry.perCore()/naive.perCore(), measure.Quantile(entry.micros, 0.5)/measure.Quantile(naive.micros, 0.5),
-		measure.Quantile(entry.micros, 0.99)/measure.Quantile(naive.micros, 0.99))
+		entry.requestsPerCore()/naive.requestsPerCore(), measure.Quantile(entry.latencyMicros, 0.5)/measure.Quantile(naive.latencyMicros, 0.5),
+		measure.Quantile(entry.latencyMicros, 0.99)/measure.Quantile(naive.latencyMicros, 0.99))
 	return b.String()
 }
 
-func (w *way) perCore() float64 { return float64(w.requests) / w.cpu.Seconds() }
+func (t *target) requestsPerCore() float64 { return float64(t.requests) / t.cpuTime.Seconds() }
--- a/pkg/app/load/load.go
+++ b/pkg/app/load/load.go
@@ -1,5 +1,6 @@
-// Package load is the load tool: open-loop load at stated rates, and the
-// demonstration of the promises on a running fleet.
+// Package load is the load tool: it sends open-loop load at given rates,
+// demonstrates the guarantees on a running fleet, and runs the hop and scale
+// benchmarks.
 package load
 
 import (
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -22,44 +22,48 @@
 	"ironhollow/pkg/standin/clouds"
 )
 
-// scalePoint is what was measured at one size of the fleet. Rates are a second.
+// scalePoint holds the measurements at one fleet size. Rates are per second.
 type scalePoint struct {
 	Nodes     int `json:"nodes"`
 	Endpoints int `json:"endpoints"`
-	// CPU is in percent of one core, memory in MB; each is a mean of processes.
-	EntryCPUPercent      float64 `json:"entry_cpu_percent"`
-	EntryMemoryMB   float64 `json:"entry_memory_mb"`
-	ControlCPUPercent    float64 `json:"control_cpu_percent"`
-	ControlMemoryMB float64 `json:"control_memory_mb"`
-	// WireBytesPerNode is all traffic of the fleet, headers of all layers counted, for
-	// a node; PeerBytes the part that is messages between own processes.
+	// CPU is in percent of one core, memory in MB; both are means per process.
+	EntryCPUPercent   float64 `json:"entry_cpu_percent"`
+	EntryMemoryMB     float64 `json:"entry_memory_mb"`
+	ControlCPUPercent float64 `json:"control_cpu_percent"`
+	ControlMemoryMB   float64 `json:"control_memory_mb"`
+	// WireBytesPerNode is all traffic of the fleet, headers of all layers
+	// included, divided by the number of nodes. PeerBytesPerNode is the part
+	// of it that consists of messages between the system's own processes.
 	WireBytesPerNode    float64 `json:"wire_bytes_per_node"`
 	PeerBytesPerNode    float64 `json:"peer_bytes_per_node"`
 	PeerMessagesPerNode float64 `json:"peer_messages_per_node"`
-	StoreCommits float64 `json:"store_commits"`
-	StoreReads   float64 `json:"store_reads"`
-	// Times are in seconds: until every entry knows.
+	StoreCommits        float64 `json:"store_commits"`
+	StoreReads          float64 `json:"store_reads"`
+	// The next three are in seconds: the time until every entry has the change,
+	// and until other control processes hold the shards of a killed one.
 	LeavingPropagation  float64 `json:"leaving_known_s"`
 	RevisionPropagation float64 `json:"revision_known_s"`
-	ShardTakeover      float64 `json:"take_over_s"`
-	// Suspected and WronglyDead are of processes stopped for 1.5 s and let go.
-	Suspected   int64 `json:"suspected"`
+	ShardTakeover       float64 `json:"take_over_s"`
+	// Suspected and FalselyDeclaredDead count the verdicts of the failure detector
+	// when entry processes are paused for 1.5 s and then resumed.
+	Suspected           int64 `json:"suspected"`
 	FalselyDeclaredDead int64 `json:"wrongly_dead"`
 }
 
-// scale measures a running fleet.
-type scale struct {
-	admins, controls, controlAdmins []string
-	entryPIDs, controlPIDs          []int
-	platform, victim, file, out     string
-	settle, window                  time.Duration
-	// endpoints is how many there must be before measuring.
-	endpoints int
-	http      *http.Client
+// scaleBenchmark measures a running fleet of one size.
+type scaleBenchmark struct {
+	admins, controls, controlAdmins            []string
+	entryPIDs, controlPIDs                     []int
+	platform, reclaimHost, configFile, outPath string
+	settleTime, measureWindow                  time.Duration
+	// minEndpoints is the number of endpoints that every entry must know before
+	// the measurement starts.
+	minEndpoints int
+	http         *http.Client
 }
 
 func scaleCommand() *cobra.Command {
-	s := scale{http: httpx.NewClient(2)}
+	s := scaleBenchmark{http: httpx.NewClient(2)}
 	command := &cobra.Command{
 		Use:   "scale",
 		Short: "Measure a running fleet and append a line to a file",
@@ -68,7 +72,7 @@
 			if err != nil {
 				return err
 			}
-			return appendLine(s.out, point)
+			return appendLine(s.outPath, point)
 		},
 	}
 	flags := command.Flags()
@@ -78,12 +82,12 @@
 	flags.StringSliceVar(&s.controlAdmins, "control-admins", nil, "admin addresses of the controls")
 	flags.IntSliceVar(&s.controlPIDs, "control-pids", nil, "process ids of the controls")
 	flags.StringVar(&s.platform, "platform", "", "address of the platform stand-in")
-	flags.StringVar(&s.victim, "victim", "", "host to reclaim")
-	flags.StringVar(&s.file, "config", "", "configuration to apply with a small change")
-	flags.StringVar(&s.out, "out", "", "file to append to")
-	flags.IntVar(&s.endpoints, "endpoints", 1, "endpoints that must be known")
-	flags.DurationVar(&s.settle, "settle", 20*time.Second, "time before measuring")
-	flags.DurationVar(&s.window, "window", 20*time.Second, "time measured")
+	flags.StringVar(&s.reclaimHost, "victim", "", "host to reclaim")
+	flags.StringVar(&s.configFile, "config", "", "configuration to apply with a small change")
+	flags.StringVar(&s.outPath, "out", "", "file to append to")
+	flags.IntVar(&s.minEndpoints, "endpoints", 1, "endpoints that must be known")
+	flags.DurationVar(&s.settleTime, "settle", 20*time.Second, "time before measuring")
+	flags.DurationVar(&s.measureWindow, "window", 20*time.Second, "time measured")
 	return command
 }
 
@@ -101,19 +105,19 @@
 	return file.Close()
 }
 
-func (s *scale) measure(ctx context.Context) (scalePoint, error) {
+func (s *scaleBenchmark) measure(ctx context.Context) (scalePoint, error) {
 	point := scalePoint{Nodes: len(s.admins)}
-	if err := s.awaitFormed(ctx); err != nil {
+	if err := s.awaitMembership(ctx); err != nil {
 		return point, err
 	}
-	time.Sleep(s.settle)
-	if err := s.until(ctx, time.Minute, "endpoints are known", func(st operatorwire.EntryStatus) bool {
+	time.Sleep(s.settleTime)
+	if err := s.awaitAll(ctx, time.Minute, "endpoints are known", func(st operatorwire.EntryStatus) bool {
 		point.Endpoints = len(st.Endpoints)
-		return len(st.Endpoints) >= s.endpoints
+		return len(st.Endpoints) >= s.minEndpoints
 	}); err != nil {
 		return point, err
 	}
-	steps := []func(context.Context, *scalePoint) error{s.quiet, s.news, s.revision, s.pauses, s.takeOver}
+	steps := []func(context.Context, *scalePoint) error{s.measureIdle, s.measureLeavingPropagation, s.measureRevisionPropagation, s.measureFalsePositives, s.measureShardTakeover}
 	for _, step := range steps {
 		if err := step(ctx, &point); err != nil {
 			return point, err
@@ -122,9 +126,10 @@
 	return point, nil
 }
 
-// awaitFormed waits until every entry knows all the others.
-func (s *scale) awaitFormed(ctx context.Context) error {
-	return s.until(ctx, 2*time.Minute, "the fleet has formed", func(st operatorwire.EntryStatus) bool {
+// awaitMembership waits until every entry sees all nodes alive, has a
+// configuration and knows an endpoint.
+func (s *scaleBenchmark) awaitMembership(ctx context.Context) error {
+	return s.awaitAll(ctx, 2*time.Minute, "the fleet has formed", func(st operatorwire.EntryStatus) bool {
 		alive := 0
 		for _, n := range st.Nodes {
 			if n.Status == "alive" && n.Control {
@@ -135,58 +140,58 @@
 	})
 }
 
-// until waits until every entry's status satisfies known.
-func (s *scale) until(ctx context.Context, most time.Duration, what string, known func(operatorwire.EntryStatus) bool) error {
-	begun := time.Now()
-	left := append([]string(nil), s.admins...)
-	for len(left) > 0 {
-		var still []string
-		for _, admin := range left {
+// awaitAll waits until satisfied has returned true for the status of every entry.
+func (s *scaleBenchmark) awaitAll(ctx context.Context, timeout time.Duration, description string, satisfied func(operatorwire.EntryStatus) bool) error {
+	start := time.Now()
+	pending := append([]string(nil), s.admins...)
+	for len(pending) > 0 {
+		var remaining []string
+		for _, admin := range pending {
 			var status operatorwire.EntryStatus
 			err := httpx.CallJSON(ctx, s.http, http.MethodGet, "http://"+admin+"/status", nil, &status)
-			if err != nil || !known(status) {
-				still = append(still, admin)
+			if err != nil || !satisfied(status) {
+				remaining = append(remaining, admin)
 			}
 		}
-		left = still
-		if time.Since(begun) > most {
-			return fmt.Errorf("not within %v: %s (%d entries left)", most, what, len(left))
+		pending = remaining
+		if time.Since(start) > timeout {
+			return fmt.Errorf("not within %v: %s (%d entries left)", timeout, description, len(pending))
 		}
-		if len(left) > 0 {
+		if len(pending) > 0 {
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
 	return nil
 }
 
-// snapshot is all that is counted, at one moment.
+// snapshot holds the values of the counters at one moment.
 type snapshot struct {
 	at                         time.Time
 	entryCPU, controlCPU       time.Duration
 	entryMemory, controlMemory int64
-	wire                       int64
+	loopbackBytes              int64
 	peerBytes, peerMessages    float64
 	store                      standin.StoreCounts
 }
 
-func (s *scale) snapshot(ctx context.Context) (snapshot, error) {
+func (s *scaleBenchmark) snapshot(ctx context.Context) (snapshot, error) {
 	shot := snapshot{at: time.Now()}
 	var err error
-	if shot.wire, err = measure.LoopbackBytes(); err != nil {
+	if shot.loopbackBytes, err = measure.LoopbackBytes(); err != nil {
 		return shot, err
 	}
-	if shot.entryCPU, shot.entryMemory, err = total(s.entryPIDs); err != nil {
+	if shot.entryCPU, shot.entryMemory, err = totalUsage(s.entryPIDs); err != nil {
 		return shot, err
 	}
-	if shot.controlCPU, shot.controlMemory, err = total(s.controlPIDs); err != nil {
+	if shot.controlCPU, shot.controlMemory, err = totalUsage(s.controlPIDs); err != nil {
 		return shot, err
 	}
 	return shot, httpx.CallJSON(ctx, s.http, http.MethodGet, "http://"+s.platform+"/standin/counts", nil, &shot.store)
 }
 
-// addCounters reads the processes' own counters, which costs traffic itself and
-// so is not done inside the window.
-func (s *scale) addCounters(ctx context.Context, shot *snapshot) error {
+// addPeerCounters adds up the peer counters of all processes. Reading them causes
+// traffic, so it is done outside the measurement window.
+func (s *scaleBenchmark) addPeerCounters(ctx context.Context, shot *snapshot) error {
 	for _, admin := range append(append([]string(nil), s.admins...), s.controlAdmins...) {
 		counters, err := measure.Counters(ctx, s.http, admin)
 		if err != nil {
@@ -198,7 +203,7 @@
 	return nil
 }
 
-func total(pids []int) (time.Duration, int64, error) {
+func totalUsage(pids []int) (time.Duration, int64, error) {
 	var cpu time.Duration
 	var memory int64
 	for _, pid := range pids {
@@ -212,121 +217,124 @@
 	return cpu, memory, nil
 }
 
-// quiet measures a fleet without callers.
-func (s *scale) quiet(ctx context.Context, point *scalePoint) error {
-	var counted, countedAfter snapshot
-	if err := s.addCounters(ctx, &counted); err != nil {
+// measureIdle measures CPU, memory, traffic and store calls of a fleet without callers.
+func (s *scaleBenchmark) measureIdle(ctx context.Context, point *scalePoint) error {
+	var peersBefore, peersAfter snapshot
+	if err := s.addPeerCounters(ctx, &peersBefore); err != nil {
 		return err
 	}
-	countedAt := time.Now()
+	peersStart := time.Now()
 	before, err := s.snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	time.Sleep(s.window)
+	time.Sleep(s.measureWindow)
 	after, err := s.snapshot(ctx)
 	if err != nil {
 		return err
 	}
-	if err := s.addCounters(ctx, &countedAfter); err != nil {
+	if err := s.addPeerCounters(ctx, &peersAfter); err != nil {
 		return err
 	}
 	seconds := after.at.Sub(before.at).Seconds()
-	countedSeconds := time.Since(countedAt).Seconds()
+	peerSeconds := time.Since(peersStart).Seconds()
 	nodes := float64(point.Nodes)
-	const mega = 1 << 20
+	const bytesPerMB = 1 << 20
 	point.EntryCPUPercent = 100 * (after.entryCPU - before.entryCPU).Seconds() / seconds / nodes
 	point.ControlCPUPercent = 100 * (after.controlCPU - before.controlCPU).Seconds() / seconds / nodes
-	point.EntryMemoryMB = float64(after.entryMemory) / mega / nodes
-	point.ControlMemoryMB = float64(after.controlMemory) / mega / nodes
-	point.WireBytesPerNode = float64(after.wire-before.wire) / seconds / nodes
-	point.PeerBytesPerNode = (countedAfter.peerBytes - counted.peerBytes) / countedSeconds / nodes
-	point.PeerMessagesPerNode = (countedAfter.peerMessages - counted.peerMessages) / countedSeconds / nodes
+	point.EntryMemoryMB = float64(after.entryMemory) / bytesPerMB / nodes
+	point.ControlMemoryMB = float64(after.controlMemory) / bytesPerMB / nodes
+	point.WireBytesPerNode = float64(after.loopbackBytes-before.loopbackBytes) / seconds / nodes
+	point.PeerBytesPerNode = (peersAfter.peerBytes - peersBefore.peerBytes) / peerSeconds / nodes
+	point.PeerMessagesPerNode = (peersAfter.peerMessages - peersBefore.peerMessages) / peerSeconds / nodes
 	point.StoreCommits = float64(after.store.Commits-before.store.Commits) / seconds
 	point.StoreReads = float64(after.store.Gets+after.store.Lists-before.store.Gets-before.store.Lists) / seconds
 	return nil
 }
 
-// news reclaims a host and waits until every entry knows.
-func (s *scale) news(ctx context.Context, point *scalePoint) error {
-	begun := time.Now()
-	order := clouds.ReclaimOrder{Host: s.victim, NoticeMS: 30_000}
+// measureLeavingPropagation reclaims a host and measures the time until every
+// entry knows that its endpoint is leaving.
+func (s *scaleBenchmark) measureLeavingPropagation(ctx context.Context, point *scalePoint) error {
+	start := time.Now()
+	order := clouds.ReclaimOrder{Host: s.reclaimHost, NoticeMS: 30_000}
 	if err := httpx.CallJSON(ctx, s.http, http.MethodPost, "http://"+s.platform+"/standin/reclaim", order, nil); err != nil {
 		return err
 	}
-	err := s.until(ctx, time.Minute, "all know the leaving endpoint", func(st operatorwire.EntryStatus) bool {
+	err := s.awaitAll(ctx, time.Minute, "all know the leaving endpoint", func(st operatorwire.EntryStatus) bool {
 		for _, e := range st.Endpoints {
-			if e.Endpoint == s.victim {
+			if e.Endpoint == s.reclaimHost {
 				return e.State != "live"
 			}
 		}
 		return false
 	})
-	point.LeavingPropagation = time.Since(begun).Seconds()
+	point.LeavingPropagation = time.Since(start).Seconds()
 	return err
 }
 
-// revision applies a configuration and waits until it is in force everywhere.
-func (s *scale) revision(ctx context.Context, point *scalePoint) error {
+// measureRevisionPropagation applies a configuration and measures the time until
+// it is in force at every entry.
+func (s *scaleBenchmark) measureRevisionPropagation(ctx context.Context, point *scalePoint) error {
 	client, err := operatorclient.New(s.controls, "", "")
 	if err != nil {
 		return err
 	}
-	seen, _, err := client.Config(ctx)
+	current, _, err := client.Config(ctx)
 	if err != nil {
 		return err
 	}
-	data, err := os.ReadFile(s.file)
+	data, err := os.ReadFile(s.configFile)
 	if err != nil {
 		return err
 	}
-	data = append(data, []byte(fmt.Sprintf("\n[team added-%d]\nkeys = %064x\nrate = 1\n", seen, seen+1))...)
-	sections, err := fleet.Parse(s.file, data)
+	data = append(data, []byte(fmt.Sprintf("\n[team added-%d]\nkeys = %064x\nrate = 1\n", current, current+1))...)
+	sections, err := fleet.Parse(s.configFile, data)
 	if err != nil {
 		return err
 	}
-	begun := time.Now()
-	revision, err := client.Apply(ctx, seen, sections)
+	start := time.Now()
+	revision, err := client.Apply(ctx, current, sections)
 	if err != nil {
 		return err
 	}
-	err = s.until(ctx, time.Minute, "the revision is in force", func(st operatorwire.EntryStatus) bool { return st.Revision >= revision })
-	point.RevisionPropagation = time.Since(begun).Seconds()
+	err = s.awaitAll(ctx, time.Minute, "the revision is in force", func(st operatorwire.EntryStatus) bool { return st.Revision >= revision })
+	point.RevisionPropagation = time.Since(start).Seconds()
 	return err
 }
 
-// Stopped processes.
+// Number of entries to pause, at most, and the length of the pause.
 const (
-	stoppedProcesses = 3
-	stoppedFor       = 1500 * time.Millisecond
+	maxPausedEntries = 3
+	pauseDuration    = 1500 * time.Millisecond
 )
 
-// pauses stops some entries for a while and counts wrong verdicts.
-func (s *scale) pauses(ctx context.Context, point *scalePoint) error {
-	beforeSuspected, beforeDead, err := s.verdicts(ctx)
+// measureFalsePositives pauses some entries and counts how often the others
+// suspect them or declare them dead.
+func (s *scaleBenchmark) measureFalsePositives(ctx context.Context, point *scalePoint) error {
+	suspectedBefore, deadBefore, err := s.failureDetectorCounts(ctx)
 	if err != nil {
 		return err
 	}
-	stopped := s.entryPIDs[:min(stoppedProcesses, len(s.entryPIDs)-1)]
-	for _, pid := range stopped {
+	paused := s.entryPIDs[:min(maxPausedEntries, len(s.entryPIDs)-1)]
+	for _, pid := range paused {
 		if err := syscall.Kill(pid, syscall.SIGSTOP); err != nil {
 			return err
 		}
 	}
-	time.Sleep(stoppedFor)
-	for _, pid := range stopped {
+	time.Sleep(pauseDuration)
+	for _, pid := range paused {
 		if err := syscall.Kill(pid, syscall.SIGCONT); err != nil {
 			return err
 		}
 	}
 	time.Sleep(5 * time.Second)
-	suspected, dead, err := s.verdicts(ctx)
-	point.Suspected = suspected - beforeSuspected
-	point.FalselyDeclaredDead = dead - beforeDead
+	suspected, dead, err := s.failureDetectorCounts(ctx)
+	point.Suspected = suspected - suspectedBefore
+	point.FalselyDeclaredDead = dead - deadBefore
 	return err
 }
 
-func (s *scale) verdicts(ctx context.Context) (suspected, dead int64, err error) {
+func (s *scaleBenchmark) failureDetectorCounts(ctx context.Context) (suspected, dead int64, err error) {
 	for _, admin := range s.admins {
 		var status operatorwire.EntryStatus
 		if err := httpx.CallJSON(ctx, s.http, http.MethodGet, "http://"+admin+"/status", nil, &status); err != nil {
@@ -338,45 +346,46 @@
 	return suspected, dead, nil
 }
 
-// takeOver kills one control process and waits until others hold its shards.
-func (s *scale) takeOver(ctx context.Context, point *scalePoint) error {
+// measureShardTakeover kills one control process and measures the time until
+// others hold its shards.
+func (s *scaleBenchmark) measureShardTakeover(ctx context.Context, point *scalePoint) error {
 	shards := map[int]bool{}
-	victim := -1
+	holder := -1
 	for i := range s.controls {
-		held, err := s.shardsOf(ctx, i)
+		held, err := s.heldShards(ctx, i)
 		if err != nil {
 			return err
 		}
 		if len(held) > 0 {
-			victim, shards = i, held
+			holder, shards = i, held
 			break
 		}
 	}
-	if victim < 0 {
+	if holder < 0 {
 		return errors.New("no control process holds a shard")
 	}
-	begun := time.Now()
-	if err := syscall.Kill(s.controlPIDs[victim], syscall.SIGKILL); err != nil {
+	start := time.Now()
+	if err := syscall.Kill(s.controlPIDs[holder], syscall.SIGKILL); err != nil {
 		return err
 	}
-	for time.Since(begun) < time.Minute {
-		found := map[int]bool{}
+	for time.Since(start) < time.Minute {
+		takenOver := map[int]bool{}
 		for i := range s.controls {
-			if i == victim {
+			if i == holder {
 				continue
 			}
-			held, err := s.shardsOf(ctx, i)
+			held, err := s.heldShards(ctx, i)
 			if err != nil {
 				return err
 			}
 			for shard := range held {
 				if shards[shard] {
-					found[shard] = true
+					takenOver[shard] = true
 				}
 			}
 		}
-		if len(found) == len(shards) {
-			point.ShardTakeover = time.Since(begun).Seconds()
+		if len(takenOver) == len(shards) {
+			point.ShardTakeover = time.Since(start).Seconds()
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -384,7 +393,7 @@
 	return errors.New("shards were not taken over within a minute")
 }
 
-func (s *scale) shardsOf(ctx context.Context, control int) (map[int]bool, error) {
+func (s *scaleBenchmark) heldShards(ctx context.Context, control int) (map[int]bool, error) {
 	client, err := operatorclient.New(s.controls[control:control+1], "", "")
 	if err != nil {
 		return nil, err
--- a/pkg/app/load/scalereport.go
+++ b/pkg/app/load/scalereport.go
@@ -18,18 +18,18 @@
 	"ironhollow/pkg/measure"
 )
 
-// plannedNodes is the size to design for.
+// plannedNodes is the fleet size that the system is designed for.
 const plannedNodes = 420
 
-// figure is one column of the measurements.
-type figure struct {
-	name, unit, file string
-	of               func(scalePoint) float64
-	// budget at the planned size, 0 for none.
+// metric is one row of the table, with a plot of its own.
+type metric struct {
+	name, unit, fileName string
+	value                func(scalePoint) float64
+	// budget is the limit at plannedNodes, 0 for none.
 	budget float64
 }
 
-var scaleFigures = []figure{
+var scaleMetrics = []metric{
 	{"entry, processor", "% of a core", "entry-cpu", func(p scalePoint) float64 { return p.EntryCPUPercent }, 0},
 	{"control, processor", "% of a core", "control-cpu", func(p scalePoint) float64 { return p.ControlCPUPercent }, 0},
 	{"both, processor", "% of a core", "both-cpu", func(p scalePoint) float64 { return p.EntryCPUPercent + p.ControlCPUPercent }, 4.4},
@@ -60,8 +60,8 @@
 			if err := os.WriteFile(filepath.Join(out, "scale.md"), []byte(scaleTable(points)), 0o644); err != nil {
 				return err
 			}
-			for _, f := range scaleFigures {
-				if err := plotFigure(f, points, filepath.Join(out, "scale-"+f.file+".svg")); err != nil {
+			for _, m := range scaleMetrics {
+				if err := plotMetric(m, points, filepath.Join(out, "scale-"+m.fileName+".svg")); err != nil {
 					return err
 				}
 			}
@@ -91,10 +91,10 @@
 	return points, lines.Err()
 }
 
-func columns(f figure, points []scalePoint) (xs, ys []float64) {
+func series(m metric, points []scalePoint) (xs, ys []float64) {
 	for _, p := range points {
 		xs = append(xs, float64(p.Nodes))
-		ys = append(ys, f.of(p))
+		ys = append(ys, m.value(p))
 	}
 	return xs, ys
 }
@@ -109,23 +109,23 @@
 		fmt.Fprintf(&b, " %d nodes, %d endpoints |", p.Nodes, p.Endpoints)
 	}
 	fmt.Fprintf(&b, " slope a node | at %d (worked out) | budget |\n|---|---|%s---|---|---|\n", plannedNodes, strings.Repeat("---|", len(points)))
-	for _, f := range scaleFigures {
-		fmt.Fprintf(&b, "| %s | %s |", f.name, f.unit)
+	for _, m := range scaleMetrics {
+		fmt.Fprintf(&b, "| %s | %s |", m.name, m.unit)
 		for _, p := range points {
-			fmt.Fprintf(&b, " %s |", number(f.of(p)))
+			fmt.Fprintf(&b, " %s |", formatNumber(m.value(p)))
 		}
-		line := measure.Fit(columns(f, points))
+		line := measure.Fit(series(m, points))
 		budget := ""
-		if f.budget > 0 {
-			budget = number(f.budget)
+		if m.budget > 0 {
+			budget = formatNumber(m.budget)
 		}
-		fmt.Fprintf(&b, " %s ± %s | %s | %s |\n", number(line.Slope), number(line.SlopeError), number(line.At(plannedNodes)), budget)
+		fmt.Fprintf(&b, " %s ± %s | %s | %s |\n", formatNumber(line.Slope), formatNumber(line.SlopeError), formatNumber(line.At(plannedNodes)), budget)
 	}
 	return b.String()
 }
 
-// number shows three significant digits.
-func number(v float64) string {
+// formatNumber formats a value with about three significant digits, or "?" for NaN.
+func formatNumber(v float64) string {
 	switch {
 	case math.IsNaN(v):
 		return "?"
@@ -137,13 +137,13 @@
 	return fmt.Sprintf("%.3g", v)
 }
 
-func plotFigure(f figure, points []scalePoint, path string) error {
+func plotMetric(m metric, points []scalePoint, path string) error {
 	p := plot.New()
-	p.Title.Text = f.name
+	p.Title.Text = m.name
 	p.X.Label.Text = "nodes"
-	p.Y.Label.Text = f.unit
+	p.Y.Label.Text = m.unit
 	p.Y.Min = 0
-	xs, ys := columns(f, points)
+	xs, ys := series(m, points)
 	measured := make(plotter.XYs, len(xs))
 	for i := range xs {
 		measured[i].X, measured[i].Y = xs[i], ys[i]
@@ -153,17 +153,17 @@
 		return err
 	}
 	if len(points) < 2 {
-		return nil // No line goes through one point.
+		return nil // A line fit needs two points.
 	}
 	line := measure.Fit(xs, ys)
-	drawn, err := plotter.NewLine(plotter.XYs{{X: 0, Y: line.At(0)}, {X: plannedNodes, Y: line.At(plannedNodes)}})
+	fitted, err := plotter.NewLine(plotter.XYs{{X: 0, Y: line.At(0)}, {X: plannedNodes, Y: line.At(plannedNodes)}})
 	if err != nil {
 		return err
 	}
-	drawn.Color = color.Gray{128}
-	p.Add(dots, drawn, plotter.NewGrid())
-	if f.budget > 0 {
-		budget, err := plotter.NewLine(plotter.XYs{{X: 0, Y: f.budget}, {X: plannedNodes, Y: f.budget}})
+	fitted.Color = color.Gray{128}
+	p.Add(dots, fitted, plotter.NewGrid())
+	if m.budget > 0 {
+		budget, err := plotter.NewLine(plotter.XYs{{X: 0, Y: m.budget}, {X: plannedNodes, Y: m.budget}})
 		if err != nil {
 			return err
 		}
@@ -172,6 +172,6 @@
 		p.Legend.Add("budget", budget)
 	}
 	p.Legend.Add("measured", dots)
-	p.Legend.Add("fitted", drawn)
+	p.Legend.Add("fitted", fitted)
 	return p.Save(14*vg.Centimeter, 9*vg.Centimeter, path)
 }
--- a/pkg/load/client.go
+++ b/pkg/load/client.go
@@ -1,6 +1,6 @@
-// Package load calls an ironhollow fleet as its callers do, for demonstrations,
-// load runs and tests: it asks which entry hosts to use, keeps the answer for
-// the time it is told, and takes up broken streams elsewhere.
+// Package load is a client of an ironhollow fleet for demonstrations, load runs
+// and tests. It asks the fleet for its list of entry hosts, caches the list for
+// the time the response states, and resumes broken streams at another entry.
 package load
 
 import (
@@ -20,46 +20,46 @@
 	"ironhollow/pkg/chat"
 )
 
-// Client is one caller with one team's key.
+// Client calls the fleet with the API key of one team.
 type Client struct {
 	key   string
 	http  *http.Client
 	seeds []string
 
-	mu      sync.Mutex
-	entries []string
-	until   time.Time
-	turn    int
+	mu        sync.Mutex
+	entries   []string
+	expiresAt time.Time
+	nextIndex int
 }
 
-// NewClient returns a caller that first asks the seeds which entries to use.
-func NewClient(key string, seeds []string, client *http.Client) *Client {
-	return &Client{key: key, http: client, seeds: seeds}
+// NewClient returns a client that gets its first list of entries from the seeds.
+func NewClient(key string, seeds []string, httpClient *http.Client) *Client {
+	return &Client{key: key, http: httpClient, seeds: seeds}
 }
 
-// entriesAnswer is /v1/entries' answer.
-type entriesAnswer struct {
+// entriesResponse is the response body of /v1/entries.
+type entriesResponse struct {
 	Entries []struct {
 		Address string `json:"address"`
 	} `json:"entries"`
 	KeepSeconds int `json:"keep_seconds"`
 }
 
-// errNoEntry says that no entry host could be reached.
+// errNoEntry means that no entry host could be reached.
 var errNoEntry = errors.New("load: no entry host answers")
 
-// Entries returns the entries to use, asking anew once the answer is too old.
+// Entries returns the entries to use and fetches the list again once the cached one has expired.
 func (c *Client) Entries(ctx context.Context) ([]string, error) {
 	c.mu.Lock()
-	if time.Now().Before(c.until) && len(c.entries) > 0 {
-		held := c.entries
+	if time.Now().Before(c.expiresAt) && len(c.entries) > 0 {
+		cached := c.entries
 		c.mu.Unlock()
-		return held, nil
+		return cached, nil
 	}
-	known := append(append([]string(nil), c.entries...), c.seeds...)
+	candidates := append(append([]string(nil), c.entries...), c.seeds...)
 	c.mu.Unlock()
-	for _, address := range known {
-		var answer entriesAnswer
+	for _, address := range candidates {
+		var answer entriesResponse
 		if c.getJSON(ctx, address, "/v1/entries", &answer) != nil || len(answer.Entries) == 0 {
 			continue
 		}
@@ -69,22 +69,22 @@
 		}
 		c.mu.Lock()
 		c.entries = entries
-		c.until = time.Now().Add(time.Duration(answer.KeepSeconds) * time.Second)
+		c.expiresAt = time.Now().Add(time.Duration(answer.KeepSeconds) * time.Second)
 		c.mu.Unlock()
 		return entries, nil
 	}
 	return nil, errNoEntry
 }
 
-// InvalidateEntries drops the kept answer after an entry failed.
+// InvalidateEntries makes the next request fetch the list of entries again, after an entry failed.
 func (c *Client) InvalidateEntries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = time.Time{}
+	c.expiresAt = time.Time{}
 }
 
-// NextEntry returns the next entry to use: the answer's first ones in turn, as a
-// caller with several connections spreads them.
+// NextEntry returns the first entries of the list in rotation, as a caller does
+// that spreads its requests over several connections.
 func (c *Client) NextEntry(ctx context.Context) (string, error) {
 	entries, err := c.Entries(ctx)
 	if err != nil {
@@ -92,12 +92,12 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.turn++
-	return entries[c.turn%min(len(entries), spread)], nil
+	c.nextIndex++
+	return entries[c.nextIndex%min(len(entries), maxEntriesInUse)], nil
 }
 
-// spread is how many of the entries named a caller uses at a time.
-const spread = 3
+// maxEntriesInUse is the number of entries of the list that a client uses at a time.
+const maxEntriesInUse = 3
 
 func (c *Client) request(ctx context.Context, method, address, path string, body []byte, header http.Header) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
@@ -124,22 +124,22 @@
 	return json.NewDecoder(response.Body).Decode(out)
 }
 
-// APIError is a numbered error of the system.
+// APIError is an error response of the system, identified by its number.
 type APIError struct {
-	Status  int
-	Number  int
-	Outcome string
-	Message string
-	RetryAfter   string
+	Status     int
+	Number     int
+	Outcome    string
+	Message    string
+	RetryAfter string
 }
 
-// Error gives number and message.
+// Error returns the number, the outcome and the message.
 func (r *APIError) Error() string {
 	return fmt.Sprintf("%d (%s): %s", r.Number, r.Outcome, r.Message)
 }
 
-// errorAnswer is the system's error body.
-type errorAnswer struct {
+// errorResponse is the body of an error response.
+type errorResponse struct {
 	Error struct {
 		Message string `json:"message"`
 		Number  int    `json:"number"`
@@ -147,27 +147,27 @@
 	} `json:"error"`
 }
 
-func refusedOf(response *http.Response) error {
+func responseError(response *http.Response) error {
 	data, err := io.ReadAll(io.LimitReader(response.Body, 1<<20))
 	if err != nil {
 		return err
 	}
-	var answer errorAnswer
-	if json.Unmarshal(data, &answer) != nil || answer.Error.Number == 0 {
+	var decoded errorResponse
+	if json.Unmarshal(data, &decoded) != nil || decoded.Error.Number == 0 {
 		return fmt.Errorf("load: %s: %s", response.Status, bytes.TrimSpace(data))
 	}
-	e := answer.Error
+	e := decoded.Error
 	return &APIError{response.StatusCode, e.Number, e.Outcome, e.Message, response.Header.Get("Retry-After")}
 }
 
-// Prompt is a model call.
+// Prompt is a request for a chat completion.
 type Prompt struct {
 	Service   string
 	Text      string
 	MaxTokens int
 }
 
-// body gives the prompt in the usual form.
+// body encodes the prompt as a chat completion request.
 func (p Prompt) body(stream bool) []byte {
 	encoded, _ := json.Marshal(struct {
 		Model     string          `json:"model"`
@@ -178,7 +178,7 @@
 	return encoded
 }
 
-// Messages gives the prompt's messages as they are sent, byte for byte.
+// Messages returns the prompt's messages byte for byte as they are sent.
 func (p Prompt) Messages() json.RawMessage {
 	encoded, _ := json.Marshal([]struct {
 		Role    string `json:"role"`
@@ -187,65 +187,66 @@
 	return encoded
 }
 
-// Answer is a whole streamed answer.
+// Answer is a streamed answer, joined over all its connections.
 type Answer struct {
-	Text       string
-	Tokens     int
+	Text             string
+	Tokens           int
 	TimeToFirstToken time.Duration
-	TotalTime      time.Duration
-	// InterTokenLatencies are the times between tokens.
+	TotalTime        time.Duration
+	// InterTokenLatencies are the times between consecutive tokens.
 	InterTokenLatencies []time.Duration
-	// Attempts counts the connections it took.
+	// Attempts counts the requests that were sent for this answer: the first
+	// one, and one for each time that the stream was resumed.
 	Attempts  int
 	RequestID string
 }
 
-// mostPieces bounds how often a broken stream is taken up.
-const mostPieces = 10
+// maxAttempts bounds the attempts of a request, the first one included.
+const maxAttempts = 10
 
-// Stream asks for an answer as a stream. A stream that breaks is taken up at
-// another entry from where it broke.
+// Stream requests a streamed answer. If the stream breaks, it is resumed at
+// another entry after the last event received.
 func (c *Client) Stream(ctx context.Context, p Prompt) (Answer, error) {
-	s := streaming{client: c, prompt: p, begun: time.Now()}
+	s := streamReader{client: c, prompt: p, start: time.Now()}
 	var err error
-	for s.answer.Attempts < mostPieces {
-		err = s.piece(ctx)
+	for s.answer.Attempts < maxAttempts {
+		err = s.attempt(ctx)
 		s.answer.Attempts++
-		var refused *APIError
-		if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
+		var apiErr *APIError
+		if err == nil || errors.As(err, &apiErr) || ctx.Err() != nil {
 			break
 		}
 		c.InvalidateEntries()
-		time.Sleep(piecePause)
+		time.Sleep(retryDelay)
 	}
-	s.answer.TotalTime = time.Since(s.begun)
+	s.answer.TotalTime = time.Since(s.start)
 	s.answer.Text = s.text.String()
 	return s.answer, err
 }
 
-const piecePause = 50 * time.Millisecond
+const retryDelay = 50 * time.Millisecond
 
-type streaming struct {
-	client *Client
-	prompt Prompt
-	begun  time.Time
-	last   time.Time
-	mark   string
-	text   strings.Builder
-	answer Answer
+type streamReader struct {
+	client      *Client
+	prompt      Prompt
+	start       time.Time
+	lastTokenAt time.Time
+	lastEventID string
+	text        strings.Builder
+	answer      Answer
 }
 
-// errBroken says that a stream ended without its last mark.
-var errBroken = errors.New("load: stream broke off")
+// errStreamBroken means that a stream ended without its [DONE] event.
+var errStreamBroken = errors.New("load: stream broke off")
 
-func (s *streaming) piece(ctx context.Context) error {
+func (s *streamReader) attempt(ctx context.Context) error {
 	address, err := s.client.NextEntry(ctx)
 	if err != nil {
 		return err
 	}
 	header := http.Header{}
-	if s.mark != "" {
-		header.Set("Last-Event-ID", s.mark)
+	if s.lastEventID != "" {
+		header.Set("Last-Event-ID", s.lastEventID)
 	}
 	response, err := s.client.request(ctx, http.MethodPost, address, "/v1/chat/completions", s.prompt.body(true), header)
 	if err != nil {
@@ -253,23 +254,23 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return refusedOf(response)
+		return responseError(response)
 	}
 	s.answer.RequestID = response.Header.Get("Ironhollow-Request")
-	return s.read(response.Body)
+	return s.readEvents(response.Body)
 }
 
-// chunk is the part of an event that is read.
+// chunk holds the fields of a stream event that the client uses.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
 			Content string `json:"content"`
 		} `json:"delta"`
 	} `json:"choices"`
-	errorAnswer
+	errorResponse
 }
 
-func (s *streaming) read(body io.Reader) error {
+func (s *streamReader) readEvents(body io.Reader) error {
 	for event, err := range sse.Read(body, nil) {
 		if err != nil {
 			return err
@@ -285,26 +286,26 @@
 			return &APIError{Status: http.StatusOK, Number: c.Error.Number, Outcome: c.Error.Outcome, Message: c.Error.Message}
 		}
 		if len(c.Choices) > 0 && c.Choices[0].Delta.Content != "" {
-			s.take(c.Choices[0].Delta.Content)
-			s.mark = event.LastEventID
+			s.appendToken(c.Choices[0].Delta.Content)
+			s.lastEventID = event.LastEventID
 		}
 	}
-	return errBroken
+	return errStreamBroken
 }
 
-func (s *streaming) take(text string) {
+func (s *streamReader) appendToken(text string) {
 	now := time.Now()
 	if s.answer.Tokens == 0 {
-		s.answer.TimeToFirstToken = now.Sub(s.begun)
+		s.answer.TimeToFirstToken = now.Sub(s.start)
 	} else {
-		s.answer.InterTokenLatencies = append(s.answer.InterTokenLatencies, now.Sub(s.last))
+		s.answer.InterTokenLatencies = append(s.answer.InterTokenLatencies, now.Sub(s.lastTokenAt))
 	}
-	s.last = now
+	s.lastTokenAt = now
 	s.answer.Tokens++
 	s.text.WriteString(text)
 }
 
-// Job is a job as its caller sees it.
+// Job is the state of a job as the API returns it.
 type Job struct {
 	ID     string `json:"id"`
 	Status string `json:"status"`
@@ -318,7 +319,7 @@
 	} `json:"error"`
 }
 
-// PostJob asks an entry to accept a job.
+// PostJob submits a job to an entry; key is its idempotency key, empty for none.
 func (c *Client) PostJob(ctx context.Context, address, key string, p Prompt) (Job, error) {
 	header := http.Header{}
 	if key != "" {
@@ -330,13 +331,13 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusAccepted && response.StatusCode != http.StatusOK {
-		return Job{}, refusedOf(response)
+		return Job{}, responseError(response)
 	}
 	var j Job
 	return j, json.NewDecoder(response.Body).Decode(&j)
 }
 
-// GetJob asks an entry for a job, waiting there for its end for a while.
+// GetJob returns the state of a job; the entry holds the request for up to wait until the job ends.
 func (c *Client) GetJob(ctx context.Context, address, id string, wait time.Duration) (Job, error) {
 	response, err := c.request(ctx, http.MethodGet, address, "/v1/jobs/"+id+"?wait="+wait.String(), nil, nil)
 	if err != nil {
@@ -344,20 +345,20 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return Job{}, refusedOf(response)
+		return Job{}, responseError(response)
 	}
 	var j Job
 	return j, json.NewDecoder(response.Body).Decode(&j)
 }
 
-// CallResponse is a plain service's answer.
+// CallResponse is the response of a plain service.
 type CallResponse struct {
 	Body     []byte
 	Status   int
 	Replayed bool
 }
 
-// Call calls a plain service through an entry.
+// Call calls a plain service through an entry; key is the idempotency key, empty for none.
 func (c *Client) Call(ctx context.Context, address, method, service, path, key string, body []byte) (CallResponse, error) {
 	header := http.Header{}
 	if key != "" {
@@ -369,11 +370,11 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.Header.Get("Ironhollow-Outcome") != "done" {
-		return CallResponse{}, refusedOf(response)
+		return CallResponse{}, responseError(response)
 	}
 	data, err := io.ReadAll(response.Body)
 	return CallResponse{data, response.StatusCode, response.Header.Get("Idempotent-Replayed") == "true"}, err
 }
 
-// SeedOf returns the seed the system gives a request without one of its own.
+// SeedOf returns the seed that the system derives for a request that sets none.
 func SeedOf(request string) int64 { return chat.SeedOf(request) }
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -16,7 +16,7 @@
 	"ironhollow/pkg/code"
 )
 
-// Kind is what a request of a run is.
+// Kind is the type of the requests of a source.
 type Kind string
 
 // The kinds of request.
@@ -26,95 +26,100 @@
 	KindCall   Kind = "call"
 )
 
-// Source is one stream of requests at a stated rate.
+// Source describes one kind of traffic with its rate.
 type Source struct {
 	Kind    Kind
 	Service string
 	Team    string
-	// Rate is requests a second, whatever the system does: requests that it
-	// holds up do not hold up the next ones.
+	// Rate is the arrival rate in requests per second. The load is open-loop:
+	// slow responses do not delay the requests after them.
 	Rate      float64
 	MaxTokens int
-	// Path is of a call that may not be repeated.
+	// Path is the path of a plain call that must run at most once.
 	Path string
-	// Check returns what is wrong with an answer, empty for nothing.
+	// Check returns what is wrong with an answer, or an empty string.
 	Check func(p Prompt, request, text string) string
 }
 
-// Report is what came of a run.
+// Report holds the results of a run.
 type Report struct {
 	Sources []SourceReport
-	// Ledger is how often each call was asked for, to compare with the service.
+	// CallOutcomes holds the reported outcome of each plain call by its
+	// idempotency key, to compare with the runs that the service recorded.
 	CallOutcomes map[string]string
 }
 
-// SourceReport is one source's part.
+// SourceReport holds the results of one source.
 type SourceReport struct {
-	Source  Source
-	Sent    int
-	Succeeded   int
-	Refused int
-	// Interrupted counts streams and connections that broke on the way; Wrong answers
-	// that are not what they should be; Unknown ends that the system left open.
-	Interrupted, Wrong, Unknown int
-	Failures              []string
-	first, total        *hdrhistogram.Histogram
+	Source    Source
+	Sent      int
+	Succeeded int
+	Refused   int
+	// Interrupted counts requests with at least one broken connection. Wrong
+	// counts answers that failed their check, and requests that failed without
+	// an error response. Unknown counts requests that the system reported with
+	// an unknown outcome.
+	Interrupted, Wrong, Unknown    int
+	Failures                       []string
+	firstLatencies, totalLatencies *hdrhistogram.Histogram
 }
 
-// Bounds of the histograms, in microseconds, and their digits.
+// Range of the latency histograms in microseconds (up to 10 minutes) and their
+// precision; maxFailures bounds the failure messages kept for each source.
 const (
-	leastMicros = 1
-	mostMicros  = 10 * 60 * 1_000_000
-	digits      = 3
-	mostFaults  = 5
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 10 * 60 * 1_000_000
+	significantDigits = 3
+	maxFailures       = 5
 )
 
-// Run sends the sources' load for a time and waits for the answers.
-func Run(ctx context.Context, sources []Source, entries []string, client *http.Client, lasts time.Duration, seed uint64) Report {
+// Run sends the load of all sources for the given duration and waits for the answers.
+func Run(ctx context.Context, sources []Source, entries []string, httpClient *http.Client, duration time.Duration, seed uint64) Report {
 	report := Report{Sources: make([]SourceReport, len(sources)), CallOutcomes: map[string]string{}}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i, source := range sources {
 		r := &report.Sources[i]
 		r.Source = source
-		r.first = hdrhistogram.New(leastMicros, mostMicros, digits)
-		r.total = hdrhistogram.New(leastMicros, mostMicros, digits)
-		caller := NewClient("key-"+source.Team, entries, client)
-		wait.Go(func() {
-			run := sourceRun{source: source, client: caller, report: r, mu: &mu, asked: report.CallOutcomes}
-			run.all(ctx, lasts, rand.New(rand.NewPCG(seed, uint64(i))))
+		r.firstLatencies = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
+		r.totalLatencies = hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits)
+		teamClient := NewClient("key-"+source.Team, entries, httpClient)
+		wg.Go(func() {
+			run := sourceRun{source: source, client: teamClient, report: r, mu: &mu, callOutcomes: report.CallOutcomes}
+			run.sendAll(ctx, duration, rand.New(rand.NewPCG(seed, uint64(i))))
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	return report
 }
 
 type sourceRun struct {
-	source Source
-	client *Client
-	report *SourceReport
-	mu     *sync.Mutex
-	asked  map[string]string
+	source       Source
+	client       *Client
+	report       *SourceReport
+	mu           *sync.Mutex
+	callOutcomes map[string]string
 }
 
-// all sends requests at their times; latency counts from those times.
-func (s sourceRun) all(ctx context.Context, lasts time.Duration, random *rand.Rand) {
-	begun := time.Now()
-	var wait sync.WaitGroup
-	at := time.Duration(0)
+// sendAll sends requests with exponentially distributed gaps. Latencies count
+// from the time a request was due, so that a late start is included.
+func (s sourceRun) sendAll(ctx context.Context, duration time.Duration, rng *rand.Rand) {
+	start := time.Now()
+	var wg sync.WaitGroup
+	offset := time.Duration(0)
 	for n := 0; ; n++ {
-		at += time.Duration(random.ExpFloat64() / s.source.Rate * float64(time.Second))
-		if at > lasts || ctx.Err() != nil {
+		offset += time.Duration(rng.ExpFloat64() / s.source.Rate * float64(time.Second))
+		if offset > duration || ctx.Err() != nil {
 			break
 		}
-		time.Sleep(time.Until(begun.Add(at)))
-		due := begun.Add(at)
-		wait.Go(func() { s.one(ctx, n, due) })
+		time.Sleep(time.Until(start.Add(offset)))
+		due := start.Add(offset)
+		wg.Go(func() { s.sendOne(ctx, n, due) })
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-func (s sourceRun) one(ctx context.Context, n int, due time.Time) {
+func (s sourceRun) sendOne(ctx context.Context, n int, due time.Time) {
 	switch s.source.Kind {
 	case KindStream:
 		s.stream(ctx, n, due)
@@ -131,119 +136,120 @@
 
 func (s sourceRun) stream(ctx context.Context, n int, due time.Time) {
 	p := s.prompt(n)
-	late := time.Since(due)
+	startDelay := time.Since(due)
 	answer, err := s.client.Stream(ctx, p)
-	s.note(due, late+answer.TimeToFirstToken, answer.Attempts > 1, err, s.source.Check(p, answer.RequestID, answer.Text))
+	s.record(due, startDelay+answer.TimeToFirstToken, answer.Attempts > 1, err, s.source.Check(p, answer.RequestID, answer.Text))
 }
 
-// jobWait bounds the wait for a job's result.
-const jobWait = 2 * time.Minute
+// jobTimeout bounds the wait for the result of a job, from the time its request was due.
+const jobTimeout = 2 * time.Minute
 
 func (s sourceRun) job(ctx context.Context, n int, due time.Time) {
 	p := s.prompt(n)
 	key := fmt.Sprintf("job-%s-%d-%d", s.source.Team, due.UnixNano(), n)
 	var j Job
-	cut := false
-	err := s.elsewhere(ctx, &cut, func(address string) (err error) {
+	interrupted := false
+	err := s.withFailover(ctx, &interrupted, func(address string) (err error) {
 		j, err = s.client.PostJob(ctx, address, key, p)
 		return err
 	})
-	accepted := time.Since(due)
+	acceptLatency := time.Since(due)
 	id := j.ID
-	for err == nil && j.Status != "done" && j.Status != "failed" && time.Since(due) < jobWait {
-		err = s.elsewhere(ctx, &cut, func(address string) (err error) {
+	for err == nil && j.Status != "done" && j.Status != "failed" && time.Since(due) < jobTimeout {
+		err = s.withFailover(ctx, &interrupted, func(address string) (err error) {
 			j, err = s.client.GetJob(ctx, address, id, time.Second)
 			return err
 		})
 		if isStoreDown(err) {
-			// An accepted job is asked for again until the store is back.
+			// The job was accepted, so keep polling until the store is back.
 			time.Sleep(time.Second)
 			err = nil
 		}
 	}
-	fault := "no result"
+	failure := "no result"
 	if j.Result != nil {
-		fault = s.source.Check(p, id, j.Result.Text)
+		failure = s.source.Check(p, id, j.Result.Text)
 	}
-	s.note(due, accepted, cut, err, fault)
+	s.record(due, acceptLatency, interrupted, err, failure)
 }
 
 func isStoreDown(err error) bool {
-	var refused *APIError
-	return errors.As(err, &refused) && refused.Number == code.StoreDown.Number()
+	var apiErr *APIError
+	return errors.As(err, &apiErr) && apiErr.Number == code.StoreDown.Number()
 }
 
 func (s sourceRun) call(ctx context.Context, n int, due time.Time) {
 	key := fmt.Sprintf("call-%s-%d-%d", s.source.Team, due.UnixNano(), n)
-	cut := false
+	interrupted := false
 	var outcome string
-	err := s.elsewhere(ctx, &cut, func(address string) error {
+	err := s.withFailover(ctx, &interrupted, func(address string) error {
 		_, err := s.client.Call(ctx, address, http.MethodPost, s.source.Service, s.source.Path, key, []byte(key))
 		return err
 	})
 	outcome = "done"
-	var refused *APIError
-	if errors.As(err, &refused) {
-		outcome = refused.Outcome
+	var apiErr *APIError
+	if errors.As(err, &apiErr) {
+		outcome = apiErr.Outcome
 	}
 	s.mu.Lock()
-	s.asked[key] = outcome
+	s.callOutcomes[key] = outcome
 	s.mu.Unlock()
-	s.note(due, time.Since(due), cut, err, "")
+	s.record(due, time.Since(due), interrupted, err, "")
 }
 
-// elsewhere tries another entry when one can't be reached; cut is set then.
-func (s sourceRun) elsewhere(ctx context.Context, cut *bool, do func(address string) error) error {
+// withFailover calls send with one entry after another until one responds. It
+// sets interrupted if an attempt failed without an error response.
+func (s sourceRun) withFailover(ctx context.Context, interrupted *bool, send func(address string) error) error {
 	var err error
-	for range mostPieces {
+	for range maxAttempts {
 		var address string
 		address, err = s.client.NextEntry(ctx)
 		if err == nil {
-			err = do(address)
+			err = send(address)
 		}
-		var refused *APIError
-		if err == nil || errors.As(err, &refused) || ctx.Err() != nil {
+		var apiErr *APIError
+		if err == nil || errors.As(err, &apiErr) || ctx.Err() != nil {
 			return err
 		}
-		*cut = true
+		*interrupted = true
 		s.client.InvalidateEntries()
-		time.Sleep(piecePause)
+		time.Sleep(retryDelay)
 	}
 	return err
 }
 
-func (s sourceRun) note(due time.Time, first time.Duration, cut bool, err error, fault string) {
+func (s sourceRun) record(due time.Time, firstLatency time.Duration, interrupted bool, err error, failure string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := s.report
 	r.Sent++
-	if cut {
+	if interrupted {
 		r.Interrupted++
 	}
-	var refused *APIError
+	var apiErr *APIError
 	switch {
-	case errors.As(err, &refused) && refused.Outcome == "unknown":
+	case errors.As(err, &apiErr) && apiErr.Outcome == "unknown":
 		r.Unknown++
-		fault = err.Error()
-	case errors.As(err, &refused):
+		failure = err.Error()
+	case errors.As(err, &apiErr):
 		r.Refused++
-		fault = err.Error()
+		failure = err.Error()
 	case err != nil:
 		r.Wrong++
-		fault = err.Error()
-	case fault != "":
+		failure = err.Error()
+	case failure != "":
 		r.Wrong++
 	default:
 		r.Succeeded++
-		_ = r.first.RecordValue(first.Microseconds())
-		_ = r.total.RecordValue(time.Since(due).Microseconds())
+		_ = r.firstLatencies.RecordValue(firstLatency.Microseconds())
+		_ = r.totalLatencies.RecordValue(time.Since(due).Microseconds())
 	}
-	if fault != "" && len(r.Failures) < mostFaults {
-		r.Failures = append(r.Failures, fault)
+	if failure != "" && len(r.Failures) < maxFailures {
+		r.Failures = append(r.Failures, failure)
 	}
 }
 
-// String gives the report as a table.
+// String formats the report as a table.
 func (r Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-14s %-8s %6s %6s %8s %5s %6s %8s %12s %12s %12s\n", "service", "kind", "sent", "whole", "refused", "cut", "wrong", "unknown", "first p50", "first p99", "total p99")
@@ -252,10 +258,10 @@
 			return fmt.Sprintf("%.1f ms", float64(h.ValueAtQuantile(q))/1000)
 		}
 		fmt.Fprintf(&b, "%-14s %-8s %6d %6d %8d %5d %6d %8d %12s %12s %12s\n", s.Source.Service, s.Source.Kind, s.Sent, s.Succeeded, s.Refused, s.Interrupted,
-			s.Wrong, s.Unknown, ms(s.first, 50), ms(s.first, 99), ms(s.total, 99))
+			s.Wrong, s.Unknown, ms(s.firstLatencies, 50), ms(s.firstLatencies, 99), ms(s.totalLatencies, 99))
 		sort.Strings(s.Failures)
-		for _, fault := range s.Failures {
-			fmt.Fprintf(&b, "    %s\n", fault)
+		for _, failure := range s.Failures {
+			fmt.Fprintf(&b, "    %s\n", failure)
 		}
 	}
 	return b.String()
