--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -341,7 +341,7 @@
 			return 0, 0, err
 		}
 		suspected += status.Suspected
-		dead += status.Declared
+		dead += status.DeclaredDead
 	}
 	return suspected, dead, nil
 }
--- a/pkg/config/publisher.go
+++ b/pkg/config/publisher.go
@@ -236,7 +236,7 @@
 			Key:    sectionPrefix + section.ID(),
 			Value:  mustJSON(row),
 			If:     table.Always{},
-			Delete: section.Removed(),
+			Delete: section.IsRemoval(),
 		})
 	}
 	writes[0].Value = mustJSON(stored)
