--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -126,8 +126,8 @@
 	return point, nil
 }
 
-// awaitMembership waits until every entry sees all nodes alive, has a
-// configuration and knows an endpoint.
+// awaitMembership waits until every entry sees all nodes alive with their
+// control processes, has a configuration and knows an endpoint.
 func (s *scaleBenchmark) awaitMembership(ctx context.Context) error {
 	return s.awaitAll(ctx, 2*time.Minute, "the fleet has formed", func(st operatorwire.EntryStatus) bool {
 		alive := 0
@@ -308,8 +308,8 @@
 	pauseDuration    = 1500 * time.Millisecond
 )
 
-// measureFalsePositives pauses some entries and counts how often the others
-// suspect them or declare them dead.
+// measureFalsePositives pauses some entries and counts how often entries are
+// suspected or declared dead meanwhile and in the 5 s after.
 func (s *scaleBenchmark) measureFalsePositives(ctx context.Context, point *scalePoint) error {
 	suspectedBefore, deadBefore, err := s.failureDetectorCounts(ctx)
 	if err != nil {
--- a/pkg/load/client.go
+++ b/pkg/load/client.go
@@ -45,7 +45,7 @@
 	KeepSeconds int `json:"keep_seconds"`
 }
 
-// errNoEntry means that no entry host could be reached.
+// errNoEntry means that no known entry returned a list of entries.
 var errNoEntry = errors.New("load: no entry host answers")
 
 // Entries returns the entries to use and fetches the list again once the cached one has expired.
@@ -83,8 +83,8 @@
 	c.expiresAt = time.Time{}
 }
 
-// NextEntry returns the first entries of the list in rotation, as a caller does
-// that spreads its requests over several connections.
+// NextEntry returns the entry for the next request. It rotates over the first
+// maxEntriesInUse of the list, as a caller with several connections does.
 func (c *Client) NextEntry(ctx context.Context) (string, error) {
 	entries, err := c.Entries(ctx)
 	if err != nil {
@@ -195,8 +195,8 @@
 	TotalTime        time.Duration
 	// InterTokenLatencies are the times between consecutive tokens.
 	InterTokenLatencies []time.Duration
-	// Attempts counts the requests that were sent for this answer: the first
-	// one, and one for each time that the stream was resumed.
+	// Attempts counts the attempts that the answer took: the first one, and one
+	// for each time that the stream was resumed.
 	Attempts  int
 	RequestID string
 }
--- a/pkg/load/run.go
+++ b/pkg/load/run.go
@@ -55,10 +55,10 @@
 	Sent      int
 	Succeeded int
 	Refused   int
-	// Interrupted counts requests with at least one broken connection. Wrong
-	// counts answers that failed their check, and requests that failed without
-	// an error response. Unknown counts requests that the system reported with
-	// an unknown outcome.
+	// Interrupted counts requests that needed another attempt because a
+	// connection broke or an entry could not be reached. Unknown counts requests
+	// that ended in an APIError with the outcome unknown. Wrong counts answers
+	// that failed their check, and requests that failed without an APIError.
 	Interrupted, Wrong, Unknown    int
 	Failures                       []string
 	firstLatencies, totalLatencies *hdrhistogram.Histogram
@@ -197,8 +197,8 @@
 	s.record(due, time.Since(due), interrupted, err, "")
 }
 
-// withFailover calls send with one entry after another until one responds. It
-// sets interrupted if an attempt failed without an error response.
+// withFailover calls send with one entry after another until it succeeds or
+// returns an APIError. It sets interrupted if an attempt failed in another way.
 func (s sourceRun) withFailover(ctx context.Context, interrupted *bool, send func(address string) error) error {
 	var err error
 	for range maxAttempts {
