--- a/pkg/accept/accept_test.go
+++ b/pkg/accept/accept_test.go
@@ -77,7 +77,7 @@
 	run := func(share bool, window time.Duration) (commits int64, mean time.Duration) {
 		synctest.Test(t, func(t *testing.T) {
 			d := newDataCenter(22, window)
-			d.rows.SetFaults(func(tables.Call) tables.Fault { return tables.Delay{For: 3 * time.Millisecond} })
+			d.rows.SetFaults(func(tables.Call) tables.Fault { return tables.Delay{Duration: 3 * time.Millisecond} })
 			var mu sync.Mutex
 			var total time.Duration
 			jobs := 0
@@ -136,7 +136,7 @@
 		{"answer lost", isAnswer},
 		{"nothing lost", func(peer.Message) bool { return false }},
 	}
-	faults := []tables.Fault{tables.None{}, tables.LoseAnswer{}, tables.Down{}, tables.Refuse{}, tables.Late{For: 700 * time.Millisecond}}
+	faults := []tables.Fault{tables.NoFault{}, tables.LoseResponse{}, tables.Down{}, tables.Refuse{}, tables.LateCommit{After: 700 * time.Millisecond}}
 	for _, c := range cases {
 		for _, fault := range faults {
 			for n := int64(1); n <= 3; n++ {
@@ -148,7 +148,7 @@
 							if call.Number == n {
 								return fault
 							}
-							return tables.None{}
+							return tables.NoFault{}
 						})
 						outcomes := map[string]string{}
 						for id, committer := range d.committers {
--- a/pkg/app/cli/cli_test.go
+++ b/pkg/app/cli/cli_test.go
@@ -101,9 +101,9 @@
 		c := newControl(t)
 		c.rows.SetFaults(func(call tables.Call) tables.Fault {
 			if call.Number == n {
-				return tables.LoseAnswer{}
+				return tables.LoseResponse{}
 			}
-			return tables.None{}
+			return tables.NoFault{}
 		})
 		code, said := run("--server", c.address, "apply", file, "--seen", "0")
 		c.rows.SetFaults(nil)
--- a/pkg/app/load/demo.go
+++ b/pkg/app/load/demo.go
@@ -180,13 +180,13 @@
 func (d *demo) callTwice(ctx context.Context) error {
 	c := d.client(d.words.plainTeam)
 	body := []byte(`{"loan":4711,"amount":300}`)
-	var answers []services.Answer
+	var answers []services.Response
 	for i := range 2 {
 		got, err := c.Call(ctx, d.entries[i%len(d.entries)], http.MethodPost, d.words.plain, d.words.oncePath, "demo-once-1", body)
 		if err != nil {
 			return fmt.Errorf("%s: %w", d.words.onceSays, err)
 		}
-		var answer services.Answer
+		var answer services.Response
 		if err := json.Unmarshal(got.Body, &answer); err != nil {
 			return err
 		}
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	order := clouds.ReclaimOrder{Host: host, NoticeMS: 1500}
+	order := clouds.ReclaimRequest{Host: host, NoticeMS: 1500}
 	var result clouds.ReclaimResult
 	if err := httpx.CallJSON(ctx, d.http, http.MethodPost, "http://"+d.platform+"/standin/reclaim", order, &result); err != nil || result.Count != 1 {
 		return fmt.Errorf("reclaim of %s: %w, %d hosts", host, err, result.Count)
@@ -246,8 +246,8 @@
 
 // wholeAnswer is what the stand-in engine gives undisturbed.
 func wholeAnswer(model string, p load.Prompt, request string) string {
-	loaded := engines.Loaded{Model: model, Version: "1"}
-	return strings.Join(engines.Answer(loaded, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
+	loaded := engines.ModelRef{Model: model, Version: "1"}
+	return strings.Join(engines.Completion(loaded, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
 }
 
 // runningOn returns the engine that runs a request.
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -250,7 +250,7 @@
 // news reclaims a host and waits until every entry knows.
 func (s *scale) news(ctx context.Context, point *scalePoint) error {
 	begun := time.Now()
-	order := clouds.ReclaimOrder{Host: s.victim, NoticeMS: 30_000}
+	order := clouds.ReclaimRequest{Host: s.victim, NoticeMS: 30_000}
 	if err := httpx.CallJSON(ctx, s.http, http.MethodPost, "http://"+s.platform+"/standin/reclaim", order, nil); err != nil {
 		return err
 	}
--- a/pkg/app/standin/standin.go
+++ b/pkg/app/standin/standin.go
@@ -178,10 +178,10 @@
 	case "down":
 		store.SetFaults(func(tables.Call) tables.Fault { return tables.Down{} })
 	case "lose-answers":
-		store.SetFaults(func(tables.Call) tables.Fault { return tables.LoseAnswer{} })
+		store.SetFaults(func(tables.Call) tables.Fault { return tables.LoseResponse{} })
 	case "slow":
 		delay := time.Duration(fault.DelayMS) * time.Millisecond
-		store.SetFaults(func(tables.Call) tables.Fault { return tables.Delay{For: delay} })
+		store.SetFaults(func(tables.Call) tables.Fault { return tables.Delay{Duration: delay} })
 	default:
 		store.SetFaults(nil)
 	}
@@ -314,6 +314,6 @@
 	}
 	flags.register(command)
 	command.Flags().StringVar(&name, "service", "ledger", "name of the service")
-	command.Flags().DurationVar(&options.Work, "work", time.Millisecond, "time a call takes")
+	command.Flags().DurationVar(&options.Latency, "work", time.Millisecond, "time a call takes")
 	return command
 }
--- a/pkg/callerapi/callerapi_test.go
+++ b/pkg/callerapi/callerapi_test.go
@@ -24,7 +24,7 @@
 )
 
 func expectedText(p load.Prompt, request string) string {
-	return strings.Join(engines.Answer(engines.Loaded{Model: "m", Version: "1"}, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
+	return strings.Join(engines.Completion(engines.ModelRef{Model: "m", Version: "1"}, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
 }
 
 // TestOfficialClientLibrary calls the API with the official OpenAI client library.
@@ -226,7 +226,7 @@
 		request.Header.Set("Connection", "X-Private")
 		request.Header.Set("X-Private", "1")
 		response := e.do(t, request)
-		var answer services.Answer
+		var answer services.Response
 		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil || answer.Path != "/notes" || answer.Body != "body" {
 			t.Errorf("got %+v, %v; want the call's path and body", answer, err)
 		}
@@ -239,13 +239,13 @@
 func TestNoticesOfPlainEndpointsAreApplied(t *testing.T) {
 	const calls = 40
 	for name, options := range map[string]services.Options{
-		"backoff":         {TurnsAway: true, Backoff: time.Minute},
-		"leaves":          {Leaves: true},
-		"leaves, refuses": {Leaves: true, TurnsAway: true},
+		"backoff":         {RefusesCalls: true, Backoff: time.Minute},
+		"leaves":          {Leaving: true},
+		"leaves, refuses": {Leaving: true, RefusesCalls: true},
 	} {
 		for _, path := range []string{"notes", "confirmations"} {
 			var received atomic.Int64
-			options.Came = &received
+			options.Received = &received
 			e := newSite(t, options, services.Options{}).newEntry(t, "n1")
 			for range calls {
 				request, _ := http.NewRequest("POST", e.server.URL+"/v1/services/ledger/"+path, strings.NewReader("body"))
@@ -266,7 +266,7 @@
 	const calls = 60
 	for _, path := range []string{"notes", "confirmations"} {
 		var received atomic.Int64
-		e := newSite(t, services.Options{Limit: 1, Came: &received}, services.Options{}).newEntry(t, "n1")
+		e := newSite(t, services.Options{RequestLimit: 1, Received: &received}, services.Options{}).newEntry(t, "n1")
 		start := time.Now()
 		for range calls {
 			request, _ := http.NewRequest("POST", e.server.URL+"/v1/services/ledger/"+path, strings.NewReader("body"))
--- a/pkg/callerapi/fleet_test.go
+++ b/pkg/callerapi/fleet_test.go
@@ -67,7 +67,7 @@
 type site struct {
 	rows          *tables.Store
 	bodies        *objects.Store
-	memoryEngines *engines.Direct
+	memoryEngines *engines.MemoryClient
 	ledger        *services.Ledger
 	plain         []*httptest.Server
 	// httpEngines calls the engines over HTTP. If it is nil, they are called in memory.
@@ -79,7 +79,7 @@
 
 func newSite(t *testing.T, plain ...services.Options) *site {
 	t.Helper()
-	s := &site{rows: tables.New(), bodies: objects.New(), memoryEngines: engines.NewDirect(), ledger: services.NewLedger()}
+	s := &site{rows: tables.New(), bodies: objects.New(), memoryEngines: engines.NewMemoryClient(), ledger: services.NewLedger()}
 	options := engines.DefaultOptions()
 	options.TokenGap = time.Millisecond
 	options.LoadTime = 0
--- a/pkg/claim/claim_test.go
+++ b/pkg/claim/claim_test.go
@@ -218,15 +218,15 @@
 			store.SetFaults(func(c tables.Call) tables.Fault {
 				switch faults[int(c.Number)%len(faults)] {
 				case 0:
-					return tables.LoseAnswer{}
+					return tables.LoseResponse{}
 				case 1:
 					return tables.Down{}
 				case 2:
-					return tables.Late{For: 400 * time.Millisecond}
+					return tables.LateCommit{After: 400 * time.Millisecond}
 				case 3:
-					return tables.Delay{For: 700 * time.Millisecond}
+					return tables.Delay{Duration: 700 * time.Millisecond}
 				}
-				return tables.None{}
+				return tables.NoFault{}
 			})
 			s := &service{mu: &sync.Mutex{}, loseResponse: lose, rejectUnsent: refuse, latency: latency}
 			var mu sync.Mutex
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -119,9 +119,9 @@
 			tableStore := tables.New()
 			tableStore.SetFaults(func(c tables.Call) tables.Fault {
 				if c.Number == n {
-					return tables.LoseAnswer{}
+					return tables.LoseResponse{}
 				}
-				return tables.None{}
+				return tables.NoFault{}
 			})
 			store := config.NewStore(table.NewWriter(tableStore, "a"))
 			publish := func() (revision int64, err error) {
@@ -222,13 +222,13 @@
 			tableStore.SetFaults(func(c tables.Call) tables.Fault {
 				switch (uint64(c.Number)*2654435761 + seed*97) % 13 {
 				case 0:
-					return tables.LoseAnswer{}
+					return tables.LoseResponse{}
 				case 1:
-					return tables.Late{For: 300 * time.Millisecond}
+					return tables.LateCommit{After: 300 * time.Millisecond}
 				case 2:
 					return tables.Down{}
 				}
-				return tables.None{}
+				return tables.NoFault{}
 			})
 			var mu sync.Mutex
 			var wait sync.WaitGroup
--- a/pkg/job/job_test.go
+++ b/pkg/job/job_test.go
@@ -249,7 +249,7 @@
 // TestFailureAtEveryCall injects each kind of fault at each call of the store in turn, and
 // checks that every job reported as accepted finishes with a complete result.
 func TestFailureAtEveryCall(t *testing.T) {
-	faults := []tables.Fault{tables.LoseAnswer{}, tables.Down{}, tables.Refuse{}, tables.Late{For: 2 * time.Second}, tables.Delay{For: 3 * time.Second}}
+	faults := []tables.Fault{tables.LoseResponse{}, tables.Down{}, tables.Refuse{}, tables.LateCommit{After: 2 * time.Second}, tables.Delay{Duration: 3 * time.Second}}
 	for _, fault := range faults {
 		for n := int64(1); n <= 6; n++ {
 			t.Run(fmt.Sprintf("%T at call %d", fault, n), func(t *testing.T) {
@@ -259,7 +259,7 @@
 						if c.Number == n {
 							return fault
 						}
-						return tables.None{}
+						return tables.NoFault{}
 					})
 					e := newEntry("n1@1", rows, bodies, g)
 					defer e.kill()
--- a/pkg/lease/lease_test.go
+++ b/pkg/lease/lease_test.go
@@ -134,15 +134,15 @@
 				store.SetFaults(func(c tables.Call) tables.Fault {
 					switch (c.Number*7 + int64(seed)*13) % 11 {
 					case 0:
-						return tables.LoseAnswer{}
+						return tables.LoseResponse{}
 					case 1:
-						return tables.Late{For: 1500 * time.Millisecond}
+						return tables.LateCommit{After: 1500 * time.Millisecond}
 					case 2:
-						return tables.Delay{For: 1900 * time.Millisecond}
+						return tables.Delay{Duration: 1900 * time.Millisecond}
 					case 3:
 						return tables.Down{}
 					}
-					return tables.None{}
+					return tables.NoFault{}
 				})
 				holders := []*holder{newHolder(store, "a", lease.Acquire), newHolder(store, "b", lease.Acquire), newHolder(store, "c", lease.Standby)}
 				held := 0
@@ -187,7 +187,7 @@
 				store := tables.New()
 				options := engines.DefaultOptions()
 				options.ChecksOrders = checks
-				direct := engines.NewDirect()
+				direct := engines.NewMemoryClient()
 				direct.Add("e", engines.New(1, options))
 				order := func(g lease.Grant, model string) error {
 					return direct.Order(context.Background(), "e", engine.Order{Epoch: g.Epoch, Model: model, Version: "1"})
--- a/pkg/policybench/cloud.go
+++ b/pkg/policybench/cloud.go
@@ -54,9 +54,9 @@
 	o := engines.DefaultOptions()
 	o.Slots = 6
 	o.TokenGap = 20 * time.Millisecond
-	o.Crowding = 0.28
+	o.BatchSlowdown = 0.28
 	o.PrefillPerToken = 150 * time.Microsecond
-	o.StepTokens = 8
+	o.TokensPerStep = 8
 	o.CacheBlocks = 12000
 	o.LoadTime = 0
 	return o
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -97,7 +97,7 @@
 	fleet   Fleet
 	policy  Policy
 	seed    uint64
-	direct  *engines.Direct
+	direct  *engines.MemoryClient
 	entries []*entry
 	cloud   *fakeCloud
 	until   time.Time
@@ -159,7 +159,7 @@
 // Run runs a policy through a scenario. It must be called in a bubble of
 // virtual time.
 func Run(f Fleet, p Policy, s Scenario, seed uint64) Outcome {
-	r := &run{fleet: f, policy: p, seed: seed, direct: engines.NewDirect(), until: time.Now().Add(s.Lasts)}
+	r := &run{fleet: f, policy: p, seed: seed, direct: engines.NewMemoryClient(), until: time.Now().Add(s.Lasts)}
 	r.cloud = &fakeCloud{run: r, refused: map[string]time.Time{}}
 	for i := range entries {
 		r.entries = append(r.entries, r.newEntry(i))
@@ -308,7 +308,7 @@
 
 func (r *run) want(a Arrival, request stream.Request) string {
 	text := ""
-	for _, token := range engines.Answer(engines.Loaded{Model: "m", Version: "1"}, a.Messages, request.Prompt.Seed, a.Answer) {
+	for _, token := range engines.Completion(engines.ModelRef{Model: "m", Version: "1"}, a.Messages, request.Prompt.Seed, a.Answer) {
 		text += token
 	}
 	return text
--- a/pkg/rolloutsync/coordinator_test.go
+++ b/pkg/rolloutsync/coordinator_test.go
@@ -212,13 +212,13 @@
 	case 1:
 		return tables.Refuse{}
 	case 2:
-		return tables.LoseAnswer{}
+		return tables.LoseResponse{}
 	case 3:
-		return tables.Late{For: time.Duration(1+f.draw(5000)) * time.Millisecond}
+		return tables.LateCommit{After: time.Duration(1+f.draw(5000)) * time.Millisecond}
 	case 4:
-		return tables.Delay{For: time.Duration(f.draw(900)) * time.Millisecond}
+		return tables.Delay{Duration: time.Duration(f.draw(900)) * time.Millisecond}
 	}
-	return tables.None{}
+	return tables.NoFault{}
 }
 
 // Owners die, freeze and resume, and their writes are lost or arrive seconds late. The phase of an
@@ -457,7 +457,7 @@
 				if c.Operation == tables.OperationCommit && c.Key == rolloutsync.Key(service) {
 					return tables.Refuse{}
 				}
-				return tables.None{}
+				return tables.NoFault{}
 			})
 			time.Sleep(5 * time.Second)
 			if got := f.phase(); got != rollout.Trying {
--- a/pkg/standin/clouds/cloud.go
+++ b/pkg/standin/clouds/cloud.go
@@ -75,13 +75,13 @@
 			Sequence: int64(len(c.notices)) + 1, Host: id, Incarnation: h.info.Incarnation, LeaveBy: leaveBy.UnixMilli(),
 		})
 		ref := h.info.Ref()
-		time.AfterFunc(notice, func() { c.End(ref) })
+		time.AfterFunc(notice, func() { c.StopHost(ref) })
 	}
 	return count
 }
 
-// End ends one incarnation of a host at once.
-func (c *Cloud) End(ref endpoint.Ref) {
+// StopHost ends one incarnation of a host at once.
+func (c *Cloud) StopHost(ref endpoint.Ref) {
 	c.mu.Lock()
 	h, ok := c.hosts[ref.ID]
 	if !ok || h.info.Incarnation != ref.Incarnation || h.info.State == endpoint.Gone {
@@ -172,7 +172,7 @@
 	h, ok := c.hosts[r.PathValue("id")]
 	c.mu.Unlock()
 	if ok {
-		c.End(h.info.Ref())
+		c.StopHost(h.info.Ref())
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -202,8 +202,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ReclaimOrder asks the stand-in to reclaim hosts.
-type ReclaimOrder struct {
+// ReclaimRequest asks the stand-in to reclaim hosts.
+type ReclaimRequest struct {
 	// Host or DataCenter says which.
 	Host       string `json:"host,omitempty"`
 	DataCenter string `json:"data_center,omitempty"`
@@ -216,7 +216,7 @@
 }
 
 func (c *Cloud) serveReclaim(w http.ResponseWriter, r *http.Request) {
-	var sent ReclaimOrder
+	var sent ReclaimRequest
 	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/pkg/standin/engines/direct.go
+++ b/pkg/standin/engines/direct.go
@@ -12,9 +12,9 @@
 	"ironhollow/pkg/engine"
 )
 
-// Direct reaches engines in memory, without a network: a fake at the engine
+// MemoryClient reaches engines in memory, without a network: a fake at the engine
 // interface for tests in virtual time, with the faults that hosts have.
-type Direct struct {
+type MemoryClient struct {
 	mu      sync.Mutex
 	engines map[string]*host
 }
@@ -35,18 +35,18 @@
 	sent  int
 }
 
-// NewDirect returns a way to no engine yet.
-func NewDirect() *Direct { return &Direct{engines: map[string]*host{}} }
+// NewMemoryClient returns a way to no engine yet.
+func NewMemoryClient() *MemoryClient { return &MemoryClient{engines: map[string]*host{}} }
 
 // Add makes an engine reachable at an address.
-func (d *Direct) Add(address string, e *Engine) {
+func (d *MemoryClient) Add(address string, e *Engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.engines[address] = &host{engine: e, dead: make(chan struct{})}
 }
 
 // Kill ends the machine at an address: its streams are cut.
-func (d *Direct) Kill(address string) {
+func (d *MemoryClient) Kill(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	h := d.engines[address]
@@ -58,38 +58,38 @@
 }
 
 // Freeze makes the machine at an address hang, or go on.
-func (d *Direct) Freeze(address string, frozen bool) {
+func (d *MemoryClient) Freeze(address string, frozen bool) {
 	d.change(address, func(h *host) { h.frozen = frozen })
 }
 
 // Refuse makes an engine turn new attempts away, or take them again.
-func (d *Direct) Refuse(address string, refuse bool) {
+func (d *MemoryClient) Refuse(address string, refuse bool) {
 	d.change(address, func(h *host) { h.refuse, h.refusal = refuse, endpoint.Notice{} })
 }
 
-// RefuseWith makes an engine turn new attempts away and say something of itself.
-func (d *Direct) RefuseWith(address string, says endpoint.Notice) {
+// RefuseWithNotice makes an engine turn new attempts away and say something of itself.
+func (d *MemoryClient) RefuseWithNotice(address string, says endpoint.Notice) {
 	d.change(address, func(h *host) { h.refuse, h.refusal = true, says })
 }
 
-// Limit makes an engine name a limit in its answers, 0 for none; it takes more all the same.
-func (d *Direct) Limit(address string, limit endpoint.Limit) {
+// SetLimit makes an engine name a limit in its answers, 0 for none; it takes more all the same.
+func (d *MemoryClient) SetLimit(address string, limit endpoint.Limit) {
 	d.change(address, func(h *host) { h.limit = limit })
 }
 
 // SetFaults sets an engine's faults of frames.
-func (d *Direct) SetFaults(address string, f StreamFaults) {
+func (d *MemoryClient) SetFaults(address string, f StreamFaults) {
 	d.change(address, func(h *host) { h.faults = f })
 }
 
-// Sent returns how many attempts reached an engine.
-func (d *Direct) Sent(address string) int {
+// AttemptCount returns how many attempts reached an engine.
+func (d *MemoryClient) AttemptCount(address string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.engines[address].sent
 }
 
-func (d *Direct) change(address string, do func(*host)) {
+func (d *MemoryClient) change(address string, do func(*host)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	do(d.engines[address])
@@ -98,7 +98,7 @@
 var errDead = fmt.Errorf("standin: %w", syscall.ECONNREFUSED)
 
 // reach returns a live machine, or hangs on a frozen one until ctx ends.
-func (d *Direct) reach(ctx context.Context, address string) (*host, error) {
+func (d *MemoryClient) reach(ctx context.Context, address string) (*host, error) {
 	d.mu.Lock()
 	h, ok := d.engines[address]
 	frozen := ok && h.frozen
@@ -119,7 +119,7 @@
 }
 
 // Generate starts an attempt.
-func (d *Direct) Generate(ctx context.Context, address string, a engine.Attempt) (engine.Stream, error) {
+func (d *MemoryClient) Generate(ctx context.Context, address string, a engine.Attempt) (engine.Stream, error) {
 	h, err := d.reach(ctx, address)
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 		return nil, &engine.Refusal{Reason: "told to", Notice: says}
 	}
 	s, err := h.engine.start(promptSpec{
-		request: a.Prompt.RequestID, attempt: a.Number, loaded: Loaded{a.Prompt.Model, a.Prompt.Version, a.Prompt.Adapter},
+		request: a.Prompt.RequestID, attempt: a.Number, loaded: ModelRef{a.Prompt.Model, a.Prompt.Version, a.Prompt.Adapter},
 		messages: string(a.Prompt.Messages), seed: a.Prompt.Seed, maxTokens: a.Prompt.MaxTokens, priority: a.Prompt.Priority,
 		done: len(a.Continue),
 	})
@@ -144,7 +144,7 @@
 }
 
 // Attach goes on with a stream that is kept.
-func (d *Direct) Attach(ctx context.Context, address, request string, offset int) (engine.Stream, error) {
+func (d *MemoryClient) Attach(ctx context.Context, address, request string, offset int) (engine.Stream, error) {
 	h, err := d.reach(ctx, address)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 }
 
 // Cancel ends a stream.
-func (d *Direct) Cancel(ctx context.Context, address, request string) error {
+func (d *MemoryClient) Cancel(ctx context.Context, address, request string) error {
 	h, err := d.reach(ctx, address)
 	if err != nil {
 		return err
@@ -169,7 +169,7 @@
 }
 
 // Import fetches a stream's KV cache from another engine.
-func (d *Direct) Import(ctx context.Context, address, request, source string) (int, error) {
+func (d *MemoryClient) Import(ctx context.Context, address, request, source string) (int, error) {
 	to, err := d.reach(ctx, address)
 	if err != nil {
 		return 0, err
@@ -187,7 +187,7 @@
 }
 
 // Load reads a fresh report.
-func (d *Direct) Load(ctx context.Context, address string) (engine.Report, error) {
+func (d *MemoryClient) Load(ctx context.Context, address string) (engine.Report, error) {
 	h, err := d.reach(ctx, address)
 	if err != nil {
 		return engine.Report{}, err
@@ -196,12 +196,12 @@
 }
 
 // Order gives an order.
-func (d *Direct) Order(ctx context.Context, address string, o engine.Order) error {
+func (d *MemoryClient) Order(ctx context.Context, address string, o engine.Order) error {
 	h, err := d.reach(ctx, address)
 	if err != nil {
 		return err
 	}
-	if err := h.engine.order(o.Epoch, Loaded{o.Model, o.Version, o.Adapter}); err != nil {
+	if err := h.engine.order(o.Epoch, ModelRef{o.Model, o.Version, o.Adapter}); err != nil {
 		return engine.ErrStaleEpoch
 	}
 	return nil
@@ -210,7 +210,7 @@
 // directStream reads an engine's stream.
 type directStream struct {
 	ctx    context.Context
-	direct *Direct
+	direct *MemoryClient
 	host   *host
 	stream *stream
 	offset int
@@ -219,7 +219,7 @@
 	ended  bool
 }
 
-func (d *Direct) read(ctx context.Context, h *host, s *stream, offset int) engine.Stream {
+func (d *MemoryClient) read(ctx context.Context, h *host, s *stream, offset int) engine.Stream {
 	s.attach()
 	return &directStream{ctx: ctx, direct: d, host: h, stream: s, offset: offset}
 }
@@ -312,14 +312,14 @@
 	if f.CutAfter > 0 && s.sent > f.CutAfter {
 		return io.ErrUnexpectedEOF
 	}
-	if f.SkipAt > 0 && f.SkipAt == frame.Offset {
+	if f.SkipOffset > 0 && f.SkipOffset == frame.Offset {
 		return nil
 	}
-	if f.OldAttempt {
+	if f.StaleAttempt {
 		s.frames = append(s.frames, engine.Frame{Attempt: spec.attempt - 1, Offset: frame.Offset, Text: "OLD "})
 	}
 	s.frames = append(s.frames, frame)
-	if f.Double {
+	if f.Duplicate {
 		s.frames = append(s.frames, frame)
 	}
 	return nil
--- a/pkg/standin/engines/engine.go
+++ b/pkg/standin/engines/engine.go
@@ -21,20 +21,20 @@
 	// exceeded, PrefillPerToken the time for each prompt token not cached.
 	TokenGap        time.Duration
 	PrefillPerToken time.Duration
-	// Crowding slows every stream by this part when all slots are taken, and by
+	// BatchSlowdown slows every stream by this part when all slots are taken, and by
 	// less when fewer are: a fuller batch takes longer a step.
-	Crowding float64
-	// StepTokens is how many tokens come at a time; it makes long experiments
+	BatchSlowdown float64
+	// TokensPerStep is how many tokens come at a time; it makes long experiments
 	// cheaper. 0 is 1.
-	StepTokens int
+	TokensPerStep int
 	// CacheBlocks bounds the prefix cache, in blocks of blockBytes.
 	CacheBlocks int
 	// LoadTime is how long a model takes to load.
 	LoadTime time.Duration
-	// ReportLag is how old a load report may be.
-	ReportLag time.Duration
-	// Linger is how long a stream without a reader is kept.
-	Linger time.Duration
+	// ReportMaxAge is how old a load report may be.
+	ReportMaxAge time.Duration
+	// StreamRetention is how long a stream without a reader is kept.
+	StreamRetention time.Duration
 	// ChecksOrders makes the engine refuse orders of an old epoch.
 	ChecksOrders bool
 	// TransferPerToken is the time to fetch one token's KV cache.
@@ -49,15 +49,15 @@
 		PrefillPerToken:  100 * time.Microsecond,
 		CacheBlocks:      4096,
 		LoadTime:         200 * time.Millisecond,
-		ReportLag:        300 * time.Millisecond,
-		Linger:           10 * time.Second,
+		ReportMaxAge:        300 * time.Millisecond,
+		StreamRetention:           10 * time.Second,
 		ChecksOrders:     true,
 		TransferPerToken: 10 * time.Microsecond,
 	}
 }
 
-// Loaded names what an engine serves.
-type Loaded struct{ Model, Version, Adapter string }
+// ModelRef names what an engine serves.
+type ModelRef struct{ Model, Version, Adapter string }
 
 // Engine is the stand-in's state, without its HTTP side.
 type Engine struct {
@@ -65,7 +65,7 @@
 	incarnation int64
 
 	mu      sync.Mutex
-	loaded  Loaded
+	loaded  ModelRef
 	loading bool
 	counter int64
 	epoch   int64
@@ -93,8 +93,8 @@
 	}
 }
 
-// Answer returns the tokens an engine gives to a prompt, whole.
-func Answer(loaded Loaded, messages string, seed int64, maxTokens int) []string {
+// Completion returns the tokens an engine gives to a prompt, whole.
+func Completion(loaded ModelRef, messages string, seed int64, maxTokens int) []string {
 	key := answerKey(loaded, messages, seed)
 	count := answerLength(key, maxTokens)
 	tokens := make([]string, count)
@@ -110,7 +110,7 @@
 	answerSpread = 2000
 )
 
-func answerKey(loaded Loaded, messages string, seed int64) uint64 {
+func answerKey(loaded ModelRef, messages string, seed int64) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s|%s|%s|%d|%s", loaded.Model, loaded.Version, loaded.Adapter, seed, messages))
 }
 
@@ -135,7 +135,7 @@
 )
 
 // order takes an order to load a model.
-func (e *Engine) order(epoch int64, want Loaded) error {
+func (e *Engine) order(epoch int64, want ModelRef) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.ChecksOrders && epoch < e.epoch {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (e *Engine) finishLoad(want Loaded) {
+func (e *Engine) finishLoad(want ModelRef) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loading = false
@@ -171,7 +171,7 @@
 type promptSpec struct {
 	request   string
 	attempt   int
-	loaded    Loaded
+	loaded    ModelRef
 	messages  string
 	seed      int64
 	maxTokens int
@@ -219,14 +219,14 @@
 		e.running--
 		e.admit()
 		e.mu.Unlock()
-		time.AfterFunc(e.options.Linger, func() { e.forget(s) })
+		time.AfterFunc(e.options.StreamRetention, func() { e.forget(s) })
 	}()
 	if !s.sleep(e.prefill(s)) {
 		return
 	}
 	for s.available() < s.length {
-		step := min(max(e.options.StepTokens, 1), s.length-s.available())
-		if !s.sleep(time.Duration(step)*e.gap()) || s.abandoned(e.options.Linger) {
+		step := min(max(e.options.TokensPerStep, 1), s.length-s.available())
+		if !s.sleep(time.Duration(step)*e.gap()) || s.abandoned(e.options.StreamRetention) {
 			s.cancel()
 			return
 		}
@@ -260,7 +260,7 @@
 func (e *Engine) gap() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	crowding := 1 + e.options.Crowding*float64(e.running)/float64(e.options.Slots)
+	crowding := 1 + e.options.BatchSlowdown*float64(e.running)/float64(e.options.Slots)
 	return time.Duration(crowding * float64(e.options.TokenGap))
 }
 
--- a/pkg/standin/engines/server.go
+++ b/pkg/standin/engines/server.go
@@ -32,12 +32,12 @@
 type StreamFaults struct {
 	// CutAfter cuts each stream after so many frames; 0 for never.
 	CutAfter int `json:"cut_after"`
-	// Double sends each frame twice.
-	Double bool `json:"double"`
-	// OldAttempt sends before each frame one of the attempt before.
-	OldAttempt bool `json:"old_attempt"`
-	// SkipAt leaves out the frame at this offset; 0 for none.
-	SkipAt int `json:"skip_at"`
+	// Duplicate sends each frame twice.
+	Duplicate bool `json:"double"`
+	// StaleAttempt sends before each frame one of the attempt before.
+	StaleAttempt bool `json:"old_attempt"`
+	// SkipOffset leaves out the frame at this offset; 0 for none.
+	SkipOffset int `json:"skip_at"`
 }
 
 // NewServer returns the HTTP side of an engine.
@@ -96,7 +96,7 @@
 	spec := promptSpec{
 		request:   r.Header.Get(engine.HeaderRequest),
 		attempt:   max(attempt, 1),
-		loaded:    Loaded{sent.Model, sent.Version, sent.Adapter},
+		loaded:    ModelRef{sent.Model, sent.Version, sent.Adapter},
 		messages:  string(sent.Messages),
 		seed:      sent.Seed,
 		maxTokens: sent.MaxTokens,
@@ -171,14 +171,14 @@
 	if f.faults.CutAfter > 0 && f.sent > f.faults.CutAfter {
 		panic(http.ErrAbortHandler)
 	}
-	if f.faults.SkipAt > 0 && f.faults.SkipAt == offset {
+	if f.faults.SkipOffset > 0 && f.faults.SkipOffset == offset {
 		return
 	}
-	if f.faults.OldAttempt {
+	if f.faults.StaleAttempt {
 		f.write(f.spec.attempt-1, offset, "OLD ", nil, nil)
 	}
 	f.write(f.spec.attempt, offset, text, nil, nil)
-	if f.faults.Double {
+	if f.faults.Duplicate {
 		f.write(f.spec.attempt, offset, text, nil, nil)
 	}
 }
@@ -248,7 +248,7 @@
 func (s *Server) currentReport() engine.WireReport {
 	held := s.report.Load()
 	now := time.Now()
-	if held != nil && now.Sub(time.UnixMilli(held.Sequence)) < s.engine.options.ReportLag {
+	if held != nil && now.Sub(time.UnixMilli(held.Sequence)) < s.engine.options.ReportMaxAge {
 		return *held
 	}
 	fresh := s.engine.report(now)
@@ -279,7 +279,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	err := s.engine.order(sent.Epoch, Loaded{sent.Model, sent.Version, sent.Adapter})
+	err := s.engine.order(sent.Epoch, ModelRef{sent.Model, sent.Version, sent.Adapter})
 	if errors.Is(err, errStale) {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
@@ -297,8 +297,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Counted is what an engine has done so far.
-type Counted struct {
+// Counters is what an engine has done so far.
+type Counters struct {
 	Generated  int64   `json:"generated"`
 	Recomputed int64   `json:"recomputed"`
 	Orders     []int64 `json:"orders"`
@@ -306,5 +306,5 @@
 
 func (s *Server) serveCounts(w http.ResponseWriter, _ *http.Request) {
 	generated, recomputed := s.engine.Counts()
-	httpx.WriteJSON(w, http.StatusOK, Counted{generated, recomputed, s.engine.Orders()})
+	httpx.WriteJSON(w, http.StatusOK, Counters{generated, recomputed, s.engine.Orders()})
 }
--- a/pkg/standin/services/service.go
+++ b/pkg/standin/services/service.go
@@ -52,26 +52,26 @@
 
 // Options say how a service behaves.
 type Options struct {
-	// Work is how long a call takes before it runs.
-	Work time.Duration
+	// Latency is how long a call takes before it runs.
+	Latency time.Duration
 	// ChecksDeadline makes the service refuse calls past their deadline.
 	ChecksDeadline bool
 	// CutAfterRun cuts the connection after the call has run.
 	CutAfterRun bool
-	// TurnsAway makes the service turn every call away unrun, asking for so much
+	// RefusesCalls makes the service turn every call away unrun, asking for so much
 	// backoff where it is above 0.
-	TurnsAway bool
+	RefusesCalls bool
 	Backoff   time.Duration
-	// Leaves makes the service say in each answer that it leaves.
-	Leaves bool
-	// Limit is what the service names as its limit in each answer, 0 for none.
-	Limit float64
-	// Came counts the calls that came, if it is set.
-	Came *atomic.Int64
+	// Leaving makes the service say in each answer that it leaves.
+	Leaving bool
+	// RequestLimit is what the service names as its limit in each answer, 0 for none.
+	RequestLimit float64
+	// Received counts the calls that came, if it is set.
+	Received *atomic.Int64
 }
 
-// Answer is what a call gets.
-type Answer struct {
+// Response is what a call gets.
+type Response struct {
 	Key  string `json:"key"`
 	Run  int    `json:"run"`
 	Path string `json:"path"`
@@ -95,28 +95,28 @@
 	if err != nil {
 		return
 	}
-	if options.Came != nil {
-		options.Came.Add(1)
+	if options.Received != nil {
+		options.Received.Add(1)
 	}
-	if options.Leaves {
+	if options.Leaving {
 		w.Header().Set(plainservice.HeaderLeaving, "1")
 	}
-	if options.Limit > 0 {
-		w.Header().Set(httpx.HeaderRequestLimit, strconv.FormatFloat(options.Limit, 'f', -1, 64))
+	if options.RequestLimit > 0 {
+		w.Header().Set(httpx.HeaderRequestLimit, strconv.FormatFloat(options.RequestLimit, 'f', -1, 64))
 	}
-	if options.TurnsAway {
+	if options.RefusesCalls {
 		w.Header().Set(plainservice.HeaderNotRun, "busy")
 		w.Header().Set(httpx.HeaderRetryAfter, strconv.FormatFloat(options.Backoff.Seconds(), 'f', -1, 64))
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	time.Sleep(options.Work)
+	time.Sleep(options.Latency)
 	if options.ChecksDeadline && plainservice.DeadlinePassed(r.Header, time.Now()) {
 		w.Header().Set(plainservice.HeaderNotRun, "deadline")
 		http.Error(w, "deadline passed", http.StatusServiceUnavailable)
 		return
 	}
-	answer := Answer{Key: r.Header.Get(plainservice.HeaderKey), Path: r.URL.Path, Body: string(body)}
+	answer := Response{Key: r.Header.Get(plainservice.HeaderKey), Path: r.URL.Path, Body: string(body)}
 	if r.Method != http.MethodGet {
 		answer.Run = ledger.run(answer.Key)
 	}
--- a/pkg/standin/tables/store.go
+++ b/pkg/standin/tables/store.go
@@ -17,8 +17,8 @@
 // Fault is what befalls one call.
 type Fault interface{ fault() }
 
-// None lets a call pass.
-type None struct{}
+// NoFault lets a call pass.
+type NoFault struct{}
 
 // Down turns a call away before it takes effect; the caller can't tell.
 type Down struct{}
@@ -26,21 +26,21 @@
 // Refuse turns a call away in a way the caller can tell.
 type Refuse struct{}
 
-// LoseAnswer lets a commit take effect and loses the answer.
-type LoseAnswer struct{}
+// LoseResponse lets a commit take effect and loses the answer.
+type LoseResponse struct{}
 
 // Delay makes the call wait before it takes effect.
-type Delay struct{ For time.Duration }
+type Delay struct{ Duration time.Duration }
 
-// Late answers "unknown" at once and lets the commit take effect afterwards.
-type Late struct{ For time.Duration }
+// LateCommit answers "unknown" at once and lets the commit take effect afterwards.
+type LateCommit struct{ After time.Duration }
 
-func (None) fault()       {}
+func (NoFault) fault()       {}
 func (Down) fault()       {}
 func (Refuse) fault()     {}
-func (LoseAnswer) fault() {}
+func (LoseResponse) fault() {}
 func (Delay) fault()      {}
-func (Late) fault()       {}
+func (LateCommit) fault()       {}
 
 // Operation names the kind of call a fault is asked for.
 type Operation string
@@ -64,7 +64,7 @@
 // Errors that callers of a faulty store see.
 var (
 	ErrDown    = errors.New("standin: store is down")
-	ErrLost    = errors.New("standin: answer lost")
+	ErrResponseLost    = errors.New("standin: answer lost")
 	ErrRefused = errors.New("standin: turned away")
 )
 
@@ -85,7 +85,7 @@
 	return &Store{
 		rows:   map[string]table.Row{},
 		counts: map[Operation]int64{},
-		decide: func(Call) Fault { return None{} },
+		decide: func(Call) Fault { return NoFault{} },
 	}
 }
 
@@ -94,7 +94,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if decide == nil {
-		decide = func(Call) Fault { return None{} }
+		decide = func(Call) Fault { return NoFault{} }
 	}
 	s.decide = decide
 }
@@ -123,14 +123,14 @@
 		return table.Unknown{Err: ErrDown}
 	case Refuse:
 		return table.Refused{Err: ErrRefused}
-	case LoseAnswer:
+	case LoseResponse:
 		s.apply(c)
-		return table.Unknown{Err: ErrLost}
-	case Late:
-		time.AfterFunc(f.For, func() { s.apply(c) })
-		return table.Unknown{Err: ErrLost}
+		return table.Unknown{Err: ErrResponseLost}
+	case LateCommit:
+		time.AfterFunc(f.After, func() { s.apply(c) })
+		return table.Unknown{Err: ErrResponseLost}
 	case Delay:
-		if !pause.For(ctx, f.For) {
+		if !pause.For(ctx, f.Duration) {
 			return table.Unknown{Err: ctx.Err()}
 		}
 	}
@@ -228,10 +228,10 @@
 
 func (s *Store) readFault(ctx context.Context, op Operation, key string) error {
 	switch f := s.enter(op, key).(type) {
-	case Down, LoseAnswer, Refuse, Late:
+	case Down, LoseResponse, Refuse, LateCommit:
 		return ErrDown
 	case Delay:
-		if !pause.For(ctx, f.For) {
+		if !pause.For(ctx, f.Duration) {
 			return ctx.Err()
 		}
 	}
--- a/pkg/stream/crash_test.go
+++ b/pkg/stream/crash_test.go
@@ -16,7 +16,7 @@
 func (f *fleet) crashOn(t *testing.T, index int) {
 	address := f.infos[index].Address
 	go func() {
-		for f.direct.Sent(address) == 0 {
+		for f.direct.AttemptCount(address) == 0 {
 			select {
 			case <-t.Context().Done():
 				return
--- a/pkg/stream/runner_test.go
+++ b/pkg/stream/runner_test.go
@@ -34,7 +34,7 @@
 
 // fleet is a runner with in-memory engines.
 type fleet struct {
-	direct    *engines.Direct
+	direct    *engines.MemoryClient
 	directory *endpoint.Directory
 	runner    *stream.Runner
 	router    *route.Router
@@ -45,7 +45,7 @@
 // newFleet returns a fleet of count engines that have loaded the model.
 func newFleet(t *testing.T, count int) *fleet {
 	t.Helper()
-	f := &fleet{direct: engines.NewDirect(), directory: endpoint.NewDirectory()}
+	f := &fleet{direct: engines.NewMemoryClient(), directory: endpoint.NewDirectory()}
 	options := engines.DefaultOptions()
 	options.TokenGap = 20 * time.Millisecond
 	for i := range count {
@@ -92,7 +92,7 @@
 
 // wantText returns the complete answer.
 func wantText(tokens int) string {
-	return strings.Join(engines.Answer(engines.Loaded{Model: model, Version: "1"}, messages, 7, tokens), "")
+	return strings.Join(engines.Completion(engines.ModelRef{Model: model, Version: "1"}, messages, 7, tokens), "")
 }
 
 // start runs a request in a goroutine; its outcome is sent on the channel.
@@ -148,10 +148,10 @@
 			time.Sleep(50 * time.Millisecond)
 			f.direct.Kill(f.infos[index].Address)
 		}},
-		{"every endpoint sends each frame twice", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{Double: true}) }},
-		{"every endpoint also sends frames of an older attempt", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{OldAttempt: true}) }},
+		{"every endpoint sends each frame twice", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{Duplicate: true}) }},
+		{"every endpoint also sends frames of an older attempt", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{StaleAttempt: true}) }},
 		{"an endpoint omits a frame", func(t *testing.T, f *fleet) {
-			f.direct.SetFaults(f.infos[f.busyEngine(t)].Address, engines.StreamFaults{SkipAt: 60})
+			f.direct.SetFaults(f.infos[f.busyEngine(t)].Address, engines.StreamFaults{SkipOffset: 60})
 		}},
 		{"every endpoint interrupts each stream after 60 frames", func(_ *testing.T, f *fleet) { f.setFaults(engines.StreamFaults{CutAfter: 60}) }},
 	}
@@ -226,14 +226,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3)
 		f.reclaim(1, time.Minute)
-		before := f.direct.Sent("a1")
+		before := f.direct.AttemptCount("a1")
 		for i := range 30 {
 			got := <-f.start(request(fmt.Sprintf("r%d", i), 5))
 			if got.err != nil {
 				t.Fatal(got.err)
 			}
 		}
-		if got := f.direct.Sent("a1") - before; got != 0 {
+		if got := f.direct.AttemptCount("a1") - before; got != 0 {
 			t.Errorf("attempts at the leaving endpoint: got %d, want 0", got)
 		}
 		// A late report that the endpoint is live does not change its state.
@@ -273,7 +273,7 @@
 		if !errors.Is(err, disconnected) {
 			t.Errorf("got %v, want %v", err, disconnected)
 		}
-		if sent := f.direct.Sent("a0") + f.direct.Sent("a1"); sent != 1 {
+		if sent := f.direct.AttemptCount("a0") + f.direct.AttemptCount("a1"); sent != 1 {
 			t.Errorf("attempts: got %d, want 1", sent)
 		}
 		time.Sleep(time.Minute)
--- a/pkg/table/writer_test.go
+++ b/pkg/table/writer_test.go
@@ -27,7 +27,7 @@
 		if c.Number == n {
 			return f
 		}
-		return tables.None{}
+		return tables.NoFault{}
 	}
 }
 
@@ -36,10 +36,10 @@
 		name  string
 		fault tables.Fault
 	}{
-		{"the response is lost after the write took effect", tables.LoseAnswer{}},
+		{"the response is lost after the write took effect", tables.LoseResponse{}},
 		{"the request is lost", tables.Down{}},
-		{"the write takes effect after its caller stopped waiting", tables.Late{For: 30 * time.Millisecond}},
-		{"the write takes effect while it is being resolved", tables.Late{For: 300 * time.Millisecond}},
+		{"the write takes effect after its caller stopped waiting", tables.LateCommit{After: 30 * time.Millisecond}},
+		{"the write takes effect while it is being resolved", tables.LateCommit{After: 300 * time.Millisecond}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -75,15 +75,15 @@
 			store.SetFaults(func(c tables.Call) tables.Fault {
 				switch faults[int(c.Number)%len(faults)] {
 				case 0:
-					return tables.LoseAnswer{}
+					return tables.LoseResponse{}
 				case 1:
 					return tables.Down{}
 				case 2:
-					return tables.Late{For: 200 * time.Millisecond}
+					return tables.LateCommit{After: 200 * time.Millisecond}
 				case 3:
 					return tables.Refuse{}
 				}
-				return tables.None{}
+				return tables.NoFault{}
 			})
 			writers := []*table.Writer{table.NewWriter(store, "w1"), table.NewWriter(store, "w2")}
 			for i := range 12 {
