--- a/pkg/standin/tables/server.go
+++ b/pkg/standin/tables/server.go
@@ -9,7 +9,7 @@
 	"ironhollow/pkg/table/tablehttp"
 )
 
-// Register serves the store on a mux in the table service's protocol.
+// Register adds handlers for the table service's protocol to mux.
 func (s *Store) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+tablehttp.PathCommit, s.serveCommit)
 	mux.HandleFunc("GET "+tablehttp.PathRow, s.serveRow)
@@ -17,22 +17,22 @@
 }
 
 func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
-	var sent tablehttp.Commit
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil || len(sent.Writes) == 0 {
+	var request tablehttp.Commit
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil || len(request.Writes) == 0 {
 		http.Error(w, "bad commit", http.StatusBadRequest)
 		return
 	}
-	switch outcome := s.Commit(r.Context(), sent.TableCommit()).(type) {
+	switch outcome := s.Commit(r.Context(), request.TableCommit()).(type) {
 	case table.Committed:
-		reply(w, http.StatusOK, tablehttp.Result{Version: outcome.Version})
+		writeJSON(w, http.StatusOK, tablehttp.Result{Version: outcome.Version})
 	case table.Refused:
 		if len(outcome.Conflicts) == 0 {
 			http.Error(w, "turned away", http.StatusTooManyRequests)
 			return
 		}
-		reply(w, http.StatusConflict, tablehttp.Result{Conflicts: tablehttp.FromRows(outcome.Conflicts)})
+		writeJSON(w, http.StatusConflict, tablehttp.Result{Conflicts: tablehttp.FromRows(outcome.Conflicts)})
 	default:
-		// The connection is cut so that the caller learns nothing.
+		// Closes the connection, so that the caller cannot know the outcome.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -45,7 +45,7 @@
 	case !ok:
 		http.Error(w, "no such row", http.StatusNotFound)
 	default:
-		reply(w, http.StatusOK, tablehttp.FromRow(row))
+		writeJSON(w, http.StatusOK, tablehttp.FromRow(row))
 	}
 }
 
@@ -61,10 +61,10 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	reply(w, http.StatusOK, tablehttp.Rows{Rows: tablehttp.FromRows(rows)})
+	writeJSON(w, http.StatusOK, tablehttp.Rows{Rows: tablehttp.FromRows(rows)})
 }
 
-func reply(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
--- a/pkg/standin/tables/store.go
+++ b/pkg/standin/tables/store.go
@@ -1,5 +1,5 @@
-// Package tables is the stand-in of the platform's table service: a store in
-// memory with faults on demand, usable as a fake in tests and over HTTP.
+// Package tables implements the platform's table service in memory, with injectable
+// faults. It is used directly in tests and served over HTTP by ironhollow-standin.
 package tables
 
 import (
@@ -14,111 +14,112 @@
 	"ironhollow/pkg/table"
 )
 
-// Fault is what befalls one call.
+// Fault is the fault injected into one call.
 type Fault interface{ fault() }
 
-// NoFault lets a call pass.
+// NoFault lets a call through unchanged.
 type NoFault struct{}
 
-// Down turns a call away before it takes effect; the caller can't tell.
+// Down fails a call before it takes effect. A commit's outcome is then unknown to the
+// caller.
 type Down struct{}
 
-// Refuse turns a call away in a way the caller can tell.
+// Refuse rejects a commit before it takes effect, and the caller sees the rejection.
 type Refuse struct{}
 
-// LoseResponse lets a commit take effect and loses the answer.
+// LoseResponse applies a commit but loses the response.
 type LoseResponse struct{}
 
 // Delay makes the call wait before it takes effect.
 type Delay struct{ Duration time.Duration }
 
-// LateCommit answers "unknown" at once and lets the commit take effect afterwards.
+// LateCommit returns an unknown outcome at once and applies the commit afterwards.
 type LateCommit struct{ After time.Duration }
 
-func (NoFault) fault()       {}
-func (Down) fault()       {}
-func (Refuse) fault()     {}
+func (NoFault) fault()      {}
+func (Down) fault()         {}
+func (Refuse) fault()       {}
 func (LoseResponse) fault() {}
-func (Delay) fault()      {}
-func (LateCommit) fault()       {}
+func (Delay) fault()        {}
+func (LateCommit) fault()   {}
 
-// Operation names the kind of call a fault is asked for.
+// Operation is the kind of a call to the store.
 type Operation string
 
-// The kinds of call.
+// The kinds of calls.
 const (
 	OperationCommit Operation = "commit"
 	OperationGet    Operation = "get"
 	OperationList   Operation = "list"
 )
 
-// Call tells the fault function what is called.
+// Call describes the call for which a fault is chosen.
 type Call struct {
 	// Number counts the store's calls from 1.
 	Number    int64
 	Operation Operation
-	// Key is the first key or the prefix.
+	// Key is the first key of a commit, the key of a get, or the prefix of a list.
 	Key string
 }
 
-// Errors that callers of a faulty store see.
+// Errors caused by injected faults.
 var (
-	ErrDown    = errors.New("standin: store is down")
-	ErrResponseLost    = errors.New("standin: answer lost")
-	ErrRefused = errors.New("standin: turned away")
+	ErrDown         = errors.New("standin: store is down")
+	ErrResponseLost = errors.New("standin: answer lost")
+	ErrRefused      = errors.New("standin: commit refused")
 )
 
-// Store is the store in memory.
+// Store is an in-memory table store.
 type Store struct {
 	mu sync.Mutex
-	// rows and keys hold the same keys; keys are sorted.
-	rows    map[string]table.Row
-	keys    []string
-	version int64
-	calls   int64
-	counts  map[Operation]int64
-	decide  func(Call) Fault
+	// rows and sortedKeys hold the same keys.
+	rows       map[string]table.Row
+	sortedKeys []string
+	version    int64
+	calls      int64
+	counts     map[Operation]int64
+	faultFor   func(Call) Fault
 }
 
 // New returns an empty store without faults.
 func New() *Store {
 	return &Store{
-		rows:   map[string]table.Row{},
-		counts: map[Operation]int64{},
-		decide: func(Call) Fault { return NoFault{} },
+		rows:     map[string]table.Row{},
+		counts:   map[Operation]int64{},
+		faultFor: func(Call) Fault { return NoFault{} },
 	}
 }
 
-// SetFaults makes the store ask decide about every call; nil ends all faults.
-func (s *Store) SetFaults(decide func(Call) Fault) {
+// SetFaults makes the store call faultFor for every call; nil removes all faults.
+func (s *Store) SetFaults(faultFor func(Call) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if decide == nil {
-		decide = func(Call) Fault { return NoFault{} }
+	if faultFor == nil {
+		faultFor = func(Call) Fault { return NoFault{} }
 	}
-	s.decide = decide
+	s.faultFor = faultFor
 }
 
-// Count returns how many calls of a kind have been made.
+// Count returns the number of calls of a kind so far, failed ones included.
 func (s *Store) Count(op Operation) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts[op]
 }
 
-func (s *Store) enter(op Operation, key string) Fault {
+func (s *Store) beginCall(op Operation, key string) Fault {
 	s.mu.Lock()
 	s.calls++
 	s.counts[op]++
 	call := Call{s.calls, op, key}
-	decide := s.decide
+	faultFor := s.faultFor
 	s.mu.Unlock()
-	return decide(call)
+	return faultFor(call)
 }
 
-// Commit applies a commit, or a fault.
+// Commit applies c, subject to the injected fault.
 func (s *Store) Commit(ctx context.Context, c table.Commit) table.Outcome {
-	switch f := s.enter(OperationCommit, c.Writes[0].Key).(type) {
+	switch f := s.beginCall(OperationCommit, c.Writes[0].Key).(type) {
 	case Down:
 		return table.Unknown{Err: ErrDown}
 	case Refuse:
@@ -143,7 +144,7 @@
 	var conflicts []table.Row
 	for _, w := range c.Writes {
 		row, ok := s.rows[w.Key]
-		if !holds(w.If, row, ok) {
+		if !conditionMet(w.If, row, ok) {
 			row.Key = w.Key
 			conflicts = append(conflicts, row)
 		}
@@ -164,7 +165,7 @@
 	return table.Committed{Version: s.version}
 }
 
-func holds(c table.Condition, row table.Row, exists bool) bool {
+func conditionMet(c table.Condition, row table.Row, exists bool) bool {
 	switch c := c.(type) {
 	case table.Absent:
 		return !exists
@@ -177,10 +178,10 @@
 
 func (s *Store) put(row table.Row) {
 	if _, ok := s.rows[row.Key]; !ok {
-		i := sort.SearchStrings(s.keys, row.Key)
-		s.keys = append(s.keys, "")
-		copy(s.keys[i+1:], s.keys[i:])
-		s.keys[i] = row.Key
+		i := sort.SearchStrings(s.sortedKeys, row.Key)
+		s.sortedKeys = append(s.sortedKeys, "")
+		copy(s.sortedKeys[i+1:], s.sortedKeys[i:])
+		s.sortedKeys[i] = row.Key
 	}
 	s.rows[row.Key] = row
 }
@@ -190,13 +191,13 @@
 		return
 	}
 	delete(s.rows, key)
-	i := sort.SearchStrings(s.keys, key)
-	s.keys = append(s.keys[:i], s.keys[i+1:]...)
+	i := sort.SearchStrings(s.sortedKeys, key)
+	s.sortedKeys = append(s.sortedKeys[:i], s.sortedKeys[i+1:]...)
 }
 
-// Get reads a row, or a fault.
+// Get reads a row, subject to the injected fault.
 func (s *Store) Get(ctx context.Context, key string) (table.Row, bool, error) {
-	if err := s.readFault(ctx, OperationGet, key); err != nil {
+	if err := s.applyReadFault(ctx, OperationGet, key); err != nil {
 		return table.Row{}, false, err
 	}
 	s.mu.Lock()
@@ -205,17 +206,17 @@
 	return row, ok, nil
 }
 
-// List reads rows in key order, or a fault.
+// List reads rows in key order, subject to the injected fault.
 func (s *Store) List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
-	if err := s.readFault(ctx, OperationList, prefix); err != nil {
+	if err := s.applyReadFault(ctx, OperationList, prefix); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var rows []table.Row
 	from := max(prefix, after)
-	for i := sort.SearchStrings(s.keys, from); i < len(s.keys) && len(rows) < limit; i++ {
-		key := s.keys[i]
+	for i := sort.SearchStrings(s.sortedKeys, from); i < len(s.sortedKeys) && len(rows) < limit; i++ {
+		key := s.sortedKeys[i]
 		if !strings.HasPrefix(key, prefix) {
 			break
 		}
@@ -226,8 +227,8 @@
 	return rows, nil
 }
 
-func (s *Store) readFault(ctx context.Context, op Operation, key string) error {
-	switch f := s.enter(op, key).(type) {
+func (s *Store) applyReadFault(ctx context.Context, op Operation, key string) error {
+	switch f := s.beginCall(op, key).(type) {
 	case Down, LoseResponse, Refuse, LateCommit:
 		return ErrDown
 	case Delay:
