--- a/pkg/standin/clouds/cloud.go
+++ b/pkg/standin/clouds/cloud.go
@@ -1,6 +1,6 @@
-// Package clouds is the stand-in of the cloud API and of the list of hosts. It
-// knows the hosts that registered with it and ends them by a function it is
-// given, so that it serves one process and many alike.
+// Package clouds implements a stand-in for the cloud API and the list of hosts. Hosts are
+// registered with it; it starts and stops them through callbacks, so that it works both
+// within one process and across processes.
 package clouds
 
 import (
@@ -17,37 +17,38 @@
 	"ironhollow/pkg/httpx"
 )
 
-// Stopper ends a host at once, as a cloud does when its notice is over.
+// Stopper stops a host at once, as a cloud does when its notice has expired.
 type Stopper func(ref endpoint.Ref, admin string)
 
-// Starter starts a host and registers it; false refuses the order.
+// Starter starts a host and registers it; it returns false to refuse the order.
 type Starter func(order cloud.Order) (host string, ok bool)
 
-// Cloud is the stand-in.
+// Cloud simulates the cloud API and the list of hosts.
 type Cloud struct {
-	lag   time.Duration
-	stop  Stopper
-	start Starter
+	listLag time.Duration
+	stop    Stopper
+	start   Starter
 
-	mu      sync.Mutex
-	hosts   map[string]host
-	notices []cloud.WireNotice
-	started map[string]string
+	mu              sync.Mutex
+	hosts           map[string]host
+	notices         []cloud.WireNotice
+	hostIDByRequest map[string]string
 }
 
-// host is a host and what the lagging list says of it.
+// host is a host together with its delayed entry in the list.
 type host struct {
 	info  endpoint.Info
 	admin string
-	// listed is what the list shows from listedAt on; before that, previous.
+	// listed is the entry that the list shows from listedAt on; before that it shows
+	// previous.
 	listed   endpoint.Info
 	previous *endpoint.Info
 	listedAt time.Time
 }
 
-// New returns a cloud whose list shows changes after lag.
-func New(lag time.Duration, stop Stopper, start Starter) *Cloud {
-	return &Cloud{lag: lag, stop: stop, start: start, hosts: map[string]host{}, started: map[string]string{}}
+// New returns a cloud whose list of hosts shows changes after listLag.
+func New(listLag time.Duration, stop Stopper, start Starter) *Cloud {
+	return &Cloud{listLag: listLag, stop: stop, start: start, hosts: map[string]host{}, hostIDByRequest: map[string]string{}}
 }
 
 // RegisterHost adds a host, or a later incarnation of one.
@@ -57,8 +58,8 @@
 	c.hosts[info.ID] = host{info: info, admin: admin, listed: info, listedAt: time.Now()}
 }
 
-// Reclaim gives notice to all hosts for which match is true and ends them when
-// it is over. It returns how many there were.
+// Reclaim gives notice to all live hosts for which match is true and stops them when the
+// notice expires. It returns the number of these hosts.
 func (c *Cloud) Reclaim(notice time.Duration, match func(endpoint.Info) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +81,7 @@
 	return count
 }
 
-// StopHost ends one incarnation of a host at once.
+// StopHost stops one incarnation of a host at once.
 func (c *Cloud) StopHost(ref endpoint.Ref) {
 	c.mu.Lock()
 	h, ok := c.hosts[ref.ID]
@@ -94,15 +95,16 @@
 }
 
 func (c *Cloud) setState(id string, h host, state endpoint.State) {
-	before := h.listed
-	h.previous = &before
+	previous := h.listed
+	h.previous = &previous
 	h.info.State = state
 	h.listed = h.info
-	h.listedAt = time.Now().Add(c.lag)
+	h.listedAt = time.Now().Add(c.listLag)
 	c.hosts[id] = h
 }
 
-// Hosts returns the list, as late as it is.
+// Hosts returns the list of hosts, which lags behind their actual states. An empty
+// dataCenter selects all.
 func (c *Cloud) Hosts(dataCenter string) []endpoint.Info {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,8 +122,8 @@
 	return infos
 }
 
-// Register serves the cloud, the list, and the stand-in's own controls under
-// /standin on a mux.
+// Register adds handlers for the cloud API, the list of hosts and, under /standin, the
+// stand-in's controls to mux.
 func (c *Cloud) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/notices", c.serveNotices)
 	mux.HandleFunc("POST /v1/orders", c.serveOrder)
@@ -145,23 +147,23 @@
 }
 
 func (c *Cloud) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var sent cloud.WireOrder
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil {
+	var order cloud.WireOrder
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	c.mu.Lock()
-	id, repeated := c.started[sent.Request]
+	id, repeated := c.hostIDByRequest[order.Request]
 	c.mu.Unlock()
 	if !repeated {
 		var ok bool
-		id, ok = c.start(cloud.Order{Request: sent.Request, DataCenter: sent.DataCenter, Class: sent.Class, Reclaimable: sent.Reclaimable})
+		id, ok = c.start(cloud.Order{Request: order.Request, DataCenter: order.DataCenter, Class: order.Class, Reclaimable: order.Reclaimable})
 		if !ok {
 			http.Error(w, "no capacity", http.StatusConflict)
 			return
 		}
 		c.mu.Lock()
-		c.started[sent.Request] = id
+		c.hostIDByRequest[order.Request] = id
 		c.mu.Unlock()
 	}
 	httpx.WriteJSON(w, http.StatusOK, cloud.WireStarted{Host: id})
@@ -185,47 +187,47 @@
 	httpx.WriteJSON(w, http.StatusOK, list)
 }
 
-// Registration is how a stand-in endpoint makes itself known.
+// Registration is the request by which a stand-in endpoint registers its host.
 type Registration struct {
 	Host hostlist.Host `json:"host"`
-	// Admin is where the endpoint's own controls listen.
+	// Admin is the address of the endpoint's controls.
 	Admin string `json:"admin"`
 }
 
 func (c *Cloud) serveRegister(w http.ResponseWriter, r *http.Request) {
-	var sent Registration
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil {
+	var registration Registration
+	if err := json.NewDecoder(r.Body).Decode(&registration); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	c.RegisterHost(sent.Host.Info(), sent.Admin)
+	c.RegisterHost(registration.Host.Info(), registration.Admin)
 	w.WriteHeader(http.StatusNoContent)
 }
 
 // ReclaimRequest asks the stand-in to reclaim hosts.
 type ReclaimRequest struct {
-	// Host or DataCenter says which.
+	// Host selects one host; without it, DataCenter selects its reclaimable hosts.
 	Host       string `json:"host,omitempty"`
 	DataCenter string `json:"data_center,omitempty"`
 	NoticeMS   int64  `json:"notice_ms"`
 }
 
-// ReclaimResult says how many hosts got notice.
+// ReclaimResult holds the number of hosts that received notice.
 type ReclaimResult struct {
 	Count int `json:"count"`
 }
 
 func (c *Cloud) serveReclaim(w http.ResponseWriter, r *http.Request) {
-	var sent ReclaimRequest
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil {
+	var request ReclaimRequest
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	count := c.Reclaim(time.Duration(sent.NoticeMS)*time.Millisecond, func(i endpoint.Info) bool {
-		if sent.Host != "" {
-			return i.ID == sent.Host
+	count := c.Reclaim(time.Duration(request.NoticeMS)*time.Millisecond, func(i endpoint.Info) bool {
+		if request.Host != "" {
+			return i.ID == request.Host
 		}
-		return i.Reclaimable && i.DataCenter == sent.DataCenter
+		return i.Reclaimable && i.DataCenter == request.DataCenter
 	})
 	httpx.WriteJSON(w, http.StatusOK, ReclaimResult{count})
 }
