--- a/pkg/standin/services/passthrough.go
+++ b/pkg/standin/services/passthrough.go
@@ -6,17 +6,17 @@
 	"net/http"
 )
 
-// Passthrough is the naive hop that the entry is measured against: it copies
-// requests and answers and checks nothing.
-func Passthrough(to string, client *http.Client) http.Handler {
+// Passthrough returns a minimal proxy that copies requests and responses to and from target
+// without any checks. It is the baseline for measurements of the entry.
+func Passthrough(target string, client *http.Client) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// The body is read first: net/http's server closes it once the answer
-		// begins, which would cut off a client that still reads it.
+		// The body is read first: net/http's server closes it once the response
+		// begins, which would cut off the outgoing request that still reads it.
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		request, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+to+r.URL.RequestURI(), bytes.NewReader(body))
+		request, err := http.NewRequestWithContext(r.Context(), r.Method, "http://"+target+r.URL.RequestURI(), bytes.NewReader(body))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadGateway)
 			return
--- a/pkg/standin/services/service.go
+++ b/pkg/standin/services/service.go
@@ -1,5 +1,5 @@
-// Package services is the stand-in of the plain services behind the system: a
-// ledger that counts how often each call ran.
+// Package services implements a stand-in for the plain services behind the system. It
+// counts how often each call ran.
 package services
 
 import (
@@ -15,8 +15,8 @@
 	"ironhollow/pkg/plainservice"
 )
 
-// Ledger is shared by all stand-in endpoints of one service, as a database
-// behind them would be.
+// Ledger counts the runs of each call. All stand-in endpoints of one service share it, as
+// they would share a database.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -25,52 +25,52 @@
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{runs: map[string]int{}} }
 
-// Runs returns how often the call with a key ran.
+// Runs returns how often the call with this key ran.
 func (l *Ledger) Runs(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.runs[key]
 }
 
-// All returns the runs of every key.
+// All returns the number of runs of every key.
 func (l *Ledger) All() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[string]int{}
-	for key, n := range l.runs {
-		all[key] = n
+	for key, count := range l.runs {
+		all[key] = count
 	}
 	return all
 }
 
-func (l *Ledger) run(key string) int {
+func (l *Ledger) recordRun(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[key]++
 	return l.runs[key]
 }
 
-// Options say how a service behaves.
+// Options configure the behaviour of a service.
 type Options struct {
-	// Latency is how long a call takes before it runs.
+	// Latency is the time from the receipt of a call to its run.
 	Latency time.Duration
 	// ChecksDeadline makes the service refuse calls past their deadline.
 	ChecksDeadline bool
-	// CutAfterRun cuts the connection after the call has run.
+	// CutAfterRun closes the connection after the call has run, without a response.
 	CutAfterRun bool
-	// RefusesCalls makes the service turn every call away unrun, asking for so much
-	// backoff where it is above 0.
+	// RefusesCalls makes the service refuse every call without running it. The response
+	// asks for a backoff of Backoff (0 for none).
 	RefusesCalls bool
-	Backoff   time.Duration
-	// Leaving makes the service say in each answer that it leaves.
+	Backoff      time.Duration
+	// Leaving makes the service report in each response that it is leaving.
 	Leaving bool
-	// RequestLimit is what the service names as its limit in each answer, 0 for none.
+	// RequestLimit is the request limit that the service reports in each response, 0 for none.
 	RequestLimit float64
-	// Received counts the calls that came, if it is set.
+	// Received counts the calls received, if it is set.
 	Received *atomic.Int64
 }
 
-// Response is what a call gets.
+// Response is the body of the response to a call.
 type Response struct {
 	Key  string `json:"key"`
 	Run  int    `json:"run"`
@@ -78,7 +78,7 @@
 	Body string `json:"body"`
 }
 
-// Handler serves calls: every POST runs, a GET only reads.
+// Handler serves calls: every method except GET counts as a run.
 func Handler(ledger *Ledger, options Options) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /standin/runs", func(w http.ResponseWriter, _ *http.Request) {
@@ -116,13 +116,13 @@
 		http.Error(w, "deadline passed", http.StatusServiceUnavailable)
 		return
 	}
-	answer := Response{Key: r.Header.Get(plainservice.HeaderKey), Path: r.URL.Path, Body: string(body)}
+	response := Response{Key: r.Header.Get(plainservice.HeaderKey), Path: r.URL.Path, Body: string(body)}
 	if r.Method != http.MethodGet {
-		answer.Run = ledger.run(answer.Key)
+		response.Run = ledger.recordRun(response.Key)
 	}
 	if options.CutAfterRun {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
