--- a/pkg/standin/objects/objects.go
+++ b/pkg/standin/objects/objects.go
@@ -1,4 +1,4 @@
-// Package objects is the stand-in of the platform's object store.
+// Package objects implements a stand-in for the platform's object store.
 package objects
 
 import (
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// ErrDown is what callers of a store that is down see.
+// ErrDown is returned by all calls during an outage.
 var ErrDown = errors.New("standin: object store is down")
 
 // Store keeps objects in memory.
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Get reads an object.
+// Get returns the object with this key and whether it exists.
 func (s *Store) Get(_ context.Context, key string) ([]byte, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	return data, ok, nil
 }
 
-// Register serves the store on a mux.
+// Register adds handlers for the object store's protocol to mux.
 func (s *Store) Register(mux *http.ServeMux) {
 	mux.HandleFunc("PUT /objects/{key}", func(w http.ResponseWriter, r *http.Request) {
 		data, err := io.ReadAll(r.Body)
