--- a/pkg/standin/engines/cache.go
+++ b/pkg/standin/engines/cache.go
@@ -7,22 +7,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// blockBytes is how much of a prompt one block of the prefix cache covers.
+// blockBytes is the length of prompt text that one block of the prefix cache covers.
 const blockBytes = 64
 
 // prefixCache is a least-recently-used set of prompt prefixes.
 type prefixCache struct {
-	limit  int
-	order  *list.List
-	blocks map[uint64]*list.Element
+	maxBlocks int
+	recency   *list.List
+	blocks    map[uint64]*list.Element
 }
 
-func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), blocks: map[uint64]*list.Element{}}
+func newPrefixCache(maxBlocks int) *prefixCache {
+	return &prefixCache{maxBlocks: maxBlocks, recency: list.New(), blocks: map[uint64]*list.Element{}}
 }
 
-// use returns how many leading tokens of text were cached, and caches it whole.
-func (c *prefixCache) use(text string) int {
+// lookUpAndAdd returns how many leading tokens of text were cached, and adds all of text to
+// the cache.
+func (c *prefixCache) lookUpAndAdd(text string) int {
 	cached := 0
 	hit := true
 	for end := blockBytes; end <= len(text); end += blockBytes {
@@ -33,22 +34,23 @@
 			cached = end / bytesPerToken
 		}
 		if ok {
-			c.order.MoveToFront(element)
+			c.recency.MoveToFront(element)
 			continue
 		}
-		c.blocks[sum] = c.order.PushFront(sum)
+		c.blocks[sum] = c.recency.PushFront(sum)
 	}
-	for c.order.Len() > c.limit {
-		oldest := c.order.Back()
+	for c.recency.Len() > c.maxBlocks {
+		oldest := c.recency.Back()
 		delete(c.blocks, oldest.Value.(uint64))
-		c.order.Remove(oldest)
+		c.recency.Remove(oldest)
 	}
 	return cached
 }
 
-// text is a stream's prompt followed by as much of its answer, at the rule of
-// thumb of bytesPerToken for each token so that lengths count the same.
-func (s *stream) text(tokens int) string {
+// cacheText returns the text under which a stream is cached: its prompt and the given number
+// of generated tokens. Each token is represented by bytesPerToken bytes, so that lengths in
+// tokens match.
+func (s *stream) cacheText(tokens int) string {
 	var b strings.Builder
 	b.WriteString(s.spec.messages)
 	for b.Len()%bytesPerToken != 0 {
--- a/pkg/standin/engines/direct.go
+++ b/pkg/standin/engines/direct.go
@@ -12,103 +12,106 @@
 	"ironhollow/pkg/engine"
 )
 
-// MemoryClient reaches engines in memory, without a network: a fake at the engine
-// interface for tests in virtual time, with the faults that hosts have.
+// MemoryClient calls engines in memory, without a network. It implements engine.API for
+// tests in virtual time and can inject host and stream faults.
 type MemoryClient struct {
 	mu      sync.Mutex
 	engines map[string]*host
 }
 
-// host is one engine and what is wrong with its machine.
+// host is one engine with the faults injected into its host.
 type host struct {
 	engine *Engine
 	faults StreamFaults
-	// dead refuses connections and cuts those there are.
-	dead chan struct{}
-	// frozen makes every call hang.
+	// killed is closed when the host is killed: new calls are refused and
+	// open streams interrupted.
+	killed chan struct{}
+	// frozen makes every call hang until its context ends.
 	frozen bool
-	// refuse turns new attempts away unrun, refusal is what the engine says then.
+	// refuse makes the engine refuse new attempts without running them; refusal is the
+	// notice it sends with the refusal.
 	refuse  bool
 	refusal endpoint.Notice
-	// limit is what the engine names in its answers, 0 for none.
-	limit endpoint.Limit
-	sent  int
+	// limit is the limit that the engine reports in its responses, 0 for none.
+	limit    endpoint.Limit
+	attempts int
 }
 
-// NewMemoryClient returns a way to no engine yet.
+// NewMemoryClient returns a client without engines.
 func NewMemoryClient() *MemoryClient { return &MemoryClient{engines: map[string]*host{}} }
 
 // Add makes an engine reachable at an address.
-func (d *MemoryClient) Add(address string, e *Engine) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.engines[address] = &host{engine: e, dead: make(chan struct{})}
+func (c *MemoryClient) Add(address string, e *Engine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.engines[address] = &host{engine: e, killed: make(chan struct{})}
 }
 
-// Kill ends the machine at an address: its streams are cut.
-func (d *MemoryClient) Kill(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	h := d.engines[address]
+// Kill stops the host at an address and interrupts its streams.
+func (c *MemoryClient) Kill(address string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h := c.engines[address]
 	select {
-	case <-h.dead:
+	case <-h.killed:
 	default:
-		close(h.dead)
+		close(h.killed)
 	}
 }
 
-// Freeze makes the machine at an address hang, or go on.
-func (d *MemoryClient) Freeze(address string, frozen bool) {
-	d.change(address, func(h *host) { h.frozen = frozen })
+// Freeze freezes the host at an address, so that all calls to it hang, or unfreezes it.
+func (c *MemoryClient) Freeze(address string, frozen bool) {
+	c.updateHost(address, func(h *host) { h.frozen = frozen })
 }
 
-// Refuse makes an engine turn new attempts away, or take them again.
-func (d *MemoryClient) Refuse(address string, refuse bool) {
-	d.change(address, func(h *host) { h.refuse, h.refusal = refuse, endpoint.Notice{} })
+// Refuse makes an engine refuse new attempts, or accept them again.
+func (c *MemoryClient) Refuse(address string, refuse bool) {
+	c.updateHost(address, func(h *host) { h.refuse, h.refusal = refuse, endpoint.Notice{} })
 }
 
-// RefuseWithNotice makes an engine turn new attempts away and say something of itself.
-func (d *MemoryClient) RefuseWithNotice(address string, says endpoint.Notice) {
-	d.change(address, func(h *host) { h.refuse, h.refusal = true, says })
+// RefuseWithNotice makes an engine refuse new attempts and send notice with each refusal.
+func (c *MemoryClient) RefuseWithNotice(address string, notice endpoint.Notice) {
+	c.updateHost(address, func(h *host) { h.refuse, h.refusal = true, notice })
 }
 
-// SetLimit makes an engine name a limit in its answers, 0 for none; it takes more all the same.
-func (d *MemoryClient) SetLimit(address string, limit endpoint.Limit) {
-	d.change(address, func(h *host) { h.limit = limit })
+// SetLimit makes an engine report a limit in its responses, 0 for none. The engine does not
+// enforce the limit.
+func (c *MemoryClient) SetLimit(address string, limit endpoint.Limit) {
+	c.updateHost(address, func(h *host) { h.limit = limit })
 }
 
-// SetFaults sets an engine's faults of frames.
-func (d *MemoryClient) SetFaults(address string, f StreamFaults) {
-	d.change(address, func(h *host) { h.faults = f })
+// SetFaults sets the faults of the frames that an engine sends.
+func (c *MemoryClient) SetFaults(address string, f StreamFaults) {
+	c.updateHost(address, func(h *host) { h.faults = f })
 }
 
-// AttemptCount returns how many attempts reached an engine.
-func (d *MemoryClient) AttemptCount(address string) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.engines[address].sent
+// AttemptCount returns how many attempts reached an engine, refused ones included.
+func (c *MemoryClient) AttemptCount(address string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.engines[address].attempts
 }
 
-func (d *MemoryClient) change(address string, do func(*host)) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	do(d.engines[address])
+func (c *MemoryClient) updateHost(address string, update func(*host)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	update(c.engines[address])
 }
 
-var errDead = fmt.Errorf("standin: %w", syscall.ECONNREFUSED)
+var errConnectionRefused = fmt.Errorf("standin: %w", syscall.ECONNREFUSED)
 
-// reach returns a live machine, or hangs on a frozen one until ctx ends.
-func (d *MemoryClient) reach(ctx context.Context, address string) (*host, error) {
-	d.mu.Lock()
-	h, ok := d.engines[address]
+// connect returns the host at an address. It blocks until ctx ends if the host is frozen.
+func (c *MemoryClient) connect(ctx context.Context, address string) (*host, error) {
+	c.mu.Lock()
+	h, ok := c.engines[address]
 	frozen := ok && h.frozen
-	d.mu.Unlock()
+	c.mu.Unlock()
 	if !ok {
-		return nil, errDead
+		return nil, errConnectionRefused
 	}
 	select {
-	case <-h.dead:
-		return nil, errDead
+	case <-h.killed:
+		return nil, errConnectionRefused
 	default:
 	}
 	if frozen {
@@ -119,138 +122,138 @@
 }
 
 // Generate starts an attempt.
-func (d *MemoryClient) Generate(ctx context.Context, address string, a engine.Attempt) (engine.Stream, error) {
-	h, err := d.reach(ctx, address)
+func (c *MemoryClient) Generate(ctx context.Context, address string, a engine.Attempt) (engine.Stream, error) {
+	h, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	d.mu.Lock()
-	h.sent++
-	refuse, says := h.refuse, h.refusal
-	d.mu.Unlock()
+	c.mu.Lock()
+	h.attempts++
+	refuse, notice := h.refuse, h.refusal
+	c.mu.Unlock()
 	if refuse {
-		says.Refused = true
-		return nil, &engine.Refusal{Reason: "told to", Notice: says}
+		notice.Refused = true
+		return nil, &engine.Refusal{Reason: "refusal configured", Notice: notice}
 	}
 	s, err := h.engine.start(promptSpec{
-		request: a.Prompt.RequestID, attempt: a.Number, loaded: ModelRef{a.Prompt.Model, a.Prompt.Version, a.Prompt.Adapter},
+		request: a.Prompt.RequestID, attempt: a.Number, model: ModelRef{a.Prompt.Model, a.Prompt.Version, a.Prompt.Adapter},
 		messages: string(a.Prompt.Messages), seed: a.Prompt.Seed, maxTokens: a.Prompt.MaxTokens, priority: a.Prompt.Priority,
-		done: len(a.Continue),
+		continuedTokens: len(a.Continue),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", engine.ErrRefused, err)
 	}
-	return d.read(ctx, h, s, len(a.Continue)), nil
+	return c.openStream(ctx, h, s, len(a.Continue)), nil
 }
 
-// Attach goes on with a stream that is kept.
-func (d *MemoryClient) Attach(ctx context.Context, address, request string, offset int) (engine.Stream, error) {
-	h, err := d.reach(ctx, address)
+// Attach resumes reading a retained stream at offset.
+func (c *MemoryClient) Attach(ctx context.Context, address, request string, offset int) (engine.Stream, error) {
+	h, err := c.connect(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	s, err := h.engine.find(request)
-	if err != nil || offset < s.spec.done {
+	s, err := h.engine.findStream(request)
+	if err != nil || offset < s.spec.continuedTokens {
 		return nil, engine.ErrNoStream
 	}
-	return d.read(ctx, h, s, offset), nil
+	return c.openStream(ctx, h, s, offset), nil
 }
 
 // Cancel ends a stream.
-func (d *MemoryClient) Cancel(ctx context.Context, address, request string) error {
-	h, err := d.reach(ctx, address)
+func (c *MemoryClient) Cancel(ctx context.Context, address, request string) error {
+	h, err := c.connect(ctx, address)
 	if err != nil {
 		return err
 	}
-	if s, err := h.engine.find(request); err == nil {
+	if s, err := h.engine.findStream(request); err == nil {
 		s.cancel()
 	}
 	return nil
 }
 
-// Import fetches a stream's KV cache from another engine.
-func (d *MemoryClient) Import(ctx context.Context, address, request, source string) (int, error) {
-	to, err := d.reach(ctx, address)
+// Import fetches a stream's KV cache from another engine and returns its size in tokens.
+func (c *MemoryClient) Import(ctx context.Context, address, request, source string) (int, error) {
+	target, err := c.connect(ctx, address)
 	if err != nil {
 		return 0, err
 	}
-	from, err := d.reach(ctx, source)
+	origin, err := c.connect(ctx, source)
 	if err != nil {
 		return 0, err
 	}
-	tokens, err := from.engine.kvTokens(request)
+	tokens, err := origin.engine.kvTokens(request)
 	if err != nil {
 		return 0, err
 	}
-	to.engine.importTokens(request, tokens)
+	target.engine.importKV(request, tokens)
 	return tokens, nil
 }
 
-// Load reads a fresh report.
-func (d *MemoryClient) Load(ctx context.Context, address string) (engine.Report, error) {
-	h, err := d.reach(ctx, address)
+// Load returns a current load report.
+func (c *MemoryClient) Load(ctx context.Context, address string) (engine.Report, error) {
+	h, err := c.connect(ctx, address)
 	if err != nil {
 		return engine.Report{}, err
 	}
-	return h.engine.report(time.Now()).ToReport(), nil
+	return h.engine.loadReport(time.Now()).ToReport(), nil
 }
 
-// Order gives an order.
-func (d *MemoryClient) Order(ctx context.Context, address string, o engine.Order) error {
-	h, err := d.reach(ctx, address)
+// Order sends an order to load a model.
+func (c *MemoryClient) Order(ctx context.Context, address string, o engine.Order) error {
+	h, err := c.connect(ctx, address)
 	if err != nil {
 		return err
 	}
-	if err := h.engine.order(o.Epoch, ModelRef{o.Model, o.Version, o.Adapter}); err != nil {
+	if err := h.engine.applyOrder(o.Epoch, ModelRef{o.Model, o.Version, o.Adapter}); err != nil {
 		return engine.ErrStaleEpoch
 	}
 	return nil
 }
 
-// directStream reads an engine's stream.
-type directStream struct {
-	ctx    context.Context
-	direct *MemoryClient
-	host   *host
-	stream *stream
-	offset int
-	frames []engine.Frame
-	sent   int
-	ended  bool
+// memoryStream reads the stream of an engine in memory.
+type memoryStream struct {
+	ctx        context.Context
+	client     *MemoryClient
+	host       *host
+	stream     *stream
+	offset     int
+	frames     []engine.Frame
+	framesSent int
+	ended      bool
 }
 
-func (d *MemoryClient) read(ctx context.Context, h *host, s *stream, offset int) engine.Stream {
+func (c *MemoryClient) openStream(ctx context.Context, h *host, s *stream, offset int) engine.Stream {
 	s.attach()
-	return &directStream{ctx: ctx, direct: d, host: h, stream: s, offset: offset}
+	return &memoryStream{ctx: ctx, client: c, host: h, stream: s, offset: offset}
 }
 
-// Close lets go of the stream.
-func (s *directStream) Close() { s.stream.detach() }
+// Close detaches the reader from the stream.
+func (s *memoryStream) Close() { s.stream.detach() }
 
-// Buffered reports whether a frame is there already.
-func (s *directStream) Buffered() bool {
-	return len(s.frames) > 0 || s.offset < s.stream.progress().count
+// Buffered reports whether a frame can be read without blocking.
+func (s *memoryStream) Buffered() bool {
+	return len(s.frames) > 0 || s.offset < s.stream.progress().tokenCount
 }
 
-// Report returns the engine's report.
-func (s *directStream) Report() (engine.Report, bool) {
-	return s.host.engine.report(time.Now()).ToReport(), true
+// Report returns the engine's load report.
+func (s *memoryStream) Report() (engine.Report, bool) {
+	return s.host.engine.loadReport(time.Now()).ToReport(), true
 }
 
-// Notice returns what the engine says of itself.
-func (s *directStream) Notice() endpoint.Notice {
-	s.direct.mu.Lock()
-	defer s.direct.mu.Unlock()
+// Notice returns the engine's current notice.
+func (s *memoryStream) Notice() endpoint.Notice {
+	s.client.mu.Lock()
+	defer s.client.mu.Unlock()
 	return endpoint.Notice{Limit: s.host.limit}
 }
 
-// Next returns the next frame, with the faults that are set.
-func (s *directStream) Next() (engine.Frame, error) {
+// Next returns the next frame, subject to the injected faults.
+func (s *memoryStream) Next() (engine.Frame, error) {
 	for len(s.frames) == 0 {
 		if s.ended {
 			return engine.Frame{}, io.EOF
 		}
-		if err := s.fill(); err != nil {
+		if err := s.appendFrames(); err != nil {
 			return engine.Frame{}, err
 		}
 	}
@@ -259,57 +262,58 @@
 	return frame, nil
 }
 
-// fill waits for the next token and makes frames of it.
-func (s *directStream) fill() error {
+// appendFrames appends the frames of the next token or of the end. It may return without
+// any when the stream has changed; the caller calls it again.
+func (s *memoryStream) appendFrames() error {
 	p := s.stream.progress()
-	if err := s.broken(p); err != nil {
+	if err := s.checkFaults(p); err != nil {
 		return err
 	}
 	switch {
-	case s.offset < p.count:
-		return s.token()
+	case s.offset < p.tokenCount:
+		return s.appendToken()
 	case p.finished:
-		s.finish(p)
+		s.appendFinish(p)
 		return nil
 	}
 	select {
 	case <-s.ctx.Done():
 		return s.ctx.Err()
-	case <-s.host.dead:
+	case <-s.host.killed:
 		return io.ErrUnexpectedEOF
 	case <-p.changed:
 		return nil
 	}
 }
 
-func (s *directStream) broken(p progress) error {
+func (s *memoryStream) checkFaults(p progress) error {
 	select {
-	case <-s.host.dead:
+	case <-s.host.killed:
 		return io.ErrUnexpectedEOF
 	default:
 	}
-	s.direct.mu.Lock()
+	s.client.mu.Lock()
 	frozen := s.host.frozen
-	s.direct.mu.Unlock()
+	s.client.mu.Unlock()
 	if frozen {
 		<-s.ctx.Done()
 		return s.ctx.Err()
 	}
-	if p.cut {
+	if p.cancelled {
 		return io.ErrUnexpectedEOF
 	}
 	return nil
 }
 
-func (s *directStream) token() error {
-	s.direct.mu.Lock()
+func (s *memoryStream) appendToken() error {
+	s.client.mu.Lock()
 	f := s.host.faults
-	s.direct.mu.Unlock()
+	s.client.mu.Unlock()
 	spec := s.stream.spec
 	frame := engine.Frame{Attempt: spec.attempt, Offset: s.offset, Text: token(s.stream.key, s.offset)}
 	s.offset++
-	s.sent++
-	if f.CutAfter > 0 && s.sent > f.CutAfter {
+	s.framesSent++
+	if f.CutAfter > 0 && s.framesSent > f.CutAfter {
 		return io.ErrUnexpectedEOF
 	}
 	if f.SkipOffset > 0 && f.SkipOffset == frame.Offset {
@@ -325,7 +329,7 @@
 	return nil
 }
 
-func (s *directStream) finish(p progress) {
+func (s *memoryStream) appendFinish(p progress) {
 	s.ended = true
 	reason := "stop"
 	if s.offset == s.stream.spec.maxTokens {
@@ -333,6 +337,6 @@
 	}
 	s.frames = append(s.frames, engine.Frame{
 		Attempt: s.stream.spec.attempt, Offset: s.offset, FinishReason: reason,
-		Usage: engine.Usage{PromptTokens: p.prompt, CompletionTokens: s.offset, CachedTokens: p.cached},
+		Usage: engine.Usage{PromptTokens: p.promptTokens, CompletionTokens: s.offset, CachedTokens: p.cachedTokens},
 	})
 }
--- a/pkg/standin/engines/server.go
+++ b/pkg/standin/engines/server.go
@@ -17,43 +17,43 @@
 	"ironhollow/pkg/httpx"
 )
 
-// Server is an engine's HTTP side.
+// Server serves an engine over HTTP.
 type Server struct {
 	engine *Engine
 	client *http.Client
-	// report is the latest report, renewed every ReportLag.
-	report   atomic.Pointer[engine.WireReport]
-	sequence atomic.Int64
-	faults   atomic.Pointer[StreamFaults]
-	tracer   trace.Tracer
+	// lastReport is the latest load report, renewed after Options.ReportMaxAge.
+	lastReport atomic.Pointer[engine.WireReport]
+	sequence   atomic.Int64
+	faults     atomic.Pointer[StreamFaults]
+	tracer     trace.Tracer
 }
 
-// StreamFaults are faults of the frames an engine sends. The zero value has none.
+// StreamFaults are faults of the frames that an engine sends. The zero value has none.
 type StreamFaults struct {
-	// CutAfter cuts each stream after so many frames; 0 for never.
+	// CutAfter interrupts each stream after this many frames; 0 for never.
 	CutAfter int `json:"cut_after"`
 	// Duplicate sends each frame twice.
 	Duplicate bool `json:"double"`
-	// StaleAttempt sends before each frame one of the attempt before.
+	// StaleAttempt sends a frame of the previous attempt before each frame.
 	StaleAttempt bool `json:"old_attempt"`
-	// SkipOffset leaves out the frame at this offset; 0 for none.
+	// SkipOffset omits the frame at this offset; 0 for none.
 	SkipOffset int `json:"skip_at"`
 }
 
-// NewServer returns the HTTP side of an engine.
+// NewServer returns an HTTP server of an engine.
 func NewServer(e *Engine, client *http.Client) *Server {
 	s := &Server{engine: e, client: client, tracer: noop.NewTracerProvider().Tracer("")}
 	s.faults.Store(&StreamFaults{})
 	return s
 }
 
-// SetTracer makes the engine record a span for each attempt.
+// SetTracer makes the server record a span for each attempt.
 func (s *Server) SetTracer(tracer trace.Tracer) { s.tracer = tracer }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the stream faults.
 func (s *Server) SetFaults(f StreamFaults) { s.faults.Store(&f) }
 
-// Handler serves the engine's protocol, and /standin for its own controls.
+// Handler serves the engine's protocol, and the stand-in's controls under /standin.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engine.PathChat, s.serveChat)
@@ -68,7 +68,7 @@
 	return mux
 }
 
-// chatRequest is the part of the usual body the stand-in uses.
+// chatRequest holds the fields of a chat completion request that the stand-in uses.
 type chatRequest struct {
 	Model     string          `json:"model"`
 	Version   string          `json:"version"`
@@ -81,8 +81,8 @@
 }
 
 func (s *Server) serveChat(w http.ResponseWriter, r *http.Request) {
-	var sent chatRequest
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil || sent.MaxTokens < 1 || !sent.Stream {
+	var body chatRequest
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil || body.MaxTokens < 1 || !body.Stream {
 		http.Error(w, "bad body", http.StatusBadRequest)
 		return
 	}
@@ -94,14 +94,14 @@
 		return
 	}
 	spec := promptSpec{
-		request:   r.Header.Get(engine.HeaderRequest),
-		attempt:   max(attempt, 1),
-		loaded:    ModelRef{sent.Model, sent.Version, sent.Adapter},
-		messages:  string(sent.Messages),
-		seed:      sent.Seed,
-		maxTokens: sent.MaxTokens,
-		priority:  priority,
-		done:      len(sent.Continue),
+		request:         r.Header.Get(engine.HeaderRequest),
+		attempt:         max(attempt, 1),
+		model:           ModelRef{body.Model, body.Version, body.Adapter},
+		messages:        string(body.Messages),
+		seed:            body.Seed,
+		maxTokens:       body.MaxTokens,
+		priority:        priority,
+		continuedTokens: len(body.Continue),
 	}
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	_, span := s.tracer.Start(ctx, "engine.chat", trace.WithSpanKind(trace.SpanKindServer))
@@ -111,21 +111,22 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	s.send(w, r, started, spec.done)
+	s.writeStream(w, r, started, spec.continuedTokens)
 }
 
 func (s *Server) serveAttach(w http.ResponseWriter, r *http.Request) {
-	found, err := s.engine.find(r.PathValue("request"))
+	found, err := s.engine.findStream(r.PathValue("request"))
 	offset, offsetErr := strconv.Atoi(r.URL.Query().Get("offset"))
-	if err != nil || offsetErr != nil || offset < found.spec.done {
+	if err != nil || offsetErr != nil || offset < found.spec.continuedTokens {
 		http.NotFound(w, r)
 		return
 	}
-	s.send(w, r, found, offset)
+	s.writeStream(w, r, found, offset)
 }
 
-// send writes a stream's frames from offset on until its end or its reader's.
-func (s *Server) send(w http.ResponseWriter, r *http.Request, st *stream, offset int) {
+// writeStream writes a stream's frames from offset on, until the stream ends or the client
+// disconnects.
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, st *stream, offset int) {
 	st.attach()
 	defer st.detach()
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -135,18 +136,18 @@
 	}
 	w.WriteHeader(http.StatusOK)
 	controller := http.NewResponseController(w)
-	out := frameWriter{w: w, spec: st.spec, faults: *s.faults.Load()}
+	frames := frameWriter{w: w, spec: st.spec, faults: *s.faults.Load()}
 	for {
 		p := st.progress()
-		for offset < p.count {
-			out.token(offset, token(st.key, offset))
+		for offset < p.tokenCount {
+			frames.writeToken(offset, token(st.key, offset))
 			offset++
 		}
 		switch {
-		case p.cut:
+		case p.cancelled:
 			panic(http.ErrAbortHandler)
 		case p.finished:
-			out.finish(offset, p)
+			frames.writeFinish(offset, p)
 			return
 		}
 		_ = controller.Flush()
@@ -158,48 +159,48 @@
 	}
 }
 
-// frameWriter writes frames, with faults.
+// frameWriter writes frames, subject to the injected faults.
 type frameWriter struct {
-	w      http.ResponseWriter
-	spec   promptSpec
-	faults StreamFaults
-	sent   int
+	w          http.ResponseWriter
+	spec       promptSpec
+	faults     StreamFaults
+	framesSent int
 }
 
-func (f *frameWriter) token(offset int, text string) {
-	f.sent++
-	if f.faults.CutAfter > 0 && f.sent > f.faults.CutAfter {
+func (f *frameWriter) writeToken(offset int, text string) {
+	f.framesSent++
+	if f.faults.CutAfter > 0 && f.framesSent > f.faults.CutAfter {
 		panic(http.ErrAbortHandler)
 	}
 	if f.faults.SkipOffset > 0 && f.faults.SkipOffset == offset {
 		return
 	}
 	if f.faults.StaleAttempt {
-		f.write(f.spec.attempt-1, offset, "OLD ", nil, nil)
+		f.writeChunk(f.spec.attempt-1, offset, "OLD ", nil, nil)
 	}
-	f.write(f.spec.attempt, offset, text, nil, nil)
+	f.writeChunk(f.spec.attempt, offset, text, nil, nil)
 	if f.faults.Duplicate {
-		f.write(f.spec.attempt, offset, text, nil, nil)
+		f.writeChunk(f.spec.attempt, offset, text, nil, nil)
 	}
 }
 
-func (f *frameWriter) finish(offset int, p progress) {
+func (f *frameWriter) writeFinish(offset int, p progress) {
 	reason := "stop"
 	if offset == f.spec.maxTokens {
 		reason = "length"
 	}
 	usage := &engine.ChunkUsage{
-		PromptTokens: p.prompt, CompletionTokens: offset, TotalTokens: p.prompt + offset,
-		Details: &engine.TokenDetails{CachedTokens: p.cached},
+		PromptTokens: p.promptTokens, CompletionTokens: offset, TotalTokens: p.promptTokens + offset,
+		Details: &engine.TokenDetails{CachedTokens: p.cachedTokens},
 	}
-	f.write(f.spec.attempt, offset, "", &reason, usage)
+	f.writeChunk(f.spec.attempt, offset, "", &reason, usage)
 	_, _ = fmt.Fprint(f.w, "data: [DONE]\n\n")
 }
 
-func (f *frameWriter) write(attempt, offset int, text string, finish *string, usage *engine.ChunkUsage) {
+func (f *frameWriter) writeChunk(attempt, offset int, text string, finishReason *string, usage *engine.ChunkUsage) {
 	chunk := engine.Chunk{
-		ID: f.spec.request, Object: "chat.completion.chunk", Model: f.spec.loaded.Model,
-		Choices: []engine.ChunkChoice{{Delta: engine.ChunkDelta{Content: text}, FinishReason: finish}},
+		ID: f.spec.request, Object: "chat.completion.chunk", Model: f.spec.model.Model,
+		Choices: []engine.ChunkChoice{{Delta: engine.ChunkDelta{Content: text}, FinishReason: finishReason}},
 		Usage:   usage,
 	}
 	data, _ := json.Marshal(chunk)
@@ -207,7 +208,7 @@
 }
 
 func (s *Server) serveCancel(w http.ResponseWriter, r *http.Request) {
-	found, err := s.engine.find(r.PathValue("request"))
+	found, err := s.engine.findStream(r.PathValue("request"))
 	if err != nil {
 		http.NotFound(w, r)
 		return
@@ -226,17 +227,17 @@
 }
 
 func (s *Server) serveImport(w http.ResponseWriter, r *http.Request) {
-	var sent engine.WireImport
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil || httpx.CheckAddress(sent.Source) != nil {
+	var request engine.WireImport
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil || httpx.CheckAddress(request.Source) != nil {
 		http.Error(w, "bad import", http.StatusBadRequest)
 		return
 	}
 	var kv engine.WireImportResult
-	if err := httpx.CallJSON(r.Context(), s.client, http.MethodGet, "http://"+sent.Source+"/v1/kv/"+sent.Request, nil, &kv); err != nil {
+	if err := httpx.CallJSON(r.Context(), s.client, http.MethodGet, "http://"+request.Source+"/v1/kv/"+request.Request, nil, &kv); err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
 	}
-	s.engine.importTokens(sent.Request, kv.Tokens)
+	s.engine.importKV(request.Request, kv.Tokens)
 	httpx.WriteJSON(w, http.StatusOK, kv)
 }
 
@@ -244,20 +245,20 @@
 	httpx.WriteJSON(w, http.StatusOK, s.currentReport())
 }
 
-// currentReport renews the report once it is older than the lag.
+// currentReport returns the last report, renewed if it is older than Options.ReportMaxAge.
 func (s *Server) currentReport() engine.WireReport {
-	held := s.report.Load()
+	last := s.lastReport.Load()
 	now := time.Now()
-	if held != nil && now.Sub(time.UnixMilli(held.Sequence)) < s.engine.options.ReportMaxAge {
-		return *held
+	if last != nil && now.Sub(time.UnixMilli(last.Sequence)) < s.engine.options.ReportMaxAge {
+		return *last
 	}
-	fresh := s.engine.report(now)
-	s.report.Store(&fresh)
+	fresh := s.engine.loadReport(now)
+	s.lastReport.Store(&fresh)
 	return fresh
 }
 
-// report describes the engine; its sequence is the time in milliseconds.
-func (e *Engine) report(now time.Time) engine.WireReport {
+// loadReport returns the engine's load report; its sequence is the time in milliseconds.
+func (e *Engine) loadReport(now time.Time) engine.WireReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	queued := 0
@@ -269,18 +270,18 @@
 		Model: e.loaded.Model, Version: e.loaded.Version, Adapter: e.loaded.Adapter,
 		Running: e.running, Waiting: len(e.waiting), Slots: e.options.Slots, QueuedTokens: queued,
 		FreeTokens: e.options.CacheBlocks * blockBytes / bytesPerToken,
-		Leaving:    e.leaving, Counter: e.counter, Epoch: e.epoch,
+		Leaving:    e.leaving, Counter: e.loadCount, Epoch: e.epoch,
 	}
 }
 
 func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var sent engine.WireOrder
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil {
+	var order engine.WireOrder
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	err := s.engine.order(sent.Epoch, ModelRef{sent.Model, sent.Version, sent.Adapter})
-	if errors.Is(err, errStale) {
+	err := s.engine.applyOrder(order.Epoch, ModelRef{order.Model, order.Version, order.Adapter})
+	if errors.Is(err, errStaleEpoch) {
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
@@ -288,16 +289,16 @@
 }
 
 func (s *Server) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var sent StreamFaults
-	if err := json.NewDecoder(r.Body).Decode(&sent); err != nil {
+	var faults StreamFaults
+	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.SetFaults(sent)
+	s.SetFaults(faults)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Counters is what an engine has done so far.
+// Counters are the engine's totals since its start.
 type Counters struct {
 	Generated  int64   `json:"generated"`
 	Recomputed int64   `json:"recomputed"`
--- a/pkg/standin/engines/stream.go
+++ b/pkg/standin/engines/stream.go
@@ -5,84 +5,84 @@
 	"time"
 )
 
-// stream is one answer in the making. Readers come and go.
+// stream is a response being generated. Readers can attach and detach at any time.
 type stream struct {
 	spec   promptSpec
 	key    uint64
 	length int
 
-	mu       sync.Mutex
-	count    int
-	finished bool
-	cut      bool
-	readers  int
-	// unread is when the last reader left.
-	unread time.Time
+	mu         sync.Mutex
+	tokenCount int
+	finished   bool
+	cancelled  bool
+	readers    int
+	// unreadSince is when the last reader detached, initially the creation time.
+	unreadSince time.Time
 	// changed is closed and replaced at every change.
-	changed chan struct{}
-	stop    chan struct{}
-	prompt  int
-	cached  int
+	changed      chan struct{}
+	stop         chan struct{}
+	promptTokens int
+	cachedTokens int
 }
 
 func newStream(p promptSpec, key uint64, length int) *stream {
 	return &stream{
-		spec: p, key: key, length: length, count: p.done,
-		unread: time.Now(), changed: make(chan struct{}), stop: make(chan struct{}),
+		spec: p, key: key, length: length, tokenCount: p.continuedTokens,
+		unreadSince: time.Now(), changed: make(chan struct{}), stop: make(chan struct{}),
 	}
 }
 
-func (s *stream) signal() {
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) append(tokens int) {
+func (s *stream) addTokens(tokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.count += tokens
-	s.signal()
+	s.tokenCount += tokens
+	s.notifyReaders()
 }
 
 func (s *stream) finish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished = true
-	s.signal()
+	s.notifyReaders()
 }
 
-// cancel ends the stream unfinished; it may be called more than once.
+// cancel ends the stream before it is finished; it may be called more than once.
 func (s *stream) cancel() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.cut || s.finished {
+	if s.cancelled || s.finished {
 		return
 	}
-	s.cut = true
+	s.cancelled = true
 	close(s.stop)
-	s.signal()
+	s.notifyReaders()
 }
 
 func (s *stream) isCancelled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cut
+	return s.cancelled
 }
 
 func (s *stream) available() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.tokenCount
 }
 
-func (s *stream) setUsage(prompt, cached int) {
+func (s *stream) setUsage(promptTokens, cachedTokens int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.prompt = prompt
-	s.cached = cached
+	s.promptTokens = promptTokens
+	s.cachedTokens = cachedTokens
 }
 
-// sleep waits and reports whether the stream is still wanted.
+// sleep waits for d and returns false at once if the stream is cancelled.
 func (s *stream) sleep(d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -94,10 +94,10 @@
 	}
 }
 
-func (s *stream) abandoned(linger time.Duration) bool {
+func (s *stream) abandoned(retention time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readers == 0 && time.Since(s.unread) > linger
+	return s.readers == 0 && time.Since(s.unreadSince) > retention
 }
 
 func (s *stream) attach() {
@@ -110,32 +110,32 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers--
-	s.unread = time.Now()
+	s.unreadSince = time.Now()
 }
 
-// progress is a stream's state at one moment.
+// progress is a snapshot of a stream's state.
 type progress struct {
-	count          int
-	finished, cut  bool
-	changed        <-chan struct{}
-	prompt, cached int
+	tokenCount                 int
+	finished, cancelled        bool
+	changed                    <-chan struct{}
+	promptTokens, cachedTokens int
 }
 
 func (s *stream) progress() progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return progress{s.count, s.finished, s.cut, s.changed, s.prompt, s.cached}
+	return progress{s.tokenCount, s.finished, s.cancelled, s.changed, s.promptTokens, s.cachedTokens}
 }
 
-// waiter is a stream in the queue.
-type waiter struct {
+// queuedStream is a stream that waits for a slot.
+type queuedStream struct {
 	stream   *stream
 	priority int
 	arrival  int64
 }
 
-// waitQueue is a heap: higher priority first, then the earlier arrival.
-type waitQueue []waiter
+// waitQueue is a heap, ordered by descending priority and then by arrival.
+type waitQueue []queuedStream
 
 func (q waitQueue) Len() int { return len(q) }
 
@@ -148,10 +148,10 @@
 
 func (q waitQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is called by the heap only.
-func (q *waitQueue) Push(x any) { *q = append(*q, x.(waiter)) }
+// Push implements heap.Interface.
+func (q *waitQueue) Push(x any) { *q = append(*q, x.(queuedStream)) }
 
-// Pop is called by the heap only.
+// Pop implements heap.Interface.
 func (q *waitQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
