--- a/pkg/app/standin/standin.go
+++ b/pkg/app/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is the process that takes the platform's place, and that of
-// the model engines and plain services, in tests and demonstrations.
+// Package standin implements the process that simulates the platform, the model engines and
+// the plain services in tests and demonstrations.
 package standin
 
 import (
@@ -48,23 +48,23 @@
 }
 
 func passthroughCommand() *cobra.Command {
-	var address, to string
+	var address, target string
 	command := &cobra.Command{
 		Use:   "passthrough",
 		Short: "A naive hop that checks nothing, to measure against",
 		RunE: func(command *cobra.Command, _ []string) error {
 			mux := process.AdminMux(process.NewRegistry(), func() error { return nil })
-			mux.Handle("/", services.Passthrough(to, httpx.NewClient(hopConns)))
+			mux.Handle("/", services.Passthrough(target, httpx.NewClient(passthroughConns)))
 			return serveUntil(command.Context(), address, mux, make(chan struct{}))
 		},
 	}
 	command.Flags().StringVar(&address, "listen", "127.0.0.1:0", "address")
-	command.Flags().StringVar(&to, "to", "", "address to pass requests on to")
+	command.Flags().StringVar(&target, "to", "", "address to pass requests on to")
 	return command
 }
 
-// hopConns is how many connections the naive hop keeps: as many as an entry.
-const hopConns = 64
+// passthroughConns is how many connections the passthrough proxy keeps: as many as an entry.
+const passthroughConns = 64
 
 func portsCommand() *cobra.Command {
 	var count int
@@ -83,15 +83,15 @@
 	return command
 }
 
-// Ports are taken below those that the kernel gives to outgoing connections,
-// which would take a free one before its process has started.
+// Ports are chosen below the kernel's range for outgoing connections, which could occupy a
+// free port before the process that is to listen on it has started.
 const (
 	firstPort = 10_000
 	lastPort  = 32_000
 )
 
-// freePorts returns ports that were free a moment ago. Two callers at once do
-// well to start at different places, so the start is drawn.
+// freePorts returns ports that were free when they were checked. The search starts at a
+// random port, to make a collision between concurrent callers less likely.
 func freePorts(count int) ([]int, error) {
 	var ports []int
 	port := firstPort + rand.IntN(lastPort-firstPort)
@@ -115,46 +115,46 @@
 
 func platformCommand() *cobra.Command {
 	var address string
-	var lag time.Duration
+	var listLag time.Duration
 	command := &cobra.Command{
 		Use:   "platform",
 		Short: "Table service, object store, cloud API and list of hosts on one port",
 		RunE: func(command *cobra.Command, _ []string) error {
-			return servePlatform(command.Context(), address, lag)
+			return servePlatform(command.Context(), address, listLag)
 		},
 	}
 	command.Flags().StringVar(&address, "listen", "127.0.0.1:0", "address")
-	command.Flags().DurationVar(&lag, "list-lag", 2*time.Second, "how late the list of hosts is")
+	command.Flags().DurationVar(&listLag, "list-lag", 2*time.Second, "how late the list of hosts is")
 	return command
 }
 
-// StoreFault is a fault of the stores, as set under /standin/store.
+// StoreFault is the fault of the stores, set through /standin/store.
 type StoreFault struct {
 	// Kind is none, down, lose-answers or slow.
 	Kind string `json:"kind"`
-	// DelayMS is how slow.
+	// DelayMS is the delay of each call to the table service if Kind is slow.
 	DelayMS int64 `json:"delay_ms"`
 }
 
-// StoreCounts are the stores' calls so far.
+// StoreCounts are the numbers of calls to the table service so far.
 type StoreCounts struct {
 	Commits int64 `json:"commits"`
 	Gets    int64 `json:"gets"`
 	Lists   int64 `json:"lists"`
 }
 
-func servePlatform(ctx context.Context, address string, lag time.Duration) error {
+func servePlatform(ctx context.Context, address string, listLag time.Duration) error {
 	client := httpx.NewClient(4)
 	stop := func(_ endpoint.Ref, admin string) {
 		_ = httpx.CallJSON(context.WithoutCancel(ctx), client, http.MethodPost, "http://"+admin+"/standin/kill", nil, nil)
 	}
 	store := tables.New()
 	objectStore := objects.New()
-	theCloud := clouds.New(lag, stop, func(cloud.Order) (string, bool) { return "", false })
+	cloudAPI := clouds.New(listLag, stop, func(cloud.Order) (string, bool) { return "", false })
 	mux := http.NewServeMux()
 	store.Register(mux)
 	objectStore.Register(mux)
-	theCloud.Register(mux)
+	cloudAPI.Register(mux)
 	mux.HandleFunc("POST /standin/store", func(w http.ResponseWriter, r *http.Request) {
 		var fault StoreFault
 		if err := json.NewDecoder(r.Body).Decode(&fault); err != nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// serveUntil serves until ctx or kill ends; killed cuts every connection.
+// serveUntil serves until ctx ends or kill is closed, then closes every connection.
 func serveUntil(ctx context.Context, address string, handler http.Handler, kill <-chan struct{}) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// hostFlags describe the hosts of one process.
+// hostFlags are the flags for the hosts of one process.
 type hostFlags struct {
 	platform, prefix, dataCenter, class string
 	count                               int
@@ -229,10 +229,10 @@
 	flags.BoolVar(&f.noChecks, "no-checks", false, "does not check epochs or deadlines")
 }
 
-// hosts runs count hosts, each with its own port, until ctx ends.
-func (f *hostFlags) hosts(ctx context.Context, describe func(*hostlist.Host), handler func(kill func(), incarnation int64) http.Handler) error {
+// serveHosts runs count hosts, each on its own port, until ctx ends.
+func (f *hostFlags) serveHosts(ctx context.Context, describe func(*hostlist.Host), handler func(kill func(), incarnation int64) http.Handler) error {
 	client := httpx.NewClient(2)
-	var wait sync.WaitGroup
+	var hostGroup sync.WaitGroup
 	for i := range f.count {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -247,20 +247,20 @@
 		describe(&host)
 		kill := make(chan struct{})
 		var once sync.Once
-		served := handler(func() { once.Do(func() { close(kill) }) }, incarnation)
-		wait.Go(func() { _ = serveListener(ctx, listener, served, kill) })
+		hostHandler := handler(func() { once.Do(func() { close(kill) }) }, incarnation)
+		hostGroup.Go(func() { _ = serveListener(ctx, listener, hostHandler, kill) })
 		registration := clouds.Registration{Host: host, Admin: address}
 		if err := httpx.CallJSON(ctx, client, http.MethodPost, "http://"+f.platform+"/standin/hosts", registration, nil); err != nil {
 			return err
 		}
 	}
-	wait.Wait()
+	hostGroup.Wait()
 	<-ctx.Done()
 	return nil
 }
 
-// withKill adds the path by which the cloud stand-in ends a host.
-func withKill(handler http.Handler, kill func()) http.Handler {
+// withKillHandler adds the path by which the cloud stand-in stops a host.
+func withKillHandler(handler http.Handler, kill func()) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", handler)
 	mux.HandleFunc("POST /standin/kill", func(w http.ResponseWriter, _ *http.Request) {
@@ -280,8 +280,8 @@
 			options.ChecksOrders = !flags.noChecks
 			client := httpx.NewClient(4)
 			describe := func(h *hostlist.Host) { h.Kind = string(endpoint.Model) }
-			return flags.hosts(command.Context(), describe, func(kill func(), incarnation int64) http.Handler {
-				return withKill(engines.NewServer(engines.New(incarnation, options), client).Handler(), kill)
+			return flags.serveHosts(command.Context(), describe, func(kill func(), incarnation int64) http.Handler {
+				return withKillHandler(engines.NewServer(engines.New(incarnation, options), client).Handler(), kill)
 			})
 		},
 	}
@@ -307,8 +307,8 @@
 				h.Kind = string(endpoint.Plain)
 				h.Service = name
 			}
-			return flags.hosts(command.Context(), describe, func(kill func(), _ int64) http.Handler {
-				return withKill(services.Handler(ledger, options), kill)
+			return flags.serveHosts(command.Context(), describe, func(kill func(), _ int64) http.Handler {
+				return withKillHandler(services.Handler(ledger, options), kill)
 			})
 		},
 	}
