--- a/pkg/app/control/run.go
+++ b/pkg/app/control/run.go
@@ -97,7 +97,7 @@
 func (a *App) operatorMux() http.Handler {
 	mux := http.NewServeMux()
 	a.operatorAPI.Register(mux)
-	mux.Handle("GET /v1/status", a.operatorAPI.Guarded(a.serveStatus))
+	mux.Handle("GET /v1/status", a.operatorAPI.RequireOperator(a.serveStatus))
 	return mux
 }
 
--- a/pkg/app/entry/loops.go
+++ b/pkg/app/entry/loops.go
@@ -67,7 +67,7 @@
 		c := a.config.Current()
 		a.budget.SetShare(c.Policy().RetryShare())
 		for _, capacity := range c.Capacities() {
-			a.hazard.SetPrior(hazard.Pool{DataCenter: capacity.DataCenter(), Class: capacity.Class()}, capacity.Hazard(), now())
+			a.hazard.SetPrior(hazard.Pool{DataCenter: capacity.DataCenter(), Class: capacity.Class()}, capacity.HazardPerHour(), now())
 		}
 		select {
 		case <-ctx.Done():
--- a/pkg/standin/clouds/cloud.go
+++ b/pkg/standin/clouds/cloud.go
@@ -153,20 +153,20 @@
 		return
 	}
 	c.mu.Lock()
-	id, repeated := c.hostIDByRequest[order.Request]
+	id, repeated := c.hostIDByRequest[order.RequestID]
 	c.mu.Unlock()
 	if !repeated {
 		var ok bool
-		id, ok = c.start(cloud.Order{Request: order.Request, DataCenter: order.DataCenter, Class: order.Class, Reclaimable: order.Reclaimable})
+		id, ok = c.start(cloud.Order{RequestID: order.RequestID, DataCenter: order.DataCenter, Class: order.Class, Reclaimable: order.Reclaimable})
 		if !ok {
 			http.Error(w, "no capacity", http.StatusConflict)
 			return
 		}
 		c.mu.Lock()
-		c.hostIDByRequest[order.Request] = id
+		c.hostIDByRequest[order.RequestID] = id
 		c.mu.Unlock()
 	}
-	httpx.WriteJSON(w, http.StatusOK, cloud.WireStarted{Host: id})
+	httpx.WriteJSON(w, http.StatusOK, cloud.WireOrderResponse{Host: id})
 }
 
 func (c *Cloud) serveStop(w http.ResponseWriter, r *http.Request) {
