--- a/pkg/app/cli/cli_test.go
+++ b/pkg/app/cli/cli_test.go
@@ -101,9 +101,9 @@
 		c := newControlServer(t)
 		c.store.SetFaults(func(call tables.Call) tables.Fault {
 			if call.Number == n {
-				return tables.LoseAnswer{}
+				return tables.LoseResponse{}
 			}
-			return tables.None{}
+			return tables.NoFault{}
 		})
 		code, output := runCommand("--server", c.address, "apply", file, "--seen", "0")
 		c.store.SetFaults(nil)
--- a/pkg/app/load/demo.go
+++ b/pkg/app/load/demo.go
@@ -181,13 +181,13 @@
 func (d *demo) repeatCallWithKey(ctx context.Context) error {
 	c := d.client(d.scenario.plainTeam)
 	body := []byte(`{"loan":4711,"amount":300}`)
-	var answers []services.Answer
+	var answers []services.Response
 	for i := range 2 {
 		got, err := c.Call(ctx, d.entries[i%len(d.entries)], http.MethodPost, d.scenario.plainService, d.scenario.atMostOncePath, "demo-once-1", body)
 		if err != nil {
 			return fmt.Errorf("%s: %w", d.scenario.atMostOnceLabel, err)
 		}
-		var answer services.Answer
+		var answer services.Response
 		if err := json.Unmarshal(got.Body, &answer); err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return err
 	}
-	order := clouds.ReclaimOrder{Host: host, NoticeMS: 1500}
+	order := clouds.ReclaimRequest{Host: host, NoticeMS: 1500}
 	var result clouds.ReclaimResult
 	if err := httpx.CallJSON(ctx, d.http, http.MethodPost, "http://"+d.platform+"/standin/reclaim", order, &result); err != nil || result.Count != 1 {
 		return fmt.Errorf("reclaim of %s: %w, %d hosts", host, err, result.Count)
@@ -247,8 +247,8 @@
 
 // expectedAnswer returns the answer of the stand-in engine in an uninterrupted run.
 func expectedAnswer(model string, p load.Prompt, request string) string {
-	loaded := engines.Loaded{Model: model, Version: "1"}
-	return strings.Join(engines.Answer(loaded, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
+	loaded := engines.ModelRef{Model: model, Version: "1"}
+	return strings.Join(engines.Completion(loaded, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
 }
 
 // findRunningEngine returns the endpoint of the engine that runs a request.
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -256,7 +256,7 @@
 // entry knows that its endpoint is leaving.
 func (s *scaleBenchmark) measureLeavingPropagation(ctx context.Context, point *scalePoint) error {
 	start := time.Now()
-	order := clouds.ReclaimOrder{Host: s.reclaimHost, NoticeMS: 30_000}
+	order := clouds.ReclaimRequest{Host: s.reclaimHost, NoticeMS: 30_000}
 	if err := httpx.CallJSON(ctx, s.http, http.MethodPost, "http://"+s.platform+"/standin/reclaim", order, nil); err != nil {
 		return err
 	}
