--- a/pkg/app/load/demo.go
+++ b/pkg/app/load/demo.go
@@ -213,9 +213,9 @@
 	if err != nil {
 		return err
 	}
-	order := clouds.ReclaimRequest{Host: host, NoticeMS: 1500}
+	reclaimRequest := clouds.ReclaimRequest{Host: host, NoticeMS: 1500}
 	var result clouds.ReclaimResult
-	if err := httpx.CallJSON(ctx, d.http, http.MethodPost, "http://"+d.platform+"/standin/reclaim", order, &result); err != nil || result.Count != 1 {
+	if err := httpx.CallJSON(ctx, d.http, http.MethodPost, "http://"+d.platform+"/standin/reclaim", reclaimRequest, &result); err != nil || result.Count != 1 {
 		return fmt.Errorf("reclaim of %s: %w, %d hosts", host, err, result.Count)
 	}
 	finished, err := c.GetJob(ctx, d.entries[1], j.ID, 45*time.Second)
@@ -247,8 +247,8 @@
 
 // expectedAnswer returns the answer of the stand-in engine in an uninterrupted run.
 func expectedAnswer(model string, p load.Prompt, request string) string {
-	loaded := engines.ModelRef{Model: model, Version: "1"}
-	return strings.Join(engines.Completion(loaded, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
+	modelRef := engines.ModelRef{Model: model, Version: "1"}
+	return strings.Join(engines.Completion(modelRef, string(p.Messages()), load.SeedOf(request), p.MaxTokens), "")
 }
 
 // findRunningEngine returns the endpoint of the engine that runs a request.
--- a/pkg/app/load/scale.go
+++ b/pkg/app/load/scale.go
@@ -256,8 +256,8 @@
 // entry knows that its endpoint is leaving.
 func (s *scaleBenchmark) measureLeavingPropagation(ctx context.Context, point *scalePoint) error {
 	start := time.Now()
-	order := clouds.ReclaimRequest{Host: s.reclaimHost, NoticeMS: 30_000}
-	if err := httpx.CallJSON(ctx, s.http, http.MethodPost, "http://"+s.platform+"/standin/reclaim", order, nil); err != nil {
+	reclaimRequest := clouds.ReclaimRequest{Host: s.reclaimHost, NoticeMS: 30_000}
+	if err := httpx.CallJSON(ctx, s.http, http.MethodPost, "http://"+s.platform+"/standin/reclaim", reclaimRequest, nil); err != nil {
 		return err
 	}
 	err := s.awaitAll(ctx, time.Minute, "all know the leaving endpoint", func(st operatorwire.EntryStatus) bool {
