--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The commands that users, newcomers and CI share. `make help` lists them.
+# Commands for users, contributors and CI. `make help` lists them.
 TOOLS := $(CURDIR)/.bin
 BIN := $(CURDIR)/bin
 export BIN
@@ -11,32 +11,32 @@
 build: ## Build all binaries into bin/
 	go build -o $(BIN)/ ./cmd/...
 
-demo: build ## Show the promises on a fleet of processes (FLEET=authority|head-office, SIZE=small|full)
+demo: build ## Demonstrate the guarantees on a fleet of local processes (FLEET=authority|head-office, SIZE=small|full)
 	@FLEET="$(FLEET)" SIZE="$(SIZE)" scripts/demo.sh
 
-demo-failures: build ## Kill, cut, freeze and reclaim under load, and check every answer
+demo-failures: build ## Inject process, host and store failures under load and check every answer
 	@FLEET="$(FLEET)" scripts/failures.sh
 
-bench-hop: build ## Measure what one entry hop adds
+bench-hop: build ## Measure the latency and CPU cost of one entry hop
 	scripts/bench-hop.sh
 	TOKEN_GAP=1ms WORKERS=32 OUT=docs/measurements/hop-1ms.md scripts/bench-hop.sh
 
-bench-wave: build ## Reclaim two data centres under load, policy as shipped against naive
+bench-wave: build ## Reclaim two data centres under load, default policy versus naive
 	scripts/bench-wave.sh
 
-test: ## Run all tests anew with the race detector but those of KNOWN-RED.txt, which are printed
+test: ## Run all tests uncached with the race detector; skip and print those in KNOWN-RED.txt
 	skip="$$(scripts/known-red.sh)" && go test -race -count=1 -skip "$$skip" ./...
 
-soak: build ## Run processes under faults drawn from seeds (SEEDS=50 LENGTH=15s FIRST=1; fresh seeds without FIRST)
+soak: build ## Run processes under random faults (SEEDS=50 LENGTH=15s FIRST=1; without FIRST the seeds are new on each run)
 	$(BIN)/ironhollow-soak --program $(BIN)/ironhollow-node --seeds $(or $(SEEDS),50) --length $(or $(LENGTH),15s) $(if $(FIRST),--seed $(FIRST))
 
 bench-scale: build ## Measure fleets of growing size (SIZES="3 9 30 100")
 	scripts/bench-scale.sh
 
-bench-policy: ## Measure the decisions in virtual time, with ablations (QUICK=1: three policies, minutes)
+bench-policy: ## Benchmark routing and capacity policies in virtual time, with ablations (QUICK=1: three policies, takes minutes)
 	POLICY_QUICK="$(QUICK)" POLICY_OUT=$(CURDIR)/docs/measurements go test -tags policybench -run TestReport -timeout 60m -v ./pkg/policybench
 
-docs: build ## Write the settings pages from the schemas
+docs: build ## Generate the settings pages from the schemas
 	$(BIN)/ironhollow-entry --print-defaults > docs/operators/settings-entry.ini
 	$(BIN)/ironhollow-control --print-defaults > docs/operators/settings-control.ini
 	$(BIN)/ironhollow defaults > docs/operators/configuration.ini
@@ -45,11 +45,11 @@
 	cd tools && GOBIN=$(TOOLS) go install github.com/google/wire/cmd/wire mvdan.cc/gofumpt github.com/mgechev/revive github.com/atombender/go-jsonschema
 	cd tools/gopls && GOBIN=$(TOOLS) go install golang.org/x/tools/gopls
 
-generate: tools ## Generate code from the schemas, and the wiring
+generate: tools ## Generate code from the schemas, and the dependency injection code
 	schema/generate.sh $(TOOLS)
 	$(TOOLS)/wire ./pkg/app/entry ./pkg/app/control ./pkg/app/node
 
-check: tools ## Formatter, linter, vet, generated code, terms of comments, go.mod
+check: tools ## Check formatting, lint, vet, generated code, terms in comments, and go.mod
 	@test -z "$$($(TOOLS)/gofumpt -l cmd pkg platform schema scripts)" || { echo "not formatted:"; $(TOOLS)/gofumpt -l cmd pkg platform schema scripts; exit 1; }
 	$(TOOLS)/revive -config revive.toml -set_exit_status ./...
 	go vet ./...
@@ -59,5 +59,5 @@
 	cd tools && go mod tidy -diff
 	cd tools/gopls && go mod tidy -diff
 
-clean: ## Remove what was built
+clean: ## Remove built binaries and tools
 	rm -rf $(BIN) $(TOOLS)
--- a/cmd/ironhollow-control/main.go
+++ b/cmd/ironhollow-control/main.go
@@ -1,4 +1,4 @@
-// Command ironhollow-control runs one control process; see pkg/app/control.
+// Command ironhollow-control runs a control process; see pkg/app/control.
 package main
 
 import (
--- a/cmd/ironhollow-entry/main.go
+++ b/cmd/ironhollow-entry/main.go
@@ -1,4 +1,4 @@
-// Command ironhollow-entry runs one entry process; see pkg/app/entry.
+// Command ironhollow-entry runs an entry process; see pkg/app/entry.
 package main
 
 import (
--- a/cmd/ironhollow-load/main.go
+++ b/cmd/ironhollow-load/main.go
@@ -1,4 +1,4 @@
-// Command ironhollow-load hands over to pkg/app/load.
+// Command ironhollow-load generates load and runs measurements; see pkg/app/load.
 package main
 
 import (
--- a/cmd/ironhollow-node/main.go
+++ b/cmd/ironhollow-node/main.go
@@ -1,4 +1,4 @@
-// Command ironhollow-node runs the one process of a host on the users'
+// Command ironhollow-node runs the single process of a host on the users'
 // platform; see pkg/app/node and platform.
 package main
 
--- a/cmd/ironhollow-soak/main.go
+++ b/cmd/ironhollow-soak/main.go
@@ -1,5 +1,5 @@
-// Command ironhollow-soak runs ironhollow-node processes under faults drawn from
-// seeds and checks their promises; see pkg/soak.
+// Command ironhollow-soak runs ironhollow-node processes under seeded random faults
+// and checks their guarantees; see pkg/soak.
 package main
 
 import (
--- a/cmd/ironhollow-standin/main.go
+++ b/cmd/ironhollow-standin/main.go
@@ -1,4 +1,5 @@
-// Command ironhollow-standin hands over to pkg/app/standin.
+// Command ironhollow-standin runs simulated platforms, engines and services; see
+// pkg/app/standin.
 package main
 
 import (
--- a/cmd/ironhollow/main.go
+++ b/cmd/ironhollow/main.go
@@ -1,4 +1,4 @@
-// Command ironhollow hands over to pkg/app/cli.
+// Command ironhollow is the operators' command-line client; see pkg/app/cli.
 package main
 
 import (
--- a/schema/generate.sh
+++ b/schema/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Generates the Go structs of all schemas. Usage: schema/generate.sh TOOL_DIR
+# Generates Go structs from all schemas. Usage: schema/generate.sh TOOL_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools=$1
--- a/schema/schema.go
+++ b/schema/schema.go
@@ -1,10 +1,10 @@
-// Package schema carries the JSON schemas of settings and messages, so that a
-// binary checks its files against the same text its structs were generated from.
+// Package schema embeds the JSON schemas of the configuration and the settings, so
+// that a binary validates its files against the schemas its structs were generated from.
 package schema
 
-import _ "embed" // The schemas are part of the binaries.
+import _ "embed" // For go:embed.
 
-// Fleet is the schema of the configuration operators apply.
+// Fleet is the schema of the configuration that operators apply.
 //
 //go:embed fleet.json
 var Fleet []byte
--- a/scripts/bench-hop.sh
+++ b/scripts/bench-hop.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures what one entry hop adds over calling the engine directly.
+# Measures the overhead of one entry hop compared with direct calls to the engine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/fleet.sh
--- a/scripts/bench-scale.sh
+++ b/scripts/bench-scale.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures fleets of plain processes of growing size on the loopback.
-# SIZES is a list of entry hosts; each also runs a control process.
+# Measures fleets of increasing size, run as local processes on the loopback interface.
+# SIZES lists the numbers of entry hosts; each host also runs a control process.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 sizes=${SIZES:-3 9 30 100}
@@ -9,7 +9,8 @@
 mkdir -p docs/measurements
 [ -n "${APPEND:-}" ] || rm -f "$out"
 
-# measure runs in a process of its own, so that each size cleans up after itself.
+# measure SIZE measures one fleet. It runs in a subshell so that its exit trap stops the
+# processes of that size.
 measure() (
   . scripts/fleet.sh
   trap stop_all EXIT
@@ -37,7 +38,7 @@
     SHARDS=$((hosts < 64 ? 16 : 64))
     write_entry "$i" "dc$((1 + (i - 1) % centres))" "${ports[$at]}" "${ports[$((at + 1))]}" "${ports[$((at + 2))]}"
     write_control "$i" "dc$((1 + (i - 1) % centres))" "${ports[$((at + 3))]}" "${ports[$((at + 4))]}" "${ports[$((at + 1))]}"
-    # The product's own timing, not the demonstration's.
+    # Use the default intervals instead of the shorter ones of write_control.
     sed -i -e '/^lease\|^renew\|^watch\|^hosts\|^reports/d' "$work/control-$i.ini"
     for file in "$work/entry-$i.ini" "$work/control-$i.ini"; do
       printf '[tls]\npeer-cert = %s\npeer-key = %s\npeer-ca = %s\n' "$work/keys/peer.pem" "$work/keys/peer-key.pem" "$work/keys/ca.pem" >>"$file"
--- a/scripts/bench-wave.sh
+++ b/scripts/bench-wave.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Reclaims two data centres in turn under the same load, with the policy as
-# shipped and with the naive one, and prints what each computed again.
+# Reclaims two data centres in turn under the same load, with the default policy
+# and with the naive one, and prints how many tokens each recomputed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=docs/measurements/wave.md
@@ -36,8 +36,8 @@
 {
   echo "# Reclaims on running processes"
   echo
-  echo "Made by \`make bench-wave\`: 4 hosts, 16 engines, two data centres reclaimed in turn with 1 s notice, the same arrivals"
-  echo "(seed 1) with each policy. Tokens computed again are as the entries reckon them when a stream is resumed."
+  echo "Made by \`make bench-wave\`: 4 hosts, 16 engines, two data centres reclaimed in turn with 1 s notice, the same requests"
+  echo "(seed 1) with each policy. Tokens computed again are the entries' estimate when a stream is resumed."
   echo
   echo "| policy | tokens | computed again | share | streams moved | attempts broken off | first token p50 | p99 |"
   echo "|---|---|---|---|---|---|---|---|"
--- a/scripts/check-generated.sh
+++ b/scripts/check-generated.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Fails where committed generated code differs from what the generators give.
+# Fails if committed generated code differs from the output of the generators.
+# Usage: scripts/check-generated.sh TOOL_DIR
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools=$1
--- a/scripts/check-prose.sh
+++ b/scripts/check-prose.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# Fails where a comment of the packages in prose-packages.txt uses a term of prose.txt, and
-# prints the term to use instead.
+# Fails if a comment in a package listed in prose-packages.txt uses a term listed in
+# prose.txt, and prints the replacement.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 found=0
 mapfile -t packages < <(grep -v '^#' scripts/prose-packages.txt)
 for package in "${packages[@]}"; do
-  [[ -d $package ]] || { echo "scripts/prose-packages.txt: $package is not there" >&2; exit 1; }
+  [[ -d $package ]] || { echo "scripts/prose-packages.txt: no such directory: $package" >&2; exit 1; }
 done
 while IFS=$'\t' read -r term instead; do
   [[ -z $term || $term == \#* ]] && continue
-  # Generated files and quoted wire names do not count.
+  # Generated files and quoted wire names are ignored.
   if grep -nHE --include='*.go' -r "(^|[[:space:]])//.*(^|[^[:alnum:]_\"])($term)([^[:alnum:]_\"]|$)" "${packages[@]}" | grep -v '_gen\.go:'; then
     echo "  use: $instead" >&2
     found=1
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Shows ironhollow's promises on a fleet of plain processes.
+# Demonstrates ironhollow's guarantees on a fleet of local processes.
 # FLEET=authority|head-office, SIZE=small|full.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -30,7 +30,7 @@
   load=$!
   pids+=("$load")
   sleep 2
-  # Three at a time, one in each of three data centres.
+  # Replace three hosts at a time, each in a different data centre.
   for first in 1 4 7; do
     for i in $first $((first + 1)) $((first + 2)); do (stop_host "$i") & done
     wait $(jobs -p | grep -v "^$load$")
@@ -43,5 +43,5 @@
     exit 1
   fi
   cat "$work/load.out"
-  echo "All $hosts hosts were replaced; no request was cut off."
+  echo "All $hosts hosts were replaced; no request was interrupted."
 fi
--- a/scripts/failures.sh
+++ b/scripts/failures.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Brings about the failures of the brief on a fleet of plain processes under
-# load, and checks every answer and the count of every call.
+# Injects the failures named in the requirements into a fleet of local processes under
+# load, and checks every answer and how often every call ran.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/fleet.sh
@@ -23,7 +23,7 @@
 say "entry 1 is killed (SIGKILL)"
 kill -KILL "${pid_of[entry-1]}"
 sleep 6
-say "data centre ${centres[0]} is reclaimed with 2 s notice; entry 2 is killed in the middle of it"
+say "data centre ${centres[0]} is reclaimed with 2 s notice; entry 2 is killed during the reclaim"
 post reclaim "{\"data_center\":\"${centres[0]}\",\"notice_ms\":2000}"
 sleep 1
 kill -KILL "${pid_of[entry-2]}"
@@ -33,7 +33,7 @@
 sleep 5
 post store '{"kind":"none"}'
 sleep 4
-say "control 3 is stopped (SIGSTOP) for 7 s, past its leases; hosts 1 and 2 start again"
+say "control 3 is stopped (SIGSTOP) for 7 s, longer than its leases; hosts 1 and 2 are restarted"
 kill -STOP "${pid_of[control-3]}"
 kill -KILL "${pid_of[control-1]}" "${pid_of[control-2]}"
 start_host 1
@@ -45,7 +45,7 @@
 post reclaim "{\"data_center\":\"${centres[1]}\",\"notice_ms\":2000}"
 sleep 6
 post store '{"kind":"none"}'
-say "two operators race"
+say "two operators apply conflicting revisions at the same time"
 for operator in 1 2; do
   sed "s/^burst = .*/burst = 70$operator/" "examples/$fleet.ini" >"$work/operator-$operator.ini"
   ("$bin/ironhollow" --server "$servers" apply "$work/operator-$operator.ini" --seen 1 >"$work/race-$operator" 2>&1 || true) &
@@ -60,4 +60,4 @@
   tail -q -n 4 "$work"/entry-*.log >&2
   exit "$status"
 fi
-echo "Every answer was whole and every call was told the truth."
+echo "Every answer was complete and every call got a correct outcome."
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,19 +1,20 @@
-# Functions that start a fleet of plain processes on the loopback; sourced by
-# the demonstration and the benchmarks. Every process is ended by its id.
+# Functions that start a fleet of local processes on the loopback interface; sourced by
+# the demonstrations and the benchmarks. Processes are only ever killed by process id.
 
 bin=${BIN:-bin}
 work=$(mktemp -d)
 pids=()
 declare -A pid_of
 
-# stop_all ends what was started, and nothing else.
+# stop_all kills only the processes that start has started, and removes the work
+# directory unless KEEP is set.
 stop_all() {
   local pid
   for pid in "${pids[@]}"; do kill -KILL "$pid" 2>/dev/null || true; done
   [ -n "${KEEP:-}" ] || rm -rf "$work"
 }
 
-# start NAME COMMAND... runs a process with its output in a file.
+# start NAME COMMAND... runs a process in the background, with its output in $work/NAME.log.
 start() {
   local name=$1
   shift
@@ -23,18 +24,18 @@
   disown $!
 }
 
-# wait_for URL waits until something answers there.
+# wait_for ADDRESS waits about 10 s at most until ADDRESS accepts TCP connections.
 wait_for() {
   local i
   for i in $(seq 200); do
     if (exec 3<>"/dev/tcp/${1%:*}/${1#*:}") 2>/dev/null; then return 0; fi
     sleep 0.05
   done
-  echo "nothing answers at $1" >&2
+  echo "$1 does not accept connections" >&2
   return 1
 }
 
-# write_entry N DATA_CENTRE CALLER PEER ADMIN writes an entry's settings.
+# write_entry N DATA_CENTRE CALLER PEER ADMIN writes the settings of an entry process.
 write_entry() {
   cat >"$work/entry-$1.ini" <<INI
 [node]
@@ -52,7 +53,7 @@
 INI
 }
 
-# write_control N DATA_CENTRE OPERATOR ADMIN PEER writes a control's settings.
+# write_control N DATA_CENTRE OPERATOR ADMIN PEER writes the settings of a control process. Its intervals are shorter than the defaults.
 write_control() {
   cat >"$work/control-$1.ini" <<INI
 [node]
@@ -75,8 +76,8 @@
 INI
 }
 
-# start_fleet starts stand-ins and hosts; it needs fleet, centres, plain, hosts,
-# engines and plains, and sets platform, entries, admins and servers.
+# start_fleet starts the simulated platform, engines and services, and the hosts. It reads
+# centres, plain, hosts, engines and plains, and sets platform, entries, admins and servers.
 start_fleet() {
   mapfile -t ports < <("$bin/ironhollow-standin" ports --count $((1 + 5 * hosts)))
   platform=127.0.0.1:${ports[0]}
@@ -109,7 +110,8 @@
   wait_for "${servers%%,*}"
 }
 
-# stop_host and start_host are a planned stop and a start of one host.
+# stop_host N stops host N gracefully and waits until its entry process has exited;
+# start_host N starts both processes of host N.
 stop_host() {
   kill -TERM "${pid_of[entry-$1]}" "${pid_of[control-$1]}"
   while kill -0 "${pid_of[entry-$1]}" 2>/dev/null; do sleep 0.05; done
@@ -119,7 +121,7 @@
   start "control-$1" "$bin/ironhollow-control" --settings "$work/control-$1.ini"
 }
 
-# names_of sets the words of one of the users' fleets.
+# names_of FLEET sets the data centres and the plain service of an example fleet.
 names_of() {
   case $1 in
     authority) centres=(north east south west) plain=ledger ;;
--- a/scripts/known_red_test.go
+++ b/scripts/known_red_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The list of known failures gives a pattern of just the tests that it names, and a line
-// that is not of the form, or names what is not there, fails.
+// TestKnownRed checks that the pattern matches only the listed tests, and that a malformed
+// line, a test that does not exist in the named package, or too many lines are an error.
 func TestKnownRed(t *testing.T) {
 	const good = "TestKnownRed | scripts | cause | command | seen | 1"
 	for _, c := range []struct {
