--- a/pkg/policybench/cloud.go
+++ b/pkg/policybench/cloud.go
@@ -14,42 +14,45 @@
 	"ironhollow/pkg/standin/engines"
 )
 
-// Wave is one data centre's reclaim.
-type Wave struct {
-	At     time.Duration
-	Centre int
-	Notice time.Duration
-	// Refuses is how long new hosts are refused there afterwards.
-	Refuses time.Duration
+// Reclaim is the reclaim of all reclaimable hosts of one data centre, given by its index in
+// Fleet.DataCenters.
+type Reclaim struct {
+	At         time.Duration
+	DataCenter int
+	Notice     time.Duration
+	// RefusalTime is how long the data centre refuses new reclaimable hosts after the
+	// reclaim.
+	RefusalTime time.Duration
 }
 
-// Times of a host's start.
+// hostStartTime is the time from buying a host until it serves; noticeDelay is the time
+// until the entries receive a reclaim notice.
 const (
-	startTime = 40 * time.Second
-	newsLag   = 300 * time.Millisecond
+	hostStartTime = 40 * time.Second
+	noticeDelay   = 300 * time.Millisecond
 )
 
-// host is one engine bought.
+// host is one started host with its engine.
 type host struct {
-	info   endpoint.Info
-	engine *engines.Engine
-	offer  capacity.Offer
-	bought time.Time
-	ended  time.Time
+	info        endpoint.Info
+	engine      *engines.Engine
+	offer       capacity.Offer
+	startedAt   time.Time
+	reclaimedAt time.Time
 }
 
-// fakeCloud buys and reclaims engines and keeps the account.
+// fakeCloud starts and reclaims hosts and tracks their cost.
 type fakeCloud struct {
 	run *run
 
-	mu      sync.Mutex
-	hosts   []*host
-	refused map[string]time.Time
-	nextID  int
+	mu           sync.Mutex
+	hosts        []*host
+	refusedUntil map[string]time.Time
+	nextID       int
 }
 
-// engineOptions are of a server that gives about 184 tokens a second within
-// the latency target, as the users' plan has it on average.
+// engineOptions returns the options of an engine that generates about 184 tokens per second
+// within the latency target, the average in the users' capacity plan.
 func engineOptions() engines.Options {
 	o := engines.DefaultOptions()
 	o.Slots = 6
@@ -62,20 +65,22 @@
 	return o
 }
 
-// RatePerHost is what such a host gives, in tokens a second.
-const RatePerHost = 6 / 0.0256
+// TokenRatePerHost is the number of tokens per second of such a host: 6 slots with 25.6 ms
+// between tokens.
+const TokenRatePerHost = 6 / 0.0256
 
-// buy starts a host; it serves after wait.
-func (c *fakeCloud) buy(offer capacity.Offer, wait time.Duration) bool {
+// startHost starts a host that serves after startDelay. It returns false if the data centre
+// refuses the host.
+func (c *fakeCloud) startHost(offer capacity.Offer, startDelay time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if offer.Reclaimable && now.Before(c.refused[offer.DataCenter]) {
+	if offer.Reclaimable && now.Before(c.refusedUntil[offer.DataCenter]) {
 		return false
 	}
 	c.nextID++
 	h := &host{
-		engine: engines.New(1, engineOptions()), offer: offer, bought: now,
+		engine: engines.New(1, engineOptions()), offer: offer, startedAt: now,
 		info: endpoint.Info{
 			ID: fmt.Sprintf("e%03d", c.nextID), Incarnation: 1, State: endpoint.Live, Counter: 1, DataCenter: offer.DataCenter,
 			Class: offer.Class, Kind: endpoint.Model, Model: "m", Version: "1", Address: fmt.Sprintf("a%03d", c.nextID),
@@ -85,64 +90,65 @@
 	c.hosts = append(c.hosts, h)
 	c.run.direct.Add(h.info.Address, h.engine)
 	_ = c.run.direct.Order(context.Background(), h.info.Address, engine.Order{Epoch: 1, Model: "m", Version: "1"})
-	time.AfterFunc(wait, func() { c.run.tell(h.info) })
+	time.AfterFunc(startDelay, func() { c.run.announce(h.info) })
 	return true
 }
 
-// reclaim gives notice to all reclaimable hosts of a data centre.
-func (c *fakeCloud) reclaim(w Wave) {
+// reclaim gives notice to all reclaimable hosts of a data centre and kills them when the
+// notice is over.
+func (c *fakeCloud) reclaim(reclaim Reclaim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	centre := c.run.fleet.Centres[w.Centre]
+	dataCenter := c.run.fleet.DataCenters[reclaim.DataCenter]
 	now := time.Now()
-	c.refused[centre] = now.Add(w.Notice + w.Refuses)
+	c.refusedUntil[dataCenter] = now.Add(reclaim.Notice + reclaim.RefusalTime)
 	for _, h := range c.hosts {
-		if h.info.DataCenter != centre || !h.info.Reclaimable || !h.ended.IsZero() {
+		if h.info.DataCenter != dataCenter || !h.info.Reclaimable || !h.reclaimedAt.IsZero() {
 			continue
 		}
-		h.ended = now.Add(w.Notice)
+		h.reclaimedAt = now.Add(reclaim.Notice)
 		leaving := h.info
 		leaving.State = endpoint.Leaving
-		leaving.LeaveBy = h.ended
-		time.AfterFunc(newsLag, func() { c.run.tell(leaving) })
-		time.AfterFunc(w.Notice, func() { c.run.direct.Kill(h.info.Address) })
+		leaving.LeaveBy = h.reclaimedAt
+		time.AfterFunc(noticeDelay, func() { c.run.announce(leaving) })
+		time.AfterFunc(reclaim.Notice, func() { c.run.direct.Kill(h.info.Address) })
 	}
 }
 
-// living counts the hosts of each offer that are not reclaimed.
-func (c *fakeCloud) living() []capacity.HostCount {
+// runningHosts returns the hosts that have had no reclaim notice, with their offers.
+func (c *fakeCloud) runningHosts() []capacity.HostCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []capacity.HostCount
 	for _, h := range c.hosts {
-		if h.ended.IsZero() {
+		if h.reclaimedAt.IsZero() {
 			list = append(list, capacity.HostCount{Offer: h.offer, Hosts: 1})
 		}
 	}
 	return list
 }
 
-// cost is the price of all hosts until now.
-func (c *fakeCloud) cost() float64 {
+// totalCost returns the cost of all hosts up to now.
+func (c *fakeCloud) totalCost() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	total := 0.0
 	for _, h := range c.hosts {
 		until := time.Now()
-		if !h.ended.IsZero() && h.ended.Before(until) {
-			until = h.ended
+		if !h.reclaimedAt.IsZero() && h.reclaimedAt.Before(until) {
+			until = h.reclaimedAt
 		}
-		total += h.offer.HourlyPrice * until.Sub(h.bought).Hours()
+		total += h.offer.HourlyPrice * until.Sub(h.startedAt).Hours()
 	}
 	return total
 }
 
-// count puts the hosts there are into the offers.
-func (c *fakeCloud) count(offers []capacity.Offer) {
-	living := c.living()
+// updateRunning sets the number of running hosts of each offer.
+func (c *fakeCloud) updateRunning(offers []capacity.Offer) {
+	running := c.runningHosts()
 	for i := range offers {
 		offers[i].Running = 0
-		for _, n := range living {
+		for _, n := range running {
 			if n.Offer.DataCenter == offers[i].DataCenter && n.Offer.Reclaimable == offers[i].Reclaimable {
 				offers[i].Running += n.Hosts
 			}
@@ -150,31 +156,32 @@
 	}
 }
 
-// learn puts the hazard that one entry has learned into the offers.
-func (c *fakeCloud) learn(offers []capacity.Offer, now time.Time) {
+// updateHazard sets the hazard of each reclaimable offer to the estimate of the first entry.
+func (c *fakeCloud) updateHazard(offers []capacity.Offer, now time.Time) {
 	for i := range offers {
 		if offers[i].Reclaimable {
-			place := hazard.Pool{DataCenter: offers[i].DataCenter, Class: offers[i].Class}
-			offers[i].HazardPerHour = c.run.entries[0].hazard.Rate(place, now)
+			pool := hazard.Pool{DataCenter: offers[i].DataCenter, Class: offers[i].Class}
+			offers[i].HazardPerHour = c.run.entries[0].hazard.Rate(pool, now)
 		}
 	}
 }
 
-// keepUp replaces what was reclaimed, by the plan, until the run ends.
-func (c *fakeCloud) keepUp(p Policy, offers []capacity.Offer, demand capacity.Demand) {
+// replaceReclaimed replaces reclaimed hosts according to the capacity plan until the run
+// ends.
+func (c *fakeCloud) replaceReclaimed(p Policy, offers []capacity.Offer, demand capacity.Demand) {
 	random := rand.New(rand.NewPCG(c.run.seed, 5))
-	stepper := capacity.NewReconciler()
+	reconciler := capacity.NewReconciler()
 	const period = 10 * time.Second
-	for c.run.live() {
+	for c.run.active() {
 		time.Sleep(period)
 		now := time.Now()
-		stepper.SetRefusedUntil(offers)
-		c.count(offers)
-		c.learn(offers, now)
-		for _, change := range stepper.Reconcile(p.plan(offers, demand, now), c.living(), now) {
+		reconciler.SetRefusedUntil(offers)
+		c.updateRunning(offers)
+		c.updateHazard(offers, now)
+		for _, change := range reconciler.Reconcile(p.plan(offers, demand, now), c.runningHosts(), now) {
 			for range change.Hosts {
-				if !c.buy(change.Offer, startTime) {
-					stepper.RecordRefusal(change.Offer, now, random)
+				if !c.startHost(change.Offer, hostStartTime) {
+					reconciler.RecordRefusal(change.Offer, now, random)
 					break
 				}
 			}
--- a/pkg/policybench/report_test.go
+++ b/pkg/policybench/report_test.go
@@ -22,94 +22,94 @@
 	"ironhollow/pkg/route"
 )
 
-// The seeds that are reported; none of them was used to choose a parameter.
+// The reported seeds differ from those on which parameters were chosen.
 const (
 	firstSeed = 101
 	seeds     = 10
-	lasts     = 6 * time.Minute
+	duration  = 6 * time.Minute
 )
 
 var margins = []float64{0.6, 0.75, 0.9, 1.05, 1.2, 1.4, 1.65, 2, 2.5, 3}
 
-func whole(name string, change func(*policybench.Policy)) policybench.Policy {
-	p := policybench.Policy{Name: name, Strategy: route.Expected, Affinity: true, Risk: true, Move: true, Gate: true}
+func fullPolicy(name string, change func(*policybench.Policy)) policybench.Policy {
+	p := policybench.Policy{Name: name, Strategy: route.Expected, PrefixAffinity: true, ReclaimRisk: true, StreamMigration: true, ConcurrencyLimits: true}
 	change(&p)
 	return p
 }
 
 var policies = []policybench.Policy{
-	whole("whole", func(*policybench.Policy) {}),
-	whole("without affinity", func(p *policybench.Policy) { p.Affinity = false }),
-	whole("without risk", func(p *policybench.Policy) { p.Risk = false }),
-	whole("without correction of reports", func(p *policybench.Policy) { p.Strategy = route.ExpectedStale }),
-	whole("without moves", func(p *policybench.Policy) { p.Move = false }),
-	whole("without room kept for callers", func(p *policybench.Policy) { p.Gate = false }),
-	whole("without capacity plan", func(p *policybench.Policy) { p.Capacity = policybench.SpreadEvenly }),
+	fullPolicy("whole", func(*policybench.Policy) {}),
+	fullPolicy("without affinity", func(p *policybench.Policy) { p.PrefixAffinity = false }),
+	fullPolicy("without risk", func(p *policybench.Policy) { p.ReclaimRisk = false }),
+	fullPolicy("without correction of reports", func(p *policybench.Policy) { p.Strategy = route.ExpectedStale }),
+	fullPolicy("without moves", func(p *policybench.Policy) { p.StreamMigration = false }),
+	fullPolicy("without room kept for callers", func(p *policybench.Policy) { p.ConcurrencyLimits = false }),
+	fullPolicy("without capacity plan", func(p *policybench.Policy) { p.Capacity = policybench.SpreadEvenly }),
 	{Name: "naive: round robin, even spread", Strategy: route.RoundRobin, Capacity: policybench.SpreadEvenly},
 	{Name: "naive: two choices, even spread", Strategy: route.PowerOfTwo, Capacity: policybench.SpreadEvenly},
 	{Name: "naive: least load, even spread", Strategy: route.LeastReported, Capacity: policybench.SpreadEvenly},
 	{Name: "naive: two choices, cheapest", Strategy: route.PowerOfTwo, Capacity: policybench.CheapestFirst},
 }
 
-func waves(notice time.Duration) []policybench.Wave {
-	return []policybench.Wave{
-		{At: 100 * time.Second, Centre: 0, Notice: notice, Refuses: 90 * time.Second},
-		{At: 210 * time.Second, Centre: 1, Notice: notice, Refuses: 90 * time.Second},
+func reclaims(notice time.Duration) []policybench.Reclaim {
+	return []policybench.Reclaim{
+		{At: 100 * time.Second, DataCenter: 0, Notice: notice, RefusalTime: 90 * time.Second},
+		{At: 210 * time.Second, DataCenter: 1, Notice: notice, RefusalTime: 90 * time.Second},
 	}
 }
 
-// slots bounds the runs at once: each has the bubbles of many goroutines.
-var slots = make(chan struct{}, 8)
+// runSlots limits concurrent runs, because each run has many goroutines in its bubble.
+var runSlots = make(chan struct{}, 8)
 
-// runSeeds runs a policy with every reported seed.
+// runSeeds runs a policy once with each reported seed.
 func runSeeds(t *testing.T, f policybench.Fleet, p policybench.Policy, s policybench.Scenario) []policybench.Outcome {
 	outcomes := make([]policybench.Outcome, seeds)
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range seeds {
-		wait.Go(func() {
-			slots <- struct{}{}
-			defer func() { <-slots }()
+		wg.Go(func() {
+			runSlots <- struct{}{}
+			defer func() { <-runSlots }()
 			synctest.Test(t, func(*testing.T) {
 				outcomes[i] = policybench.Run(f, p, s, uint64(firstSeed+i))
 				time.Sleep(time.Hour)
 			})
 		})
 	}
-	wait.Wait()
+	wg.Wait()
 	return outcomes
 }
 
-func mean(outcomes []policybench.Outcome, of func(policybench.Outcome) float64) measure.Interval {
+func mean(outcomes []policybench.Outcome, value func(policybench.Outcome) float64) measure.Interval {
 	var values []float64
 	for _, o := range outcomes {
-		values = append(values, of(o))
+		values = append(values, value(o))
 	}
 	return measure.MeanInterval(values)
 }
 
-func firstP95(o policybench.Outcome) float64 { return o.FirstP95.Seconds() }
+func firstTokenP95(o policybench.Outcome) float64 { return o.FirstTokenP95.Seconds() }
 
-// atTarget returns the runs at the fewest hosts at which the target is met on
-// the mean of the seeds; ok is false if it is met at none.
-func atTarget(t *testing.T, f policybench.Fleet, p policybench.Policy, s policybench.Scenario) ([]policybench.Outcome, float64, bool) {
-	var last []policybench.Outcome
+// runAtTarget returns the runs with the smallest capacity margin at which the mean over the
+// seeds meets the latency targets. The last result is false if no margin meets them.
+func runAtTarget(t *testing.T, f policybench.Fleet, p policybench.Policy, s policybench.Scenario) ([]policybench.Outcome, float64, bool) {
+	var outcomes []policybench.Outcome
 	for _, margin := range margins {
-		s.Margin = margin
-		last = runSeeds(t, f, p, s)
-		gap := mean(last, func(o policybench.Outcome) float64 { return o.GapP95.Seconds() })
-		if mean(last, firstP95).Mean <= f.Target.Seconds() && gap.Mean <= f.Gap.Seconds() {
-			return last, margin, true
+		s.CapacityMargin = margin
+		outcomes = runSeeds(t, f, p, s)
+		gap := mean(outcomes, func(o policybench.Outcome) float64 { return o.TokenGapP95.Seconds() })
+		if mean(outcomes, firstTokenP95).Mean <= f.FirstTokenTarget.Seconds() && gap.Mean <= f.TokenGapTarget.Seconds() {
+			return outcomes, margin, true
 		}
 	}
-	return last, margins[len(margins)-1], false
+	return outcomes, margins[len(margins)-1], false
 }
 
-// bound is the cost of a clairvoyant who buys the cheapest host only for the
-// seconds in which it generates, at full batch, and is never reclaimed.
-func bound(f policybench.Fleet) float64 {
+// costLowerBound returns the cost of a clairvoyant policy that pays for the cheapest host
+// only for the seconds in which it generates, at full batch, and is never reclaimed.
+func costLowerBound(f policybench.Fleet) float64 {
 	counter, waiting := f.TokensPerSecond()
 	perRequest := (counter + waiting) / f.Rate
-	return 1000 * perRequest / policybench.RatePerHost / 3600 * f.Prices[0]
+	return 1000 * perRequest / policybench.TokenRatePerHost / 3600 * f.ReclaimablePrices[0]
 }
 
 func TestReport(t *testing.T) {
@@ -118,11 +118,11 @@
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
 			var b strings.Builder
-			fmt.Fprintf(&b, "# Decisions measured: %s\n\nMade by `make bench-policy`. Seeds %d to %d; parameters were chosen on seeds 1 to 3 alone. Each figure is a\n"+
+			fmt.Fprintf(&b, "# Policy benchmark: %s\n\nGenerated by `make bench-policy`. Seeds %d to %d; parameters were chosen on seeds 1 to 3 only. Each figure is a\n"+
 				"mean over the seeds with the half width of its 95%% interval.\n\n", f.Name, firstSeed, firstSeed+seeds-1)
 			name := "policy-" + f.Name + ".md"
 			if os.Getenv("POLICY_QUICK") != "" {
-				// The whole, the same without the capacity plan, and the best naive.
+				// The full policy, the same without the capacity plan, and the best naive one.
 				name = "policy-" + f.Name + "-quick.md"
 				reportTarget(t, &b, f, []policybench.Policy{policies[0], policies[6], policies[8]})
 			} else {
@@ -136,14 +136,14 @@
 	}
 }
 
-// reportTarget is the table at the latency target, with waves.
+// reportTarget writes the table of the policies at the latency target, with reclaims.
 func reportTarget(t *testing.T, b *strings.Builder, f policybench.Fleet, policies []policybench.Policy) {
-	s := policybench.Scenario{Load: 1, ReportLag: 2 * time.Second, Lasts: lasts, Waves: waves(5 * time.Second)}
-	fmt.Fprintf(b, "## At the latency target, two data centres reclaimed in turn with 5 s notice\n\nHosts are added, by each policy's own plan, until the first token comes within %v for 95 in 100\n"+
-		"callers who wait, on the mean of the seeds. Clairvoyant bound of the cost: %.3f.\n\n", f.Target, bound(f))
+	s := policybench.Scenario{LoadFactor: 1, ReportLag: 2 * time.Second, Duration: duration, Reclaims: reclaims(5 * time.Second)}
+	fmt.Fprintf(b, "## At the latency target, two data centres reclaimed in turn with 5 s notice\n\nHosts are added, by each policy's own plan, until the first token arrives within %v for 95 in 100\n"+
+		"interactive requests, on the mean of the seeds. Lower bound of the cost, with perfect foresight: %.3f.\n\n", f.FirstTokenTarget, costLowerBound(f))
 	b.WriteString("| policy | hosts | cost per 1,000 requests | tokens computed again | first token p50 | p95 | p99 | gap p95 | failed | promises broken | sent/accepted |\n|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, p := range policies {
-		outcomes, margin, ok := atTarget(t, f, p, s)
+		outcomes, margin, ok := runAtTarget(t, f, p, s)
 		name := p.Name
 		if !ok {
 			name += fmt.Sprintf(" (target missed at every size; shown at %.1f times the demand)", margin)
@@ -155,51 +155,51 @@
 }
 
 func writeRow(b *strings.Builder, name string, outcomes []policybench.Outcome) {
-	ms := func(of func(policybench.Outcome) time.Duration) string {
-		i := mean(outcomes, func(o policybench.Outcome) float64 { return of(o).Seconds() * 1000 })
+	ms := func(value func(policybench.Outcome) time.Duration) string {
+		i := mean(outcomes, func(o policybench.Outcome) float64 { return value(o).Seconds() * 1000 })
 		return fmt.Sprintf("%.0f ± %.0f ms", i.Mean, i.HalfWidth)
 	}
-	hosts := mean(outcomes, func(o policybench.Outcome) float64 { return float64(o.Hosts) })
+	hosts := mean(outcomes, func(o policybench.Outcome) float64 { return float64(o.InitialHosts) })
 	cost := mean(outcomes, func(o policybench.Outcome) float64 { return o.CostPerThousand })
-	again := mean(outcomes, func(o policybench.Outcome) float64 { return 100 * o.Recomputed })
-	gap := mean(outcomes, func(o policybench.Outcome) float64 { return o.GapP95.Seconds() * 1000 })
+	recomputed := mean(outcomes, func(o policybench.Outcome) float64 { return 100 * o.RecomputedShare })
+	gap := mean(outcomes, func(o policybench.Outcome) float64 { return o.TokenGapP95.Seconds() * 1000 })
 	failed := mean(outcomes, func(o policybench.Outcome) float64 { return 100 * float64(o.Failed) / float64(o.Requests) })
-	broken := mean(outcomes, func(o policybench.Outcome) float64 { return float64(o.Broken) })
-	sent := mean(outcomes, func(o policybench.Outcome) float64 { return o.SentRatio })
+	corrupted := mean(outcomes, func(o policybench.Outcome) float64 { return float64(o.Corrupted) })
+	attemptRatio := mean(outcomes, func(o policybench.Outcome) float64 { return o.AttemptRatio })
 	fmt.Fprintf(b, "| %s | %.0f | %.3f ± %.3f | %.2f ± %.2f %% | %s | %s | %s | %.1f ms | %.2f %% | %.0f | %.3f |\n", name, hosts.Mean,
-		cost.Mean, cost.HalfWidth, again.Mean, again.HalfWidth,
-		ms(func(o policybench.Outcome) time.Duration { return o.FirstP50 }), ms(func(o policybench.Outcome) time.Duration { return o.FirstP95 }),
-		ms(func(o policybench.Outcome) time.Duration { return o.FirstP99 }), gap.Mean, failed.Mean, broken.Mean, sent.Mean)
+		cost.Mean, cost.HalfWidth, recomputed.Mean, recomputed.HalfWidth,
+		ms(func(o policybench.Outcome) time.Duration { return o.FirstTokenP50 }), ms(func(o policybench.Outcome) time.Duration { return o.FirstTokenP95 }),
+		ms(func(o policybench.Outcome) time.Duration { return o.FirstTokenP99 }), gap.Mean, failed.Mean, corrupted.Mean, attemptRatio.Mean)
 }
 
-// sweep is one row of scenarios.
+// sweep is a series of scenarios that differ in one parameter.
 type sweep struct {
 	name      string
 	file      string
 	label     string
 	scenarios []policybench.Scenario
-	xs        []float64
+	xValues   []float64
 }
 
 func sweeps() []sweep {
-	base := policybench.Scenario{Load: 1, Margin: 1.2, ReportLag: 2 * time.Second, Lasts: lasts}
+	base := policybench.Scenario{LoadFactor: 1, CapacityMargin: 1.2, ReportLag: 2 * time.Second, Duration: duration}
 	var load, notice, lag sweep
 	load = sweep{name: "Calm, by load", file: "load", label: "load"}
 	for _, x := range []float64{0.7, 1, 1.2} {
 		s := base
-		s.Load, s.Margin = x, base.Margin/x
+		s.LoadFactor, s.CapacityMargin = x, base.CapacityMargin/x
 		load.add(s, x)
 	}
 	notice = sweep{name: "Waves, by notice", file: "notice", label: "seconds of notice"}
 	for _, x := range []float64{1, 5, 30} {
 		s := base
-		s.Waves = waves(time.Duration(x) * time.Second)
+		s.Reclaims = reclaims(time.Duration(x) * time.Second)
 		notice.add(s, x)
 	}
 	lag = sweep{name: "Waves with 5 s notice, by lag of reports", file: "lag", label: "seconds of lag"}
 	for _, x := range []float64{0.5, 2, 8} {
 		s := base
-		s.Waves = waves(5 * time.Second)
+		s.Reclaims = reclaims(5 * time.Second)
 		s.ReportLag = time.Duration(x * float64(time.Second))
 		lag.add(s, x)
 	}
@@ -208,10 +208,10 @@
 
 func (w *sweep) add(s policybench.Scenario, x float64) {
 	w.scenarios = append(w.scenarios, s)
-	w.xs = append(w.xs, x)
+	w.xValues = append(w.xValues, x)
 }
 
-// reportSweeps compares the whole with the naive version of the same hosts.
+// reportSweeps compares the full policy with a naive one that has the same capacity margin.
 func reportSweeps(t *testing.T, b *strings.Builder, f policybench.Fleet, out string) {
 	compared := []policybench.Policy{policies[0], policies[8]}
 	for _, w := range sweeps() {
@@ -221,15 +221,15 @@
 			for _, p := range compared {
 				o := runSeeds(t, f, p, s)
 				cost := mean(o, func(o policybench.Outcome) float64 { return o.CostPerThousand })
-				again := mean(o, func(o policybench.Outcome) float64 { return 100 * o.Recomputed })
-				p95 := mean(o, firstP95)
-				p99 := mean(o, func(o policybench.Outcome) float64 { return o.FirstP99.Seconds() })
-				gap := mean(o, func(o policybench.Outcome) float64 { return o.GapP95.Seconds() * 1000 })
+				recomputed := mean(o, func(o policybench.Outcome) float64 { return 100 * o.RecomputedShare })
+				p95 := mean(o, firstTokenP95)
+				p99 := mean(o, func(o policybench.Outcome) float64 { return o.FirstTokenP99.Seconds() })
+				gap := mean(o, func(o policybench.Outcome) float64 { return o.TokenGapP95.Seconds() * 1000 })
 				failed := mean(o, func(o policybench.Outcome) float64 { return 100 * float64(o.Failed) / float64(o.Requests) })
-				broken := mean(o, func(o policybench.Outcome) float64 { return float64(o.Broken) })
-				fmt.Fprintf(b, "| %g | %s | %.3f ± %.3f | %.2f ± %.2f %% | %.2f ± %.2f s | %.2f s | %.1f ms | %.2f %% | %.0f |\n", w.xs[i], p.Name,
-					cost.Mean, cost.HalfWidth, again.Mean, again.HalfWidth, p95.Mean, p95.HalfWidth, p99.Mean, gap.Mean, failed.Mean, broken.Mean)
-				lines[p.Name] = append(lines[p.Name], plotter.XY{X: w.xs[i], Y: p95.Mean})
+				corrupted := mean(o, func(o policybench.Outcome) float64 { return float64(o.Corrupted) })
+				fmt.Fprintf(b, "| %g | %s | %.3f ± %.3f | %.2f ± %.2f %% | %.2f ± %.2f s | %.2f s | %.1f ms | %.2f %% | %.0f |\n", w.xValues[i], p.Name,
+					cost.Mean, cost.HalfWidth, recomputed.Mean, recomputed.HalfWidth, p95.Mean, p95.HalfWidth, p99.Mean, gap.Mean, failed.Mean, corrupted.Mean)
+				lines[p.Name] = append(lines[p.Name], plotter.XY{X: w.xValues[i], Y: p95.Mean})
 			}
 		}
 		b.WriteString("\n")
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -30,20 +30,21 @@
 	"ironhollow/pkg/stream"
 )
 
-// Policy is which mechanisms are on.
+// Policy selects the mechanisms that are enabled.
 type Policy struct {
 	Name     string
 	Strategy route.Strategy
-	// Affinity, Risk, Move and Gate switch mechanisms on.
-	Affinity, Risk, Move, Gate bool
-	// Capacity chooses the plan of hosts.
+	// PrefixAffinity, ReclaimRisk, StreamMigration and ConcurrencyLimits each enable one
+	// mechanism.
+	PrefixAffinity, ReclaimRisk, StreamMigration, ConcurrencyLimits bool
+	// Capacity selects the capacity plan.
 	Capacity CapacityPlan
 }
 
-// CapacityPlan names a plan of hosts.
+// CapacityPlan selects a capacity plan.
 type CapacityPlan int
 
-// The plans.
+// Planned is the production capacity plan; the others are baselines.
 const (
 	Planned CapacityPlan = iota
 	SpreadEvenly
@@ -57,42 +58,43 @@
 	case CheapestFirst:
 		return capacity.CheapestFirst(offers, d)
 	}
-	return capacity.Plan(offers, d, capacity.Costs{PerReclaim: lossPerReclaim}, now)
+	return capacity.Plan(offers, d, capacity.Costs{PerReclaim: costPerReclaim}, now)
 }
 
-// lossPerReclaim prices one host's reclaim: the 40 s in which its successor
-// starts and some computing again.
-const lossPerReclaim = 0.02
+// costPerReclaim is the cost of the reclaim of one host: the 40 s in which its replacement
+// starts, and some recomputed tokens.
+const costPerReclaim = 0.02
 
-// Scenario is what happens beside the arrivals.
+// Scenario describes the load, the reclaims and the delay of load reports of a run.
 type Scenario struct {
-	Name  string
-	Waves []Wave
-	// Load scales the arrivals, Margin the hosts bought for them.
-	Load, Margin float64
-	ReportLag    time.Duration
-	Lasts        time.Duration
+	Name     string
+	Reclaims []Reclaim
+	// LoadFactor scales the request rate, CapacityMargin the demand that hosts are bought
+	// for.
+	LoadFactor, CapacityMargin float64
+	ReportLag                  time.Duration
+	Duration                   time.Duration
 }
 
-// Outcome is what came of a run.
+// Outcome is the result of a run.
 type Outcome struct {
-	// CostPerThousand is the hosts' price for 1,000 requests answered.
+	// CostPerThousand is the cost of the hosts per 1,000 answered requests.
 	CostPerThousand float64
-	// Recomputed is tokens computed again as a share of those generated.
-	Recomputed                   float64
-	FirstP50, FirstP95, FirstP99 time.Duration
-	GapP95                       time.Duration
-	Requests, Failed, Broken     int
-	Hosts                        int
-	SentRatio                    float64
-	// Moved, BrokenOff and Yielded count attempts that did not finish.
-	Moved, BrokenOff, Yielded float64
+	// RecomputedShare is the recomputed tokens as a fraction of the generated ones.
+	RecomputedShare                             float64
+	FirstTokenP50, FirstTokenP95, FirstTokenP99 time.Duration
+	TokenGapP95                                 time.Duration
+	Requests, Failed, Corrupted                 int
+	InitialHosts                                int
+	AttemptRatio                                float64
+	// Migrated, Interrupted and Preempted count attempts that did not finish.
+	Migrated, Interrupted, Preempted float64
 }
 
-// entries is how many entry hosts share the load: the users' number today.
-const entries = 9
+// entryCount is the number of entry hosts that share the load: the users' current number.
+const entryCount = 9
 
-// run is one run of a policy.
+// run is the state of one run of a policy.
 type run struct {
 	fleet   Fleet
 	policy  Policy
@@ -100,204 +102,205 @@
 	direct  *engines.Direct
 	entries []*entry
 	cloud   *fakeCloud
-	until   time.Time
-
-	mu      sync.Mutex
-	firsts  []float64
-	gaps    []float64
-	failed  int
-	broken  int
-	answers int
-	wait    sync.WaitGroup
+	endsAt  time.Time
+
+	mu                sync.Mutex
+	firstTokenSeconds []float64
+	tokenGapSeconds   []float64
+	failed            int
+	corrupted         int
+	completed         int
+	running           sync.WaitGroup
 }
 
-// entry is one entry host's decisions.
+// entry holds the components of one entry host.
 type entry struct {
 	directory *endpoint.Directory
 	hazard    *hazard.Estimator
 	router    *route.Router
 	runner    *stream.Runner
-	gates     *limit.ConcurrencyLimiters
+	limiters  *limit.ConcurrencyLimiters
 	budget    *retry.Budget
 	counters  *stream.Counters
 }
 
-func (r *run) live() bool { return time.Now().Before(r.until) }
+func (r *run) active() bool { return time.Now().Before(r.endsAt) }
 
-// tell passes news of an endpoint to all entries.
-func (r *run) tell(info endpoint.Info) {
+// announce merges the state of an endpoint into the directories of all entries.
+func (r *run) announce(info endpoint.Info) {
 	for _, e := range r.entries {
 		e.directory.Merge(info)
 	}
 }
 
-func (r *run) newEntry(number int) *entry {
+func (r *run) newEntry(index int) *entry {
 	registry := prometheus.NewRegistry()
 	e := &entry{
-		directory: endpoint.NewDirectory(), hazard: hazard.New(), gates: limit.NewConcurrencyLimiters(), budget: retry.New(0.1, time.Now()),
+		directory: endpoint.NewDirectory(), hazard: hazard.New(), limiters: limit.NewConcurrencyLimiters(), budget: retry.New(0.1, time.Now()),
 		counters: stream.NewCounters(registry),
 	}
 	logger := &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}
 	watch := quarantine.NewWatch(registry, logger)
-	home := route.Location{Node: fmt.Sprintf("n%d", number), DataCenter: r.fleet.Centres[number%len(r.fleet.Centres)]}
-	e.router = route.New(e.directory, e.hazard, home, r.seed+uint64(number))
-	board := notice.New(e.directory, e.router, logger)
-	e.runner = stream.New(e.router, r.direct, e.budget, e.hazard, e.counters, watch, board, noop.NewTracerProvider().Tracer(""))
-	for _, centre := range r.fleet.Centres {
-		e.hazard.SetPrior(hazard.Pool{DataCenter: centre, Class: "standard"}, priorHazard, time.Now())
+	location := route.Location{Node: fmt.Sprintf("n%d", index), DataCenter: r.fleet.DataCenters[index%len(r.fleet.DataCenters)]}
+	e.router = route.New(e.directory, e.hazard, location, r.seed+uint64(index))
+	tracker := notice.New(e.directory, e.router, logger)
+	e.runner = stream.New(e.router, r.direct, e.budget, e.hazard, e.counters, watch, tracker, noop.NewTracerProvider().Tracer(""))
+	for _, dataCenter := range r.fleet.DataCenters {
+		e.hazard.SetPrior(hazard.Pool{DataCenter: dataCenter, Class: "standard"}, priorHazardPerHour, time.Now())
 	}
 	e.directory.OnLeaving(func(info endpoint.Info) {
 		e.hazard.RecordReclaim(hazard.Pool{DataCenter: info.DataCenter, Class: info.Class}, 1, time.Now())
-		e.runner.MigrateStreams(context.Background(), info, !r.policy.Move)
+		e.runner.MigrateStreams(context.Background(), info, !r.policy.StreamMigration)
 	})
 	return e
 }
 
-// priorHazard is the operators' figure: reclaims for one host an hour.
-const priorHazard = 0.1
+// priorHazardPerHour is the operators' estimate of the reclaims per host and hour.
+const priorHazardPerHour = 0.1
 
-// Run runs a policy through a scenario. It must be called in a bubble of
-// virtual time.
+// Run runs a policy through a scenario. It must be called in a synctest bubble, whose time
+// is virtual.
 func Run(f Fleet, p Policy, s Scenario, seed uint64) Outcome {
-	r := &run{fleet: f, policy: p, seed: seed, direct: engines.NewDirect(), until: time.Now().Add(s.Lasts)}
-	r.cloud = &fakeCloud{run: r, refused: map[string]time.Time{}}
-	for i := range entries {
+	r := &run{fleet: f, policy: p, seed: seed, direct: engines.NewDirect(), endsAt: time.Now().Add(s.Duration)}
+	r.cloud = &fakeCloud{run: r, refusedUntil: map[string]time.Time{}}
+	for i := range entryCount {
 		r.entries = append(r.entries, r.newEntry(i))
 	}
-	counter, waiting := f.TokensPerSecond()
-	demand := capacity.Demand{Interactive: counter * s.Load * s.Margin, Deferrable: waiting * s.Load * s.Margin}
+	interactive, deferrable := f.TokensPerSecond()
+	demand := capacity.Demand{Interactive: interactive * s.LoadFactor * s.CapacityMargin, Deferrable: deferrable * s.LoadFactor * s.CapacityMargin}
 	offers := r.offers()
 	for _, n := range p.plan(offers, demand, time.Now()) {
 		for range n.Hosts {
-			r.cloud.buy(n.Offer, 0)
+			r.cloud.startHost(n.Offer, 0)
 		}
 	}
-	hosts := len(r.cloud.hosts)
+	initialHosts := len(r.cloud.hosts)
 	time.Sleep(time.Millisecond)
-	for _, w := range s.Waves {
-		time.AfterFunc(w.At, func() { r.cloud.reclaim(w) })
+	for _, reclaim := range s.Reclaims {
+		time.AfterFunc(reclaim.At, func() { r.cloud.reclaim(reclaim) })
 	}
-	r.wait.Go(func() { r.cloud.keepUp(p, offers, demand) })
+	r.running.Go(func() { r.cloud.replaceReclaimed(p, offers, demand) })
 	for i, e := range r.entries {
-		r.wait.Go(func() { r.reports(e, s.ReportLag, time.Duration(i)*s.ReportLag/entries) })
+		r.running.Go(func() { r.pollReports(e, s.ReportLag, time.Duration(i)*s.ReportLag/entryCount) })
 	}
-	begun := time.Now()
-	for i, a := range Arrivals(f, s.Lasts, s.Load, seed) {
-		time.Sleep(time.Until(begun.Add(a.At)))
-		r.wait.Go(func() { r.serve(r.entries[i%entries], a, i) })
+	start := time.Now()
+	for i, a := range GenerateArrivals(f, s.Duration, s.LoadFactor, seed) {
+		time.Sleep(time.Until(start.Add(a.At)))
+		r.running.Go(func() { r.serve(r.entries[i%entryCount], a, i) })
 	}
-	r.wait.Wait()
-	return r.outcome(hosts)
+	r.running.Wait()
+	return r.outcome(initialHosts)
 }
 
 func (r *run) offers() []capacity.Offer {
 	var offers []capacity.Offer
-	for i, centre := range r.fleet.Centres {
+	for i, dataCenter := range r.fleet.DataCenters {
 		offers = append(
 			offers,
-			capacity.Offer{DataCenter: centre, Class: "standard", Reclaimable: true, HourlyPrice: r.fleet.Prices[i], TokenRate: RatePerHost, Max: 12, HazardPerHour: priorHazard},
-			capacity.Offer{DataCenter: centre, Class: "standard", HourlyPrice: r.fleet.OnDemand, TokenRate: RatePerHost, Max: 12},
+			capacity.Offer{DataCenter: dataCenter, Class: "standard", Reclaimable: true, HourlyPrice: r.fleet.ReclaimablePrices[i], TokenRate: TokenRatePerHost, Max: 12, HazardPerHour: priorHazardPerHour},
+			capacity.Offer{DataCenter: dataCenter, Class: "standard", HourlyPrice: r.fleet.OnDemandPrice, TokenRate: TokenRatePerHost, Max: 12},
 		)
 	}
 	return offers
 }
 
-// reports gives an entry each engine's load, as late as the scenario says, and
-// keeps its gates in step, as the entry process does.
-func (r *run) reports(e *entry, lag, phase time.Duration) {
+// pollReports applies the load report of each engine to an entry at intervals of lag, and
+// resizes the entry's concurrency limiters, as the entry process does.
+func (r *run) pollReports(e *entry, lag, phase time.Duration) {
 	time.Sleep(phase)
 	target := route.Target{Model: "m", Version: "1"}
-	for r.live() {
+	for r.active() {
 		for _, info := range e.router.Endpoints() {
 			if report, err := r.direct.Load(context.Background(), info.Address); err == nil {
 				e.router.ApplyReport(info.Ref(), report)
 			}
 		}
-		e.gates.Resize(func(route.Target) int {
-			return int(math.Ceil(limit.PermitsPerSlot * float64(e.router.TotalSlots(target)) / entries))
+		e.limiters.Resize(func(route.Target) int {
+			return int(math.Ceil(limit.PermitsPerSlot * float64(e.router.TotalSlots(target)) / entryCount))
 		})
 		time.Sleep(lag)
 	}
 }
 
-// watch is a sink that notes when tokens come.
-type watch struct {
+// tokenTimer is a sink that records when tokens arrive.
+type tokenTimer struct {
 	*chat.Collector
-	begun, first, last time.Time
-	count              int
+	start, firstToken, lastToken time.Time
+	tokens                       int
 }
 
-// Token notes a token.
-func (w *watch) Token(t stream.Token) error {
+// Token records the arrival of a token.
+func (timer *tokenTimer) Token(t stream.Token) error {
 	now := time.Now()
-	if w.count == 0 {
-		w.first = now
+	if timer.tokens == 0 {
+		timer.firstToken = now
 	}
-	w.last = now
-	w.count++
-	return w.Collector.Token(t)
+	timer.lastToken = now
+	timer.tokens++
+	return timer.Collector.Token(t)
 }
 
-// Deadlines of the two kinds of request.
+// Deadlines of interactive and of deferrable requests.
 const (
-	counterDeadline = 30 * time.Second
-	waitingDeadline = 30 * time.Minute
+	interactiveDeadline = 30 * time.Second
+	deferrableDeadline  = 30 * time.Minute
 )
 
-// serve serves one request as an entry does: gate, then stream.
-func (r *run) serve(e *entry, a Arrival, number int) {
-	begun := time.Now()
-	deadline := begun.Add(counterDeadline)
+// serve runs one request as an entry does: it acquires a permit, then streams the answer.
+func (r *run) serve(e *entry, a Arrival, index int) {
+	start := time.Now()
+	deadline := start.Add(interactiveDeadline)
 	if a.Class.MayWait {
-		deadline = begun.Add(waitingDeadline)
+		deadline = start.Add(deferrableDeadline)
 	}
-	ask := limit.PermitRequest{
+	permitRequest := limit.PermitRequest{
 		Team: fmt.Sprint(a.Team), Weight: 1, Priority: a.Class.Priority, MayWait: a.Class.MayWait, Deadline: deadline,
 	}
 	if a.Class.MayWait {
-		ask.Yield = func() bool { return e.runner.Preempt(requestID(number)) }
+		permitRequest.Yield = func() bool { return e.runner.Preempt(requestID(index)) }
 	}
-	place := limit.NewPermitHolder(e.gates.For(route.Target{Model: "m", Version: "1"}), ask)
-	if r.policy.Gate {
-		if err := place.Acquire(context.Background()); err != nil {
-			r.note(a, nil, err)
+	permit := limit.NewPermitHolder(e.limiters.For(route.Target{Model: "m", Version: "1"}), permitRequest)
+	if r.policy.ConcurrencyLimits {
+		if err := permit.Acquire(context.Background()); err != nil {
+			r.record(a, nil, err)
 			return
 		}
-		defer place.Release()
+		defer permit.Release()
 	}
-	w := &watch{Collector: chat.NewCollector("1", nil), begun: begun}
-	request := r.request(a, number, deadline)
-	if r.policy.Gate && a.Class.MayWait {
-		request.Requeue = place.Reacquire
+	timer := &tokenTimer{Collector: chat.NewCollector("1", nil), start: start}
+	request := r.request(a, index, deadline)
+	if r.policy.ConcurrencyLimits && a.Class.MayWait {
+		request.Requeue = permit.Reacquire
 		request.MayWait = true
 	}
-	_, err := e.runner.Run(context.Background(), request, w)
-	if err == nil && w.Text() != r.want(a, request) {
-		err = errBroken
+	_, err := e.runner.Run(context.Background(), request, timer)
+	if err == nil && timer.Text() != r.expectedAnswer(a, request) {
+		err = errWrongAnswer
 	}
-	r.note(a, w, err)
+	r.record(a, timer, err)
 }
 
-// errBroken marks an answer that is not whole: a promise broken.
-var errBroken = errors.New("policybench: the answer is not whole")
+// errWrongAnswer marks an answer that is not the expected one, which violates the guarantee
+// of complete answers.
+var errWrongAnswer = errors.New("policybench: answer differs from the expected answer")
 
-func requestID(number int) string { return fmt.Sprintf("%08d", number) }
+func requestID(index int) string { return fmt.Sprintf("%08d", index) }
 
-func (r *run) request(a Arrival, number int, deadline time.Time) stream.Request {
+func (r *run) request(a Arrival, index int, deadline time.Time) stream.Request {
 	request := stream.Request{
 		Prompt: engine.Prompt{
-			RequestID: requestID(number), Model: "m", Version: "1", Messages: []byte(a.Messages), MaxTokens: a.Answer,
-			Seed: int64(number), Deadline: deadline,
+			RequestID: requestID(index), Model: "m", Version: "1", Messages: []byte(a.Messages), MaxTokens: a.AnswerTokens,
+			Seed: int64(index), Deadline: deadline,
 		},
 		Service: a.Class.Name, PromptTokens: len(a.Messages) / bytesPerToken, EndpointTimeout: time.Until(deadline), Strategy: r.policy.Strategy,
 	}
-	if r.policy.Gate {
+	if r.policy.ConcurrencyLimits {
 		request.Prompt.Priority = a.Class.Priority
 	}
-	if r.policy.Affinity {
+	if r.policy.PrefixAffinity {
 		request.PrefixHashes = route.HashPrefixes(nil, []byte(a.Messages))
 	}
-	if r.policy.Risk {
+	if r.policy.ReclaimRisk {
 		request.RiskWeight = 4
 		if a.Class.MayWait {
 			request.RiskWeight = 1
@@ -306,63 +309,64 @@
 	return request
 }
 
-func (r *run) want(a Arrival, request stream.Request) string {
+func (r *run) expectedAnswer(a Arrival, request stream.Request) string {
 	text := ""
-	for _, token := range engines.Answer(engines.Loaded{Model: "m", Version: "1"}, a.Messages, request.Prompt.Seed, a.Answer) {
+	for _, token := range engines.Answer(engines.Loaded{Model: "m", Version: "1"}, a.Messages, request.Prompt.Seed, a.AnswerTokens) {
 		text += token
 	}
 	return text
 }
 
-func (r *run) note(a Arrival, w *watch, err error) {
+func (r *run) record(a Arrival, timer *tokenTimer, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case errors.Is(err, errBroken):
-		r.broken++
+	case errors.Is(err, errWrongAnswer):
+		r.corrupted++
 		return
 	case err != nil:
 		r.failed++
 		if !a.Class.MayWait {
-			// An answer that never came counts as the latest of all.
-			r.firsts = append(r.firsts, counterDeadline.Seconds())
+			// A request without an answer counts as a first token at the deadline, later than
+			// all others.
+			r.firstTokenSeconds = append(r.firstTokenSeconds, interactiveDeadline.Seconds())
 		}
 		return
 	}
-	r.answers++
+	r.completed++
 	if !a.Class.MayWait {
-		r.firsts = append(r.firsts, w.first.Sub(w.begun).Seconds())
+		r.firstTokenSeconds = append(r.firstTokenSeconds, timer.firstToken.Sub(timer.start).Seconds())
 	}
-	if w.count > 1 {
-		r.gaps = append(r.gaps, w.last.Sub(w.first).Seconds()/float64(w.count-1))
+	if timer.tokens > 1 {
+		r.tokenGapSeconds = append(r.tokenGapSeconds, timer.lastToken.Sub(timer.firstToken).Seconds()/float64(timer.tokens-1))
 	}
 }
 
-func (r *run) outcome(hosts int) Outcome {
-	o := Outcome{Requests: r.answers + r.failed + r.broken, Failed: r.failed, Broken: r.broken, Hosts: hosts}
-	o.CostPerThousand = 1000 * r.cloud.cost() / float64(max(r.answers, 1))
-	var generated, again int64
+func (r *run) outcome(initialHosts int) Outcome {
+	o := Outcome{Requests: r.completed + r.failed + r.corrupted, Failed: r.failed, Corrupted: r.corrupted, InitialHosts: initialHosts}
+	o.CostPerThousand = 1000 * r.cloud.totalCost() / float64(max(r.completed, 1))
+	var generated, recomputed int64
 	for _, h := range r.cloud.hosts {
 		g, a := h.engine.Counts()
 		generated += g
-		again += a
+		recomputed += a
 	}
-	o.Recomputed = float64(again) / float64(max(generated, 1))
-	var first, retries int64
+	o.RecomputedShare = float64(recomputed) / float64(max(generated, 1))
+	var firstAttempts, retries int64
 	for _, e := range r.entries {
 		f, a := e.budget.Counts()
-		first += f
+		firstAttempts += f
 		retries += a
-		o.Moved += testutil.ToFloat64(e.counters.Moved)
-		o.BrokenOff += testutil.ToFloat64(e.counters.Broken)
-		o.Yielded += testutil.ToFloat64(e.counters.Preempted)
+		o.Migrated += testutil.ToFloat64(e.counters.Moved)
+		o.Interrupted += testutil.ToFloat64(e.counters.Broken)
+		o.Preempted += testutil.ToFloat64(e.counters.Preempted)
 	}
-	o.SentRatio = float64(first+retries) / float64(max(first, 1))
-	sort.Float64s(r.firsts)
-	o.FirstP50 = seconds(measure.Quantile(r.firsts, 0.5))
-	o.FirstP95 = seconds(measure.Quantile(r.firsts, 0.95))
-	o.FirstP99 = seconds(measure.Quantile(r.firsts, 0.99))
-	o.GapP95 = seconds(measure.Quantile(r.gaps, 0.95))
+	o.AttemptRatio = float64(firstAttempts+retries) / float64(max(firstAttempts, 1))
+	sort.Float64s(r.firstTokenSeconds)
+	o.FirstTokenP50 = seconds(measure.Quantile(r.firstTokenSeconds, 0.5))
+	o.FirstTokenP95 = seconds(measure.Quantile(r.firstTokenSeconds, 0.95))
+	o.FirstTokenP99 = seconds(measure.Quantile(r.firstTokenSeconds, 0.99))
+	o.TokenGapP95 = seconds(measure.Quantile(r.tokenGapSeconds, 0.95))
 	return o
 }
 
