--- a/pkg/lab/lab_test.go
+++ b/pkg/lab/lab_test.go
@@ -8,136 +8,139 @@
 	"ironhollow/pkg/lab"
 )
 
-// seeds is for looking at more runs by hand.
-var seeds = flag.Int("seeds", 1, "runs of each load")
+// seeds can be raised for manual runs.
+var seeds = flag.Int("seeds", 1, "runs per workload")
 
-// credit is a model for loan files on hosts of one region: 16 take callers.
-func credit() lab.Fleet {
+// loanFleet returns a fleet in one region that serves a model for loan files; 16 hosts are
+// advertised to callers.
+func loanFleet() lab.Fleet {
 	return lab.Fleet{
-		Hosts: 16, Endpoints: 78, DataCenters: 6, Way: time.Millisecond, Loss: 0.005,
-		Engine: lab.Engine{
-			Batch: 64, Queue: 134, Chunk: 4096, Step: 5950 * time.Microsecond, StepSlot: 44500 * time.Nanosecond,
-			Prefill: 19720 * time.Nanosecond, Pair: 0, First: 10 * time.Millisecond, Memory: 583_000,
+		Hosts: 16, Endpoints: 78, DataCenters: 6, NetworkDelay: time.Millisecond, DatagramLoss: 0.005,
+		Engine: lab.EngineParams{
+			BatchSize: 64, QueueSize: 134, PrefillChunk: 4096, StepTime: 5950 * time.Microsecond, StepTimePerRequest: 44500 * time.Nanosecond,
+			PrefillTimePerToken: 19720 * time.Nanosecond, AttentionTimePerPair: 0, OutputDelay: 10 * time.Millisecond, CacheTokens: 583_000,
 		},
 	}
 }
 
-// files is full reviews of many files, each met for the first time during the run,
-// summaries and short questions.
-func files() []lab.Kind {
-	return []lab.Kind{
+// loanRequests returns full reviews of many files, each requested for the first time during the
+// run, summaries and short questions.
+func loanRequests() []lab.RequestKind {
+	return []lab.RequestKind{
 		{
-			Name: "review", Rate: 99.5, Parts: []lab.Part{{Tokens: 13_300, Spread: 0.7, Things: 661}}, Own: 3720, OwnSpread: 1.1,
-			Answer: 120, Objective: time.Second, Limit: 15 * time.Second, Priority: 1, Worth: 3,
+			Name: "review", Rate: 99.5, SharedParts: []lab.PromptPart{{MeanTokens: 13_300, Spread: 0.7, Variants: 661}}, OwnTokens: 3720, OwnTokensSpread: 1.1,
+			AnswerTokens: 120, Objective: time.Second, Timeout: 15 * time.Second, Priority: 1, Value: 3,
 		},
 		{
-			Name: "summary", Rate: 43.7, Parts: []lab.Part{{Tokens: 2520, Spread: 0.4, Things: 4}, {Tokens: 3780, Spread: 0.7, Things: 291}},
-			Own: 2890, OwnSpread: 1, Answer: 52, Objective: time.Second, Limit: 8 * time.Second, Worth: 2.5,
+			Name: "summary", Rate: 43.7, SharedParts: []lab.PromptPart{{MeanTokens: 2520, Spread: 0.4, Variants: 4}, {MeanTokens: 3780, Spread: 0.7, Variants: 291}},
+			OwnTokens: 2890, OwnTokensSpread: 1, AnswerTokens: 52, Objective: time.Second, Timeout: 8 * time.Second, Value: 2.5,
 		},
 		{
-			Name: "question", Rate: 123, Parts: []lab.Part{{Tokens: 210, Spread: 0.4, Things: 39}, {Tokens: 140, Spread: 0.7, Things: 549}},
-			Own: 1110, OwnSpread: 1, Answer: 172, Objective: 800 * time.Millisecond, Limit: 15 * time.Second, Priority: 2, Worth: 0.34,
+			Name: "question", Rate: 123, SharedParts: []lab.PromptPart{{MeanTokens: 210, Spread: 0.4, Variants: 39}, {MeanTokens: 140, Spread: 0.7, Variants: 549}},
+			OwnTokens: 1110, OwnTokensSpread: 1, AnswerTokens: 172, Objective: 800 * time.Millisecond, Timeout: 15 * time.Second, Priority: 2, Value: 0.34,
 		},
 	}
 }
 
-// Full reviews of files that nobody has asked for before: what is queued for them is
-// known, so that those behind go elsewhere. With a home for each new file, reckoned
-// as read there, 0.947 to 0.956 of the reviews had their first token within a second
-// (seeds 1 to 3) and 1 in 100 of all first tokens came 1.2 s later than reckoned.
-func TestNewFiles(t *testing.T) {
-	load := lab.Load{Kinds: files(), Lasts: 20 * time.Second, Settle: 3 * time.Second}
-	eachSeed(t, credit(), load, func(o *lab.Outcome) {
-		atLeast(t, "reviews in time", o.Of("review").InTimeShare(), 0.97)
-		atLeast(t, "summaries in time", o.Of("summary").InTimeShare(), 0.99)
-		atLeast(t, "questions in time", o.Of("question").InTimeShare(), 0.99)
-		if got, want := o.OffAt(0.99), 400*time.Millisecond; got > want {
-			t.Errorf("1 in 100 first tokens later than reckoned: got %v, want %v at most", got, want)
+// Guards against queueing behind reviews of uncached files: the estimate has to include queued
+// prefills, so that later requests go to other endpoints. When each new file was assigned a home
+// endpoint and its prompt counted as cached there, 0.947 to 0.956 of the reviews had their first
+// token within one second (seeds 1 to 3), and 1 in 100 of all first tokens was 1.2 s later than
+// estimated.
+func TestUncachedPrompts(t *testing.T) {
+	workload := lab.Workload{Kinds: loanRequests(), Duration: 20 * time.Second, WarmUp: 3 * time.Second}
+	runSeeds(t, loanFleet(), workload, func(o *lab.Outcome) {
+		checkAtLeast(t, "share of reviews on time", o.ForKind("review").OnTimeShare(), 0.97)
+		checkAtLeast(t, "share of summaries on time", o.ForKind("summary").OnTimeShare(), 0.99)
+		checkAtLeast(t, "share of questions on time", o.ForKind("question").OnTimeShare(), 0.99)
+		if got, want := o.WaitErrorQuantile(0.99), 400*time.Millisecond; got > want {
+			t.Errorf("99th percentile of the first token delay relative to the estimate: got %v, want at most %v", got, want)
 		}
 	})
 }
 
-// eachSeed plays a load with each seed, prints what callers got, and checks it.
-func eachSeed(t *testing.T, fleet lab.Fleet, load lab.Load, check func(*lab.Outcome)) {
+// runSeeds runs a workload with each seed, logs the outcome and checks it.
+func runSeeds(t *testing.T, fleet lab.Fleet, workload lab.Workload, check func(*lab.Outcome)) {
 	t.Helper()
 	for seed := range *seeds {
-		o := lab.Run(fleet, load, uint64(seed+1))
+		o := lab.Run(fleet, workload, uint64(seed+1))
 		t.Logf("%d engines, seed %d\n%v", fleet.Endpoints, seed+1, o)
 		check(o)
 	}
 }
 
-func atLeast(t *testing.T, what string, got, want float64) {
+func checkAtLeast(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if got < want {
-		t.Errorf("%s: got %.3f, want %.3f at least", what, got, want)
+		t.Errorf("%s: got %.3f, want at least %.3f", what, got, want)
 	}
 }
 
-// A run of a seed gives the same each time.
-func TestRunsRepeat(t *testing.T) {
-	load := lab.Load{Kinds: files(), Lasts: 3 * time.Second, Settle: time.Second}
-	first, second := lab.Run(credit(), load, 7), lab.Run(credit(), load, 7)
+// Guards against nondeterminism: two runs with the same seed have to give the same outcome.
+func TestRunIsDeterministic(t *testing.T) {
+	workload := lab.Workload{Kinds: loanRequests(), Duration: 3 * time.Second, WarmUp: time.Second}
+	first, second := lab.Run(loanFleet(), workload, 7), lab.Run(loanFleet(), workload, 7)
 	if got, want := second.String(), first.String(); got != want {
 		t.Errorf("second run: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// A burst on engines that are full, and on half as many as are needed: what can't be
-// served in time is refused at once, and the most urgent least. Where a refusal went
-// by the queue alone, up to 0.8 of the objective, callers got 0.698 of the worth on 34
-// engines and 0.291 on 24, and 1144 and 2868 requests got nothing (means of seeds 1 to
-// 4). Where a prompt that was refused was taken for read at the endpoint that was
-// chosen, it was 0.768 and 0.431.
+// Guards against admission that queues requests which cannot be on time: during a burst on full
+// engines, and on half the engines needed, such requests have to be rejected at once, the most
+// urgent ones last. When rejection only compared the queue with 0.8 of the objective, callers
+// received 0.698 of the value with 34 engines and 0.291 with 24, and 1144 and 2868 requests failed
+// (means of seeds 1 to 4). When the prompt of a rejected request counted as cached at the endpoint
+// that was chosen for it, the shares were 0.768 and 0.431.
 func TestOverload(t *testing.T) {
 	for _, c := range []struct {
-		engines int
-		earned  float64
-		lost    int
+		engines       int
+		minValueShare float64
+		maxFailed     int
 	}{{78, 0.965, 10}, {50, 0.95, 40}, {34, 0.78, 650}, {24, 0.5, 1900}} {
-		fleet := credit()
+		fleet := loanFleet()
 		fleet.Endpoints = c.engines
-		load := lab.Load{
-			Kinds: files(), Lasts: 20 * time.Second, Settle: 3 * time.Second,
-			Bursts: []lab.Burst{{At: 8 * time.Second, For: 3 * time.Second, Times: 1.7}},
+		workload := lab.Workload{
+			Kinds: loanRequests(), Duration: 20 * time.Second, WarmUp: 3 * time.Second,
+			Bursts: []lab.Burst{{Start: 8 * time.Second, Length: 3 * time.Second, Factor: 1.7}},
 		}
-		eachSeed(t, fleet, load, func(o *lab.Outcome) {
-			summary, review, question := o.Of("summary"), o.Of("review"), o.Of("question")
-			atLeast(t, "worth earned", o.EarnedShare(), c.earned)
-			atLeast(t, "summaries in time, the most urgent", summary.InTimeShare(), review.InTimeShare())
-			if got := summary.Lost + review.Lost + question.Lost; got > c.lost {
-				t.Errorf("%d engines: got %d requests that got nothing, want %d at most", c.engines, got, c.lost)
+		runSeeds(t, fleet, workload, func(o *lab.Outcome) {
+			summary, review, question := o.ForKind("summary"), o.ForKind("review"), o.ForKind("question")
+			checkAtLeast(t, "earned value share", o.EarnedValueShare(), c.minValueShare)
+			checkAtLeast(t, "share of summaries on time, compared with less urgent reviews", summary.OnTimeShare(), review.OnTimeShare())
+			if got := summary.Failed + review.Failed + question.Failed; got > c.maxFailed {
+				t.Errorf("%d engines: got %d failed requests, want at most %d", c.engines, got, c.maxFailed)
 			}
 		})
 	}
 }
 
-// A data centre's engines end, and another's 4 s later: of 96 engines 64 are left,
-// which are enough.
-func TestDataCentersLost(t *testing.T) {
-	fleet := credit()
+// Guards against loss of value when the engines of one data centre stop and those of another 4 s
+// later: 64 of 96 engines remain, which are enough for the load.
+func TestDataCenterFailures(t *testing.T) {
+	fleet := loanFleet()
 	fleet.Endpoints = 96
-	load := lab.Load{
-		Kinds: files(), Lasts: 18 * time.Second, Settle: 3 * time.Second, Lost: []time.Duration{6 * time.Second, 10 * time.Second},
+	workload := lab.Workload{
+		Kinds: loanRequests(), Duration: 18 * time.Second, WarmUp: 3 * time.Second, DataCenterFailures: []time.Duration{6 * time.Second, 10 * time.Second},
 	}
-	eachSeed(t, fleet, load, func(o *lab.Outcome) {
-		atLeast(t, "worth earned", o.EarnedShare(), 0.94)
+	runSeeds(t, fleet, workload, func(o *lab.Outcome) {
+		checkAtLeast(t, "earned value share", o.EarnedValueShare(), 0.94)
 	})
 }
 
-// All hosts start anew twice: the parts that engines keep are found again, though
-// nobody knows any more where they were sent. Without homes 0.950 of the worth was
-// earned, and 9.4 million shared tokens were read again (means of seeds 1 to 4).
-func TestHostsStartAnew(t *testing.T) {
-	fleet := credit()
+// Guards against repeated prefills after all hosts restart, which happens twice here: cached
+// prefixes have to be found although no host remembers where it sent them. Without home endpoints,
+// callers received 0.950 of the value, and 9.4 million shared tokens were prefilled again (means of
+// seeds 1 to 4).
+func TestHostRestarts(t *testing.T) {
+	fleet := loanFleet()
 	fleet.Endpoints = 60
-	load := lab.Load{
-		Kinds: files(), Lasts: 20 * time.Second, Settle: 3 * time.Second, Restarts: []time.Duration{9 * time.Second, 13 * time.Second},
+	workload := lab.Workload{
+		Kinds: loanRequests(), Duration: 20 * time.Second, WarmUp: 3 * time.Second, HostRestarts: []time.Duration{9 * time.Second, 13 * time.Second},
 	}
-	eachSeed(t, fleet, load, func(o *lab.Outcome) {
-		atLeast(t, "worth earned", o.EarnedShare(), 0.955)
-		if got, want := o.ReadAgain, 6_000_000; got > want {
-			t.Errorf("shared tokens read again: got %d, want %d at most", got, want)
+	runSeeds(t, fleet, workload, func(o *lab.Outcome) {
+		checkAtLeast(t, "earned value share", o.EarnedValueShare(), 0.955)
+		if got, want := o.RecomputedTokens, 6_000_000; got > want {
+			t.Errorf("recomputed shared tokens: got %d, want at most %d", got, want)
 		}
 	})
 }
