--- a/pkg/policybench/cloud.go
+++ b/pkg/policybench/cloud.go
@@ -96,22 +96,22 @@
 
 // reclaim gives notice to all reclaimable hosts of a data centre and kills them when the
 // notice is over.
-func (c *fakeCloud) reclaim(reclaim Reclaim) {
+func (c *fakeCloud) reclaim(event Reclaim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	dataCenter := c.run.fleet.DataCenters[reclaim.DataCenter]
+	dataCenter := c.run.fleet.DataCenters[event.DataCenter]
 	now := time.Now()
-	c.refusedUntil[dataCenter] = now.Add(reclaim.Notice + reclaim.RefusalTime)
+	c.refusedUntil[dataCenter] = now.Add(event.Notice + event.RefusalTime)
 	for _, h := range c.hosts {
 		if h.info.DataCenter != dataCenter || !h.info.Reclaimable || !h.reclaimedAt.IsZero() {
 			continue
 		}
-		h.reclaimedAt = now.Add(reclaim.Notice)
+		h.reclaimedAt = now.Add(event.Notice)
 		leaving := h.info
 		leaving.State = endpoint.Leaving
 		leaving.LeaveBy = h.reclaimedAt
 		time.AfterFunc(noticeDelay, func() { c.run.announce(leaving) })
-		time.AfterFunc(reclaim.Notice, func() { c.run.direct.Kill(h.info.Address) })
+		time.AfterFunc(event.Notice, func() { c.run.direct.Kill(h.info.Address) })
 	}
 }
 
--- a/pkg/policybench/run.go
+++ b/pkg/policybench/run.go
@@ -110,7 +110,7 @@
 	failed            int
 	corrupted         int
 	completed         int
-	running           sync.WaitGroup
+	tasks             sync.WaitGroup
 }
 
 // entry holds the components of one entry host.
@@ -176,19 +176,19 @@
 	}
 	initialHosts := len(r.cloud.hosts)
 	time.Sleep(time.Millisecond)
-	for _, reclaim := range s.Reclaims {
-		time.AfterFunc(reclaim.At, func() { r.cloud.reclaim(reclaim) })
+	for _, event := range s.Reclaims {
+		time.AfterFunc(event.At, func() { r.cloud.reclaim(event) })
 	}
-	r.running.Go(func() { r.cloud.replaceReclaimed(p, offers, demand) })
+	r.tasks.Go(func() { r.cloud.replaceReclaimed(p, offers, demand) })
 	for i, e := range r.entries {
-		r.running.Go(func() { r.pollReports(e, s.ReportLag, time.Duration(i)*s.ReportLag/entryCount) })
+		r.tasks.Go(func() { r.pollReports(e, s.ReportLag, time.Duration(i)*s.ReportLag/entryCount) })
 	}
 	start := time.Now()
 	for i, a := range GenerateArrivals(f, s.Duration, s.LoadFactor, seed) {
 		time.Sleep(time.Until(start.Add(a.At)))
-		r.running.Go(func() { r.serve(r.entries[i%entryCount], a, i) })
+		r.tasks.Go(func() { r.serve(r.entries[i%entryCount], a, i) })
 	}
-	r.running.Wait()
+	r.tasks.Wait()
 	return r.outcome(initialHosts)
 }
 
