--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 demo: build ## Demonstrate the guarantees on a fleet of local processes (FLEET=authority|head-office, SIZE=small|full)
 	@FLEET="$(FLEET)" SIZE="$(SIZE)" scripts/demo.sh
 
-demo-failures: build ## Inject process, host and store failures under load and check every answer
+demo-failures: build ## Kill and freeze processes, reclaim data centres and disrupt the store under load; check every answer
 	@FLEET="$(FLEET)" scripts/failures.sh
 
 bench-hop: build ## Measure the latency and CPU cost of one entry hop
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -53,7 +53,8 @@
 INI
 }
 
-# write_control N DATA_CENTRE OPERATOR ADMIN PEER writes the settings of a control process. Its intervals are shorter than the defaults.
+# write_control N DATA_CENTRE OPERATOR ADMIN PEER writes the settings of a control process,
+# with shorter intervals than the defaults.
 write_control() {
   cat >"$work/control-$1.ini" <<INI
 [node]
