--- a/pkg/app/node/rollouts.go
+++ b/pkg/app/node/rollouts.go
@@ -44,8 +44,7 @@
 }
 
 // completedOrders is, by service, the last completed order after which the reconciler has been
-// reset for it.
-// Only one goroutine uses it.
+// reset for it. Only one goroutine uses it.
 type completedOrders map[string]int64
 
 func newCompletedOrders() completedOrders { return completedOrders{} }
