--- a/pkg/app/soak/soak.go
+++ b/pkg/app/soak/soak.go
@@ -83,13 +83,13 @@
 	if err != nil {
 		return false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, folder)
 	}
-	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d promises broken\n", seed, outcome.Served, outcome.Failed, outcome.Reports, len(outcome.Broken))
-	for _, what := range outcome.Broken {
+	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d promises broken\n", seed, outcome.Served, outcome.Failed, outcome.ReportedWindows, len(outcome.Violations))
+	for _, what := range outcome.Violations {
 		_, _ = fmt.Fprintln(out, "  ", what)
 	}
-	if len(outcome.Broken) > 0 || keep {
+	if len(outcome.Violations) > 0 || keep {
 		_, _ = fmt.Fprintln(out, "   logs in", folder)
-		return len(outcome.Broken) > 0, err
+		return len(outcome.Violations) > 0, err
 	}
 	return false, os.RemoveAll(folder)
 }
--- a/pkg/soak/busy.go
+++ b/pkg/soak/busy.go
@@ -17,9 +17,9 @@
 	sent, ended time.Time
 }
 
-// RunBusy has callers send without pause and injects no faults: every request must be
+// RunUnderLoad has callers send without pause and injects no faults: every request must be
 // answered by its deadline.
-func RunBusy(ctx context.Context, o Options) (Outcome, error) {
+func RunUnderLoad(ctx context.Context, o Options) (Outcome, error) {
 	o.RequestPause = busyPause
 	r := newRun(o)
 	defer r.end()
--- a/pkg/soak/busy_test.go
+++ b/pkg/soak/busy_test.go
@@ -16,13 +16,13 @@
 	for rig := range rigs {
 		t.Run(fmt.Sprint(rig), func(t *testing.T) {
 			t.Parallel()
-			outcome, err := soak.RunBusy(context.Background(), soak.Options{
+			outcome, err := soak.RunUnderLoad(context.Background(), soak.Options{
 				Program: program, Folder: t.TempDir(), Seed: uint64(rig), Length: 12 * time.Second, Nodes: 3, Callers: 12, Log: t.Output(),
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, what := range outcome.Broken {
+			for _, what := range outcome.Violations {
 				t.Error(what)
 			}
 			if outcome.Failed*100 > outcome.Served {
--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -12,25 +12,25 @@
 	"ironhollow/platform/standin"
 )
 
-// Crashing is a request that ends each endpoint that runs it and comes again, with new
+// CrashingRequest is a request that ends each endpoint that runs it and comes again, with new
 // ids, at any host.
-type Crashing struct {
+type CrashingRequest struct {
 	Kind standin.RequestKind
-	// Every is the time between two tries, Lasting how long they come.
-	Every, Lasting time.Duration
+	// Interval is the time between two tries, Duration how long they come.
+	Interval, Duration time.Duration
 	// KillAll kills all hosts at once when half of that is over.
 	KillAll bool
 }
 
 // CrashingOutcome is what came of it.
 type CrashingOutcome struct {
-	// Tries is how many were sent, Ended how many endpoints they ended.
-	Tries, Ended int
-	// Late is how many came to an endpoint later than contactTime after the third that
+	// Sent is how many were sent, Crashes how many endpoints they ended.
+	Sent, Crashes int
+	// LateCrashes is how many came to an endpoint later than contactTime after the third that
 	// they ended.
-	Late int
-	// Refused is how many were answered at once that they did not run.
-	Refused int
+	LateCrashes int
+	// Rejected is how many were answered at once that they did not run.
+	Rejected int
 }
 
 const (
@@ -42,7 +42,7 @@
 
 // RunCrashing sends crashing requests beside what callers send, each to a host drawn
 // anew.
-func RunCrashing(ctx context.Context, o Options, requests []Crashing) (Outcome, []CrashingOutcome, error) {
+func RunCrashing(ctx context.Context, o Options, requests []CrashingRequest) (Outcome, []CrashingOutcome, error) {
 	r := newRun(o)
 	defer r.end()
 	if err := r.start(); err != nil {
@@ -66,12 +66,12 @@
 
 // drawCrashing draws the requests of a run that end endpoints and when they begin, by
 // numbers of their own: the other faults of a seed stay.
-func drawCrashing(o Options) (requests []Crashing, after []time.Duration) {
+func drawCrashing(o Options) (requests []CrashingRequest, after []time.Duration) {
 	random := rand.New(rand.NewPCG(o.Seed, crashingStream))
 	kinds := []standin.RequestKind{standin.Safe, standin.Once, standin.Stream, standin.Resume}
 	for range random.IntN(mostCrashing + 1) {
 		every := 200*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
-		requests = append(requests, Crashing{Kind: kinds[random.IntN(len(kinds))], Every: every, Lasting: o.Length + recovery + calm})
+		requests = append(requests, CrashingRequest{Kind: kinds[random.IntN(len(kinds))], Interval: every, Duration: o.Length + recovery + calm})
 		after = append(after, time.Duration(random.Int64N(int64(o.Length))))
 	}
 	return requests, after
@@ -88,7 +88,7 @@
 	for i, c := range requests {
 		sent.Go(func() {
 			r.wait(ctx, after[i])
-			r.log("request %d ends endpoints, %s, every %v", i, c.Kind, c.Every)
+			r.log("request %d ends endpoints, %s, every %v", i, c.Kind, c.Interval)
 			r.sendCrashing(ctx, i, c)
 		})
 	}
@@ -120,7 +120,7 @@
 func crashingBody(number int) string { return fmt.Sprintf("%s%d", standin.CrashBodyPrefix, number) }
 
 // sendCrashing sends one crashing request's tries.
-func (r *run) sendCrashing(ctx context.Context, number int, c Crashing) CrashingOutcome {
+func (r *run) sendCrashing(ctx context.Context, number int, c CrashingRequest) CrashingOutcome {
 	body := crashingBody(number)
 	random := rand.New(rand.NewPCG(r.options.Seed, crashingStream+1+uint64(number)))
 	client := &http.Client{Timeout: callerTime, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -130,13 +130,13 @@
 		tries   sync.WaitGroup
 	)
 	killed := !c.KillAll
-	for began := time.Now(); time.Since(began) < c.Lasting && ctx.Err() == nil; {
-		if !killed && time.Since(began) > c.Lasting/2 {
+	for began := time.Now(); time.Since(began) < c.Duration && ctx.Err() == nil; {
+		if !killed && time.Since(began) > c.Duration/2 {
 			killed = true
 			r.killAll()
 		}
-		outcome.Tries++
-		id := fmt.Sprintf("crashing-%d-%d", number, outcome.Tries)
+		outcome.Sent++
+		id := fmt.Sprintf("crashing-%d-%d", number, outcome.Sent)
 		address := r.nodes[random.IntN(len(r.nodes))].file.Callers
 		tries.Go(func() {
 			if !r.tryCrashing(client, c.Kind, address, id, body) {
@@ -144,16 +144,16 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			outcome.Refused++
+			outcome.Rejected++
 		})
-		r.wait(ctx, c.Every/2+time.Duration(random.Int64N(int64(c.Every))))
+		r.wait(ctx, c.Interval/2+time.Duration(random.Int64N(int64(c.Interval))))
 	}
 	tries.Wait()
 	ended := r.ledger.CrashTimes(body)
-	outcome.Ended = len(ended)
+	outcome.Crashes = len(ended)
 	for _, at := range ended {
 		if len(ended) > heldAfter && at.Sub(ended[heldAfter-1]) > contactTime+standin.CrashDelay {
-			outcome.Late++
+			outcome.LateCrashes++
 		}
 	}
 	r.log("crashing request %d: %+v", number, outcome)
--- a/pkg/soak/crashing_test.go
+++ b/pkg/soak/crashing_test.go
@@ -11,10 +11,10 @@
 
 // Guards against a request that ends each endpoint that runs it, sent on to the next.
 func TestCrashingRequestIsHeldBack(t *testing.T) {
-	requests := []soak.Crashing{
-		{Kind: standin.Resume, Every: 250 * time.Millisecond, Lasting: 9 * time.Second},
-		{Kind: standin.Once, Every: 400 * time.Millisecond, Lasting: 9 * time.Second},
-		{Kind: standin.Safe, Every: 300 * time.Millisecond, Lasting: 12 * time.Second, KillAll: true},
+	requests := []soak.CrashingRequest{
+		{Kind: standin.Resume, Interval: 250 * time.Millisecond, Duration: 9 * time.Second},
+		{Kind: standin.Once, Interval: 400 * time.Millisecond, Duration: 9 * time.Second},
+		{Kind: standin.Safe, Interval: 300 * time.Millisecond, Duration: 12 * time.Second, KillAll: true},
 	}
 	outcome, came, err := soak.RunCrashing(context.Background(), soak.Options{
 		Program: buildNode(t), Folder: t.TempDir(), Seed: 1, Nodes: 3, Callers: 8, Log: t.Output(),
@@ -22,20 +22,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Broken {
+	for _, what := range outcome.Violations {
 		t.Error(what)
 	}
 	for i, got := range came {
 		const mostLate = 3
-		if got.Ended < 3 {
-			t.Errorf("%s: got %d endpoints ended of %d tries, want 3 or more: nothing is shown", requests[i].Kind, got.Ended, got.Tries)
+		if got.Crashes < 3 {
+			t.Errorf("%s: got %d endpoints ended of %d tries, want 3 or more: nothing is shown", requests[i].Kind, got.Crashes, got.Sent)
 		}
-		if got.Late > mostLate {
+		if got.LateCrashes > mostLate {
 			t.Errorf("%s: got %d tries at endpoints after the third end was known, want %d at most; %d ended, %d tries",
-				requests[i].Kind, got.Late, mostLate, got.Ended, got.Tries)
+				requests[i].Kind, got.LateCrashes, mostLate, got.Crashes, got.Sent)
 		}
-		if got.Refused == 0 {
-			t.Errorf("%s: got no try of %d refused as not run, want those after the third end", requests[i].Kind, got.Tries)
+		if got.Rejected == 0 {
+			t.Errorf("%s: got no try of %d refused as not run, want those after the third end", requests[i].Kind, got.Sent)
 		}
 	}
 	t.Logf("%d served, %d failed", outcome.Served, outcome.Failed)
--- a/pkg/soak/fault.go
+++ b/pkg/soak/fault.go
@@ -24,14 +24,14 @@
 // cutStore harms the way from a host to the store.
 type cutStore struct {
 	node    int
-	harm    Harm
+	harm    Mode
 	lasting time.Duration
 }
 
 // harmEndpoint harms the way from all hosts to an endpoint.
 type harmEndpoint struct {
 	endpoint int
-	harm     Harm
+	harm     Mode
 	lasting  time.Duration
 }
 
@@ -65,7 +65,7 @@
 // draw draws a fault.
 func draw(random *rand.Rand, nodes, endpoints int) fault {
 	lasting := 500*time.Millisecond + time.Duration(random.Int64N(int64(3*time.Second)))
-	harm := Harm(1 + random.IntN(int(Reset)))
+	harm := Mode(1 + random.IntN(int(Reset)))
 	switch random.IntN(10) {
 	case 0:
 		return stopNode{random.IntN(nodes), syscall.SIGKILL, 0}
@@ -104,13 +104,13 @@
 	case cutStore:
 		n := r.nodes[f.node]
 		n.harm(time.Now().Add(f.lasting + traces))
-		n.store.Set(f.harm)
-		r.later(f.lasting, func() { n.store.Set(Pass) })
+		n.store.SetMode(f.harm)
+		r.later(f.lasting, func() { n.store.SetMode(Pass) })
 	case harmEndpoint:
 		p := r.proxyOf(f.endpoint)
 		r.harmAll(f.lasting + traces)
-		p.Set(f.harm)
-		r.later(f.lasting, func() { p.Set(Pass) })
+		p.SetMode(f.harm)
+		r.later(f.lasting, func() { p.SetMode(Pass) })
 	case storeTrouble:
 		r.harmAll(f.lasting + traces)
 		r.store.SetFaults(f.trouble)
--- a/pkg/soak/limits.go
+++ b/pkg/soak/limits.go
@@ -13,9 +13,9 @@
 
 // LimitsOutcome is what endpoints that named limits received.
 type LimitsOutcome struct {
-	Limited []standin.AdvertisedLimit
-	// After is how many requests the endpoint that withdrew its limit served in the end.
-	After int
+	Limits []standin.AdvertisedLimit
+	// ServedAfterWithdrawal is how many requests the endpoint that withdrew its limit served in the end.
+	ServedAfterWithdrawal int
 	// Served and Failed are of requests sent while limits were named.
 	Served, Failed int
 }
--- a/pkg/soak/limits_test.go
+++ b/pkg/soak/limits_test.go
@@ -15,24 +15,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Broken {
+	for _, what := range outcome.Violations {
 		t.Error(what)
 	}
-	if got, want := len(limits.Limited), 6; got != want {
+	if got, want := len(limits.Limits), 6; got != want {
 		t.Errorf("limits named: got %d, want %d", got, want)
 	}
-	for _, l := range limits.Limited {
+	for _, l := range limits.Limits {
 		came, allowed := l.MaxArrivals()
 		if came > allowed {
 			t.Errorf("%s named %v a second: got %d requests in 4 s, want %d at most", l.Endpoint, l.Limit, came, allowed)
 		}
 		t.Logf("%s, %v a second: %d of %d in 4 s, %d in all", l.Endpoint, l.Limit, came, allowed, len(l.Arrivals))
 	}
-	if limits.After < 10 {
-		t.Errorf("after the limit was withdrawn: got %d requests in 3 s, want 10 at least", limits.After)
+	if limits.ServedAfterWithdrawal < 10 {
+		t.Errorf("after the limit was withdrawn: got %d requests in 3 s, want 10 at least", limits.ServedAfterWithdrawal)
 	}
 	if sent := limits.Served + limits.Failed; limits.Failed*20 > sent {
 		t.Errorf("while limits were named: got %d of %d requests failed, want 1 in 20 at most: the other endpoints serve", limits.Failed, sent)
 	}
-	t.Logf("%d served, %d failed; %d after the withdrawal", outcome.Served, outcome.Failed, limits.After)
+	t.Logf("%d served, %d failed; %d after the withdrawal", outcome.Served, outcome.Failed, limits.ServedAfterWithdrawal)
 }
--- a/pkg/soak/notices.go
+++ b/pkg/soak/notices.go
@@ -22,9 +22,9 @@
 
 // NoticesOutcome is what came of what endpoints said.
 type NoticesOutcome struct {
-	// Unheard is how many requests came to an endpoint that leaves, from any host, later
+	// LateRequests is how many requests came to an endpoint that leaves, from any host, later
 	// than the bound after its first answer that said so.
-	Unheard int
+	LateRequests int
 	// Backoffs are those that were asked for.
 	Backoffs []standin.Backoff
 	// Served and Failed are of requests sent while endpoints turned others away.
@@ -47,7 +47,7 @@
 	notices.Served, notices.Failed = r.turnAway(ctx)
 	stopCallers()
 	r.checkRuns()
-	notices.Unheard = len(r.ledger.LateAfterNotice())
+	notices.LateRequests = len(r.ledger.LateAfterNotice())
 	notices.Backoffs = r.ledger.Backoffs()
 	return r.outcome(), notices, ctx.Err()
 }
--- a/pkg/soak/notices_test.go
+++ b/pkg/soak/notices_test.go
@@ -16,11 +16,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Broken {
+	for _, what := range outcome.Violations {
 		t.Error(what)
 	}
-	if notices.Unheard > 0 {
-		t.Errorf("requests at endpoints whose answers had said for 2 s that they leave: got %d, want 0", notices.Unheard)
+	if notices.LateRequests > 0 {
+		t.Errorf("requests at endpoints whose answers had said for 2 s that they leave: got %d, want 0", notices.LateRequests)
 	}
 	if len(notices.Backoffs) == 0 {
 		t.Error("got no endpoint that asked for backoff, want two: nothing is shown")
--- a/pkg/soak/proxy.go
+++ b/pkg/soak/proxy.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Harm is what a proxy does to the connections through it.
-type Harm int
+// Mode is what a proxy does to the connections through it.
+type Mode int
 
 // The harms.
 const (
 	// Pass does no harm.
-	Pass Harm = iota
+	Pass Mode = iota
 	// Delay holds every piece back for a while.
 	Delay
 	// Silence lets nothing through, either way; connections stay open.
@@ -28,7 +28,7 @@
 )
 
 // String names the harm.
-func (h Harm) String() string {
+func (h Mode) String() string {
 	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[h]
 }
 
@@ -41,7 +41,7 @@
 	target   string
 
 	mu    sync.Mutex
-	harm  Harm
+	harm  Mode
 	conns map[net.Conn]bool
 	// changed is closed when the harm changes.
 	changed chan struct{}
@@ -67,11 +67,11 @@
 // Close ends the proxy and its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	p.Set(Reset)
+	p.SetMode(Reset)
 }
 
-// Set changes what the proxy does.
-func (p *Proxy) Set(h Harm) {
+// SetMode changes what the proxy does.
+func (p *Proxy) SetMode(h Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.harm = h
@@ -84,7 +84,7 @@
 	}
 }
 
-func (p *Proxy) state() (Harm, chan struct{}) {
+func (p *Proxy) state() (Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.harm, p.changed
--- a/pkg/soak/restores_test.go
+++ b/pkg/soak/restores_test.go
@@ -15,14 +15,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Broken {
+	for _, what := range outcome.Violations {
 		t.Error(what)
 	}
 	for _, host := range restored.Outdated {
 		t.Errorf("3 s after the store is up again: got an older configuration at %s, want the newest", host)
 	}
-	if outcome.Reports == 0 {
+	if outcome.ReportedWindows == 0 {
 		t.Error("got no usage windows reported, want some")
 	}
-	t.Logf("%d served, %d failed, %d windows reported", outcome.Served, outcome.Failed, outcome.Reports)
+	t.Logf("%d served, %d failed, %d windows reported", outcome.Served, outcome.Failed, outcome.ReportedWindows)
 }
--- a/pkg/soak/rollout.go
+++ b/pkg/soak/rollout.go
@@ -14,28 +14,28 @@
 type Rollout struct {
 	Target standin.Version
 	Period time.Duration
-	// Boot is how long after the order its endpoints are there.
-	Boot time.Duration
-	// Meanwhile is done a while after the order, if not nil; it may signal hosts.
-	Meanwhile func(hosts Hosts)
+	// BootTime is how long after the order its endpoints are there.
+	BootTime time.Duration
+	// InjectFault is done a while after the order, if not nil; it may signal hosts.
+	InjectFault func(hosts FaultInjector)
 }
 
-// Hosts are those of a run, for what is done to them.
-type Hosts interface {
-	// KillOwner kills the process that decides on roll-outs.
-	KillOwner()
-	// StoreDown turns all calls to the store away for a time.
-	StoreDown(lasting time.Duration)
+// FaultInjector are those of a run, for what is done to them.
+type FaultInjector interface {
+	// KillLeaseHolder kills the process that decides on roll-outs.
+	KillLeaseHolder()
+	// TakeStoreDown turns all calls to the store away for a time.
+	TakeStoreDown(lasting time.Duration)
 }
 
 // RolloutOutcome is how an order ended.
 type RolloutOutcome struct {
 	// State is what the operator reads at the end of the period, with what was allowed
 	// for it to be written.
-	State string
-	After time.Duration
-	// Asked is the requests to the service in the period, Tried those of the target.
-	Asked, Tried int
+	State   string
+	Elapsed time.Duration
+	// Requests is the requests to the service in the period, TargetRequests those of the target.
+	Requests, TargetRequests int
 	// Failed is the requests of all services that failed from the order until a while
 	// after its end.
 	Failed int
@@ -93,29 +93,29 @@
 		return RolloutOutcome{}, err
 	}
 	ordered := time.Now()
-	r.wait(ctx, order.Boot)
+	r.wait(ctx, order.BootTime)
 	first := len(r.endpoints)
 	for i := range plainEndpoints {
 		if err := r.addVersion(first+i, order.Target); err != nil {
 			return RolloutOutcome{}, err
 		}
 	}
-	if order.Meanwhile != nil {
-		r.later(time.Until(ordered.Add(time.Duration(meanwhile*float64(order.Period)))), func() { order.Meanwhile(r) })
+	if order.InjectFault != nil {
+		r.later(time.Until(ordered.Add(time.Duration(meanwhile*float64(order.Period)))), func() { order.InjectFault(r) })
 	}
 	state := r.awaitState(ctx, service, order.Target.Name, ordered.Add(order.Period+stateLate))
-	outcome := RolloutOutcome{State: state, After: time.Since(ordered)}
-	outcome.Tried = r.ledger.RunsOfVersion(order.Target.Name)
+	outcome := RolloutOutcome{State: state, Elapsed: time.Since(ordered)}
+	outcome.TargetRequests = r.ledger.RunsOfVersion(order.Target.Name)
 	switch state {
 	case "completed":
 		// The others stop at once.
 		r.endVersion(*running)
 	case "reverted":
 		r.wait(ctx, drainsAfter)
-		outcome.Tried = r.ledger.RunsOfVersion(order.Target.Name)
+		outcome.TargetRequests = r.ledger.RunsOfVersion(order.Target.Name)
 		r.endVersion(order.Target.Name)
 	}
-	outcome.Asked = r.ledger.RunsOfVersion(*running) - before + outcome.Tried
+	outcome.Requests = r.ledger.RunsOfVersion(*running) - before + outcome.TargetRequests
 	if state == "completed" {
 		*running = order.Target.Name
 	}
@@ -123,7 +123,7 @@
 	_, outcome.Failed = r.report.totals()
 	outcome.Failed -= failedBefore
 	r.timers.Wait()
-	r.log("%s %s after %v, %d of %d requests", order.Target.Name, state, outcome.After, outcome.Tried, outcome.Asked)
+	r.log("%s %s after %v, %d of %d requests", order.Target.Name, state, outcome.Elapsed, outcome.TargetRequests, outcome.Requests)
 	return outcome, nil
 }
 
@@ -162,8 +162,8 @@
 	return status.State
 }
 
-// KillOwner kills the process whose name the lease's row has.
-func (r *run) KillOwner() {
+// KillLeaseHolder kills the process whose name the lease's row has.
+func (r *run) KillLeaseHolder() {
 	for _, n := range r.nodes {
 		if r.holds(n) {
 			r.log("kill %s, which owns the roll-out", n.file.Name)
@@ -186,8 +186,8 @@
 	return strings.HasPrefix(held.Holder, n.file.Name+".")
 }
 
-// StoreDown turns all calls to the store away for a time.
-func (r *run) StoreDown(lasting time.Duration) {
+// TakeStoreDown turns all calls to the store away for a time.
+func (r *run) TakeStoreDown(lasting time.Duration) {
 	r.log("store down for %v", lasting)
 	r.store.SetFaults(standin.StoreFaults{Down: true})
 	time.Sleep(lasting)
--- a/pkg/soak/rollout_test.go
+++ b/pkg/soak/rollout_test.go
@@ -19,14 +19,14 @@
 		soak.Rollout
 		want string
 	}{
-		{soak.Rollout{Target: standin.Version{Name: "v2"}, Period: period, Boot: 500 * time.Millisecond}, "completed"},
+		{soak.Rollout{Target: standin.Version{Name: "v2"}, Period: period, BootTime: 500 * time.Millisecond}, "completed"},
 		{soak.Rollout{
-			Target: standin.Version{Name: "v3", SlowShare: 0.6, SlowDelay: 60 * time.Millisecond}, Period: period, Boot: 2500 * time.Millisecond,
-			Meanwhile: func(h soak.Hosts) { h.StoreDown(2 * time.Second) },
+			Target: standin.Version{Name: "v3", SlowShare: 0.6, SlowDelay: 60 * time.Millisecond}, Period: period, BootTime: 2500 * time.Millisecond,
+			InjectFault: func(h soak.FaultInjector) { h.TakeStoreDown(2 * time.Second) },
 		}, "reverted"},
 		{soak.Rollout{
-			Target: standin.Version{Name: "v4", FailShare: 0.5}, Period: period, Boot: 2500 * time.Millisecond,
-			Meanwhile: func(h soak.Hosts) { h.KillOwner() },
+			Target: standin.Version{Name: "v4", FailShare: 0.5}, Period: period, BootTime: 2500 * time.Millisecond,
+			InjectFault: func(h soak.FaultInjector) { h.KillLeaseHolder() },
 		}, "reverted"},
 	}
 	var list []soak.Rollout
@@ -39,22 +39,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Broken {
+	for _, what := range outcome.Violations {
 		t.Error(what)
 	}
 	for i, got := range ended {
 		o := orders[i]
 		if got.State != o.want {
-			t.Errorf("%s: got %q after %v, want %q", o.Target.Name, got.State, got.After, o.want)
+			t.Errorf("%s: got %q after %v, want %q", o.Target.Name, got.State, got.Elapsed, o.want)
 		}
-		if got.After > o.Period {
-			t.Errorf("%s: ended after %v, want within %v", o.Target.Name, got.After, o.Period)
+		if got.Elapsed > o.Period {
+			t.Errorf("%s: ended after %v, want within %v", o.Target.Name, got.Elapsed, o.Period)
 		}
 		if o.want == "completed" && got.Failed > 0 {
 			t.Errorf("%s: %d requests failed while it took over, want none", o.Target.Name, got.Failed)
 		}
-		if allowed := 0.1*float64(got.Asked) + 50; o.want == "reverted" && float64(got.Tried) > allowed {
-			t.Errorf("%s: got %d of %d requests, want %.0f at most", o.Target.Name, got.Tried, got.Asked, allowed)
+		if allowed := 0.1*float64(got.Requests) + 50; o.want == "reverted" && float64(got.TargetRequests) > allowed {
+			t.Errorf("%s: got %d of %d requests, want %.0f at most", o.Target.Name, got.TargetRequests, got.Requests, allowed)
 		}
 	}
 	t.Logf("%d served, %d failed", outcome.Served, outcome.Failed)
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -31,10 +31,10 @@
 // Outcome is how a run ended.
 type Outcome struct {
 	Served, Failed int
-	// Reports is how many windows of usage were reported.
-	Reports int
-	// Broken is every broken promise.
-	Broken []string
+	// ReportedWindows is how many windows of usage were reported.
+	ReportedWindows int
+	// Violations is every broken promise.
+	Violations []string
 }
 
 // Figures of a run.
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -44,11 +44,11 @@
 		if closeErr := faults.Close(); err != nil || closeErr != nil {
 			t.Fatal(err, closeErr)
 		}
-		for _, what := range outcome.Broken {
+		for _, what := range outcome.Violations {
 			t.Errorf("seed %d: %s", seed, what)
 		}
-		if outcome.Served < 100 || outcome.Reports == 0 {
-			t.Errorf("seed %d: got %d served, %d windows reported, want some", seed, outcome.Served, outcome.Reports)
+		if outcome.Served < 100 || outcome.ReportedWindows == 0 {
+			t.Errorf("seed %d: got %d served, %d windows reported, want some", seed, outcome.Served, outcome.ReportedWindows)
 		}
 	}
 }
