--- a/pkg/app/soak/soak.go
+++ b/pkg/app/soak/soak.go
@@ -19,9 +19,9 @@
 // Main runs the command line and returns the exit code.
 func Main() int {
 	var o soak.Options
-	var first uint64
+	var firstSeed uint64
 	var seeds int
-	var keep bool
+	var keepLogs bool
 	command := &cobra.Command{
 		Use:           "ironhollow-soak",
 		Short:         "Run processes under faults drawn from seeds and check their promises",
@@ -31,18 +31,18 @@
 		RunE: func(command *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt)
 			defer stop()
-			return all(ctx, o, first, seeds, keep, command.OutOrStdout())
+			return runSeeds(ctx, o, firstSeed, seeds, keepLogs, command.OutOrStdout())
 		},
 	}
 	flags := command.Flags()
 	flags.StringVar(&o.Program, "program", "bin/ironhollow-node", "path of ironhollow-node")
-	flags.Uint64Var(&first, "seed", uint64(time.Now().Unix()), "first seed; fresh ones by the clock if left out")
+	flags.Uint64Var(&firstSeed, "seed", uint64(time.Now().Unix()), "first seed; fresh ones by the clock if left out")
 	flags.IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
 	flags.DurationVar(&o.Length, "length", 15*time.Second, "how long faults are injected for each seed")
 	flags.IntVar(&o.Nodes, "nodes", 4, "how many processes")
 	flags.IntVar(&o.Callers, "callers", 12, "how many callers")
 	flags.StringVar(&o.Folder, "folder", os.TempDir(), "where the logs of failed seeds are kept")
-	flags.BoolVar(&keep, "keep", false, "keep the logs of all seeds")
+	flags.BoolVar(&keepLogs, "keep", false, "keep the logs of all seeds")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return process.ExitFailure
@@ -50,11 +50,11 @@
 	return process.ExitOK
 }
 
-// all runs the seeds and tells of each.
-func all(ctx context.Context, o soak.Options, first uint64, seeds int, keep bool, out io.Writer) error {
+// runSeeds runs the seeds and tells of each.
+func runSeeds(ctx context.Context, o soak.Options, firstSeed uint64, seeds int, keepLogs bool, out io.Writer) error {
 	failed := 0
-	for seed := first; seed < first+uint64(seeds) && ctx.Err() == nil; seed++ {
-		broken, err := one(ctx, o, seed, keep, out)
+	for seed := firstSeed; seed < firstSeed+uint64(seeds) && ctx.Err() == nil; seed++ {
+		broken, err := runSeed(ctx, o, seed, keepLogs, out)
 		if err != nil {
 			return err
 		}
@@ -68,7 +68,7 @@
 	return ctx.Err()
 }
 
-func one(ctx context.Context, o soak.Options, seed uint64, keep bool, out io.Writer) (broken bool, err error) {
+func runSeed(ctx context.Context, o soak.Options, seed uint64, keepLogs bool, out io.Writer) (broken bool, err error) {
 	folder, err := os.MkdirTemp(o.Folder, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		return false, err
@@ -84,10 +84,10 @@
 		return false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, folder)
 	}
 	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d promises broken\n", seed, outcome.Served, outcome.Failed, outcome.ReportedWindows, len(outcome.Violations))
-	for _, what := range outcome.Violations {
-		_, _ = fmt.Fprintln(out, "  ", what)
+	for _, violation := range outcome.Violations {
+		_, _ = fmt.Fprintln(out, "  ", violation)
 	}
-	if len(outcome.Violations) > 0 || keep {
+	if len(outcome.Violations) > 0 || keepLogs {
 		_, _ = fmt.Fprintln(out, "   logs in", folder)
 		return len(outcome.Violations) > 0, err
 	}
--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -34,44 +34,44 @@
 }
 
 const (
-	// contactTime is how long hosts have to learn of an end from each other.
-	contactTime = 3 * time.Second
-	// heldAfter is after how many ends a request should come to no endpoint any more.
-	heldAfter = 3
+	// propagationTime is how long hosts have to learn of an end from each other.
+	propagationTime = 3 * time.Second
+	// crashThreshold is after how many ends a request should come to no endpoint any more.
+	crashThreshold = 3
 )
 
 // RunCrashing sends crashing requests beside what callers send, each to a host drawn
 // anew.
 func RunCrashing(ctx context.Context, o Options, requests []CrashingRequest) (Outcome, []CrashingOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, nil, err
 	}
 	stopCallers := r.startCallers(ctx)
 	var outcomes []CrashingOutcome
 	for i, c := range requests {
-		outcomes = append(outcomes, r.sendCrashing(ctx, i, c))
+		outcomes = append(outcomes, r.repeatCrashing(ctx, i, c))
 	}
 	r.timers.Wait()
-	r.wait(ctx, recovery)
-	r.checkCalm(ctx)
+	r.wait(ctx, recoveryTime)
+	r.checkRecovery(ctx)
 	stopCallers()
-	r.checkRuns()
+	r.checkInvariants()
 	return r.outcome(), outcomes, ctx.Err()
 }
 
-// mostCrashing is how many requests that end endpoints come in a run at most.
-const mostCrashing = 2
+// maxCrashing is how many requests that end endpoints come in a run at most.
+const maxCrashing = 2
 
-// drawCrashing draws the requests of a run that end endpoints and when they begin, by
+// randomCrashing draws the requests of a run that end endpoints and when they begin, by
 // numbers of their own: the other faults of a seed stay.
-func drawCrashing(o Options) (requests []CrashingRequest, after []time.Duration) {
+func randomCrashing(o Options) (requests []CrashingRequest, after []time.Duration) {
 	random := rand.New(rand.NewPCG(o.Seed, crashingStream))
 	kinds := []standin.RequestKind{standin.Safe, standin.Once, standin.Stream, standin.Resume}
-	for range random.IntN(mostCrashing + 1) {
-		every := 200*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
-		requests = append(requests, CrashingRequest{Kind: kinds[random.IntN(len(kinds))], Interval: every, Duration: o.Length + recovery + calm})
+	for range random.IntN(maxCrashing + 1) {
+		interval := 200*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
+		requests = append(requests, CrashingRequest{Kind: kinds[random.IntN(len(kinds))], Interval: interval, Duration: o.Length + recoveryTime + calmTime})
 		after = append(after, time.Duration(random.Int64N(int64(o.Length))))
 	}
 	return requests, after
@@ -83,63 +83,63 @@
 // startCrashing has the requests drawn come until the function returned is called.
 func (r *run) startCrashing(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var sent sync.WaitGroup
-	requests, after := drawCrashing(r.options)
+	var senders sync.WaitGroup
+	requests, after := randomCrashing(r.options)
 	for i, c := range requests {
-		sent.Go(func() {
+		senders.Go(func() {
 			r.wait(ctx, after[i])
 			r.log("request %d ends endpoints, %s, every %v", i, c.Kind, c.Interval)
-			r.sendCrashing(ctx, i, c)
+			r.repeatCrashing(ctx, i, c)
 		})
 	}
 	return func() {
 		cancel()
-		sent.Wait()
+		senders.Wait()
 	}
 }
 
 // checkHeldBack checks that requests which have ended three endpoints long ago come to no
 // others while all is well, but for what is allowed.
 func (r *run) checkHeldBack(since time.Time) {
-	const mostLate = 3
-	requests, _ := drawCrashing(r.options)
+	const maxLate = 3
+	requests, _ := randomCrashing(r.options)
 	for i := range requests {
-		ended := r.ledger.CrashTimes(crashingBody(i))
+		crashes := r.requestLog.CrashTimes(crashingBody(i))
 		late := 0
-		for _, at := range ended {
+		for _, at := range crashes {
 			if at.After(since) {
 				late++
 			}
 		}
-		if before := len(ended) - late; before >= heldAfter && late > mostLate {
-			r.report.wrong("request %d had ended %d endpoints and came to %d more when all was well", i, before, late)
+		if before := len(crashes) - late; before >= crashThreshold && late > maxLate {
+			r.report.addViolation("request %d had ended %d endpoints and came to %d more when all was well", i, before, late)
 		}
 	}
 }
 
 func crashingBody(number int) string { return fmt.Sprintf("%s%d", standin.CrashBodyPrefix, number) }
 
-// sendCrashing sends one crashing request's tries.
-func (r *run) sendCrashing(ctx context.Context, number int, c CrashingRequest) CrashingOutcome {
+// repeatCrashing sends one crashing request's tries.
+func (r *run) repeatCrashing(ctx context.Context, number int, c CrashingRequest) CrashingOutcome {
 	body := crashingBody(number)
 	random := rand.New(rand.NewPCG(r.options.Seed, crashingStream+1+uint64(number)))
-	client := &http.Client{Timeout: callerTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var (
 		outcome CrashingOutcome
 		mu      sync.Mutex
-		tries   sync.WaitGroup
+		pending sync.WaitGroup
 	)
 	killed := !c.KillAll
-	for began := time.Now(); time.Since(began) < c.Duration && ctx.Err() == nil; {
-		if !killed && time.Since(began) > c.Duration/2 {
+	for start := time.Now(); time.Since(start) < c.Duration && ctx.Err() == nil; {
+		if !killed && time.Since(start) > c.Duration/2 {
 			killed = true
 			r.killAll()
 		}
 		outcome.Sent++
 		id := fmt.Sprintf("crashing-%d-%d", number, outcome.Sent)
-		address := r.nodes[random.IntN(len(r.nodes))].file.Callers
-		tries.Go(func() {
-			if !r.tryCrashing(client, c.Kind, address, id, body) {
+		address := r.nodes[random.IntN(len(r.nodes))].settings.Callers
+		pending.Go(func() {
+			if !r.sendCrashing(client, c.Kind, address, id, body) {
 				return
 			}
 			mu.Lock()
@@ -148,11 +148,11 @@
 		})
 		r.wait(ctx, c.Interval/2+time.Duration(random.Int64N(int64(c.Interval))))
 	}
-	tries.Wait()
-	ended := r.ledger.CrashTimes(body)
-	outcome.Crashes = len(ended)
-	for _, at := range ended {
-		if len(ended) > heldAfter && at.Sub(ended[heldAfter-1]) > contactTime+standin.CrashDelay {
+	pending.Wait()
+	crashes := r.requestLog.CrashTimes(body)
+	outcome.Crashes = len(crashes)
+	for _, at := range crashes {
+		if len(crashes) > crashThreshold && at.Sub(crashes[crashThreshold-1]) > propagationTime+standin.CrashDelay {
 			outcome.LateCrashes++
 		}
 	}
@@ -160,11 +160,11 @@
 	return outcome
 }
 
-// tryCrashing sends one try and reports whether it was refused as not run.
-func (r *run) tryCrashing(client *http.Client, kind standin.RequestKind, address, id, body string) bool {
+// sendCrashing sends one try and reports whether it was refused as not run.
+func (r *run) sendCrashing(client *http.Client, kind standin.RequestKind, address, id, body string) bool {
 	request, err := standin.NewRequest(address, standin.Once, id, body)
 	if err != nil {
-		r.report.wrong("%s: %v", id, err)
+		r.report.addViolation("%s: %v", id, err)
 		return false
 	}
 	request.URL.Path = "/" + string(kind) + "/x"
@@ -174,8 +174,8 @@
 		return false
 	}
 	defer func() { _ = response.Body.Close() }()
-	if standin.MeansNotRun(response.StatusCode) && r.ledger.Runs(id) > 0 {
-		r.report.wrong("%s was said not to have run, and ran", id)
+	if standin.MeansNotRun(response.StatusCode) && r.requestLog.Runs(id) > 0 {
+		r.report.addViolation("%s was said not to have run, and ran", id)
 	}
 	return standin.MeansNotRun(response.StatusCode)
 }
@@ -183,7 +183,7 @@
 // killAll kills all hosts' processes at once; they are started again.
 func (r *run) killAll() {
 	r.log("kill all hosts")
-	r.noteStop()
+	r.recordStop()
 	for _, n := range r.nodes {
 		n.signal(syscall.SIGKILL)
 	}
--- a/pkg/soak/crashing_test.go
+++ b/pkg/soak/crashing_test.go
@@ -16,23 +16,23 @@
 		{Kind: standin.Once, Interval: 400 * time.Millisecond, Duration: 9 * time.Second},
 		{Kind: standin.Safe, Interval: 300 * time.Millisecond, Duration: 12 * time.Second, KillAll: true},
 	}
-	outcome, came, err := soak.RunCrashing(context.Background(), soak.Options{
+	outcome, outcomes, err := soak.RunCrashing(context.Background(), soak.Options{
 		Program: buildNode(t), Folder: t.TempDir(), Seed: 1, Nodes: 3, Callers: 8, Log: t.Output(),
 	}, requests)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Violations {
-		t.Error(what)
+	for _, violation := range outcome.Violations {
+		t.Error(violation)
 	}
-	for i, got := range came {
-		const mostLate = 3
+	for i, got := range outcomes {
+		const maxLate = 3
 		if got.Crashes < 3 {
 			t.Errorf("%s: got %d endpoints ended of %d tries, want 3 or more: nothing is shown", requests[i].Kind, got.Crashes, got.Sent)
 		}
-		if got.LateCrashes > mostLate {
+		if got.LateCrashes > maxLate {
 			t.Errorf("%s: got %d tries at endpoints after the third end was known, want %d at most; %d ended, %d tries",
-				requests[i].Kind, got.LateCrashes, mostLate, got.Crashes, got.Sent)
+				requests[i].Kind, got.LateCrashes, maxLate, got.Crashes, got.Sent)
 		}
 		if got.Rejected == 0 {
 			t.Errorf("%s: got no try of %d refused as not run, want those after the third end", requests[i].Kind, got.Sent)
--- a/pkg/soak/fault.go
+++ b/pkg/soak/fault.go
@@ -13,142 +13,142 @@
 // storeTrouble, forget, leave, crash or reconfigure.
 type fault interface{ fault() }
 
-// stopNode signals a host's process. A stopped one is started again; a frozen one
+// signalNode signals a host's process. A stopped one is started again; a frozen one
 // is woken after a time.
-type stopNode struct {
-	node    int
-	signal  syscall.Signal
-	lasting time.Duration
+type signalNode struct {
+	node     int
+	signal   syscall.Signal
+	duration time.Duration
 }
 
-// cutStore harms the way from a host to the store.
-type cutStore struct {
-	node    int
-	harm    Mode
-	lasting time.Duration
+// disruptStoreLink harms the way from a host to the store.
+type disruptStoreLink struct {
+	node     int
+	mode     Mode
+	duration time.Duration
 }
 
-// harmEndpoint harms the way from all hosts to an endpoint.
-type harmEndpoint struct {
+// disruptEndpointLink harms the way from all hosts to an endpoint.
+type disruptEndpointLink struct {
 	endpoint int
-	harm     Mode
-	lasting  time.Duration
+	mode     Mode
+	duration time.Duration
 }
 
-// storeTrouble makes the store down, slow or lossy for all.
-type storeTrouble struct {
-	trouble standin.StoreFaults
-	lasting time.Duration
+// degradeStore makes the store down, slow or lossy for all.
+type degradeStore struct {
+	faults   standin.StoreFaults
+	duration time.Duration
 }
 
-// forget makes the store forget its history.
-type forget struct{}
+// dropHistory makes the store dropHistory its history.
+type dropHistory struct{}
 
-// leave replaces an endpoint in order, crash at once.
+// drainEndpoint replaces an endpoint in order, crashEndpoint at once.
 type (
-	leave struct{ endpoint int }
-	crash struct{ endpoint int }
+	drainEndpoint struct{ endpoint int }
+	crashEndpoint struct{ endpoint int }
 )
 
 // reconfigure puts another configuration in force.
 type reconfigure struct{}
 
-func (stopNode) fault()     {}
-func (cutStore) fault()     {}
-func (harmEndpoint) fault() {}
-func (storeTrouble) fault() {}
-func (forget) fault()       {}
-func (leave) fault()        {}
-func (crash) fault()        {}
-func (reconfigure) fault()  {}
-
-// draw draws a fault.
-func draw(random *rand.Rand, nodes, endpoints int) fault {
-	lasting := 500*time.Millisecond + time.Duration(random.Int64N(int64(3*time.Second)))
-	harm := Mode(1 + random.IntN(int(Reset)))
+func (signalNode) fault()          {}
+func (disruptStoreLink) fault()    {}
+func (disruptEndpointLink) fault() {}
+func (degradeStore) fault()        {}
+func (dropHistory) fault()         {}
+func (drainEndpoint) fault()       {}
+func (crashEndpoint) fault()       {}
+func (reconfigure) fault()         {}
+
+// randomFault draws a fault.
+func randomFault(random *rand.Rand, nodes, endpoints int) fault {
+	duration := 500*time.Millisecond + time.Duration(random.Int64N(int64(3*time.Second)))
+	mode := Mode(1 + random.IntN(int(Reset)))
 	switch random.IntN(10) {
 	case 0:
-		return stopNode{random.IntN(nodes), syscall.SIGKILL, 0}
+		return signalNode{random.IntN(nodes), syscall.SIGKILL, 0}
 	case 1, 2:
-		return stopNode{random.IntN(nodes), syscall.SIGTERM, 0}
+		return signalNode{random.IntN(nodes), syscall.SIGTERM, 0}
 	case 3:
-		return stopNode{random.IntN(nodes), syscall.SIGSTOP, lasting}
+		return signalNode{random.IntN(nodes), syscall.SIGSTOP, duration}
 	case 4:
-		return cutStore{random.IntN(nodes), harm, lasting}
+		return disruptStoreLink{random.IntN(nodes), mode, duration}
 	case 5:
-		return harmEndpoint{random.IntN(endpoints), harm, lasting}
+		return disruptEndpointLink{random.IntN(endpoints), mode, duration}
 	case 6:
-		troubles := []standin.StoreFaults{{Down: true}, {Slow: 200 * time.Millisecond}, {LoseWrites: 0.4}}
-		return storeTrouble{troubles[random.IntN(len(troubles))], lasting}
+		faults := []standin.StoreFaults{{Down: true}, {Slow: 200 * time.Millisecond}, {LoseWrites: 0.4}}
+		return degradeStore{faults[random.IntN(len(faults))], duration}
 	case 7:
-		return leave{random.IntN(endpoints)}
+		return drainEndpoint{random.IntN(endpoints)}
 	case 8:
-		return crash{random.IntN(endpoints)}
+		return crashEndpoint{random.IntN(endpoints)}
 	default:
 		if random.IntN(3) == 0 {
-			return forget{}
+			return dropHistory{}
 		}
 		return reconfigure{}
 	}
 }
 
-// traces is how long after a fault its traces may show at a host.
-const traces = 4 * time.Second
+// residualEffectTime is how long after a fault its residualEffectTime may show at a host.
+const residualEffectTime = 4 * time.Second
 
 // inject carries a fault out; what lasts is ended by a timer.
 func (r *run) inject(f fault) {
 	r.log("%s", describe(f))
 	switch f := f.(type) {
-	case stopNode:
-		r.stop(f)
-	case cutStore:
+	case signalNode:
+		r.sendSignal(f)
+	case disruptStoreLink:
 		n := r.nodes[f.node]
-		n.harm(time.Now().Add(f.lasting + traces))
-		n.store.SetMode(f.harm)
-		r.later(f.lasting, func() { n.store.SetMode(Pass) })
-	case harmEndpoint:
-		p := r.proxyOf(f.endpoint)
-		r.harmAll(f.lasting + traces)
-		p.SetMode(f.harm)
-		r.later(f.lasting, func() { p.SetMode(Pass) })
-	case storeTrouble:
-		r.harmAll(f.lasting + traces)
-		r.store.SetFaults(f.trouble)
-		r.later(f.lasting, func() { r.store.SetFaults(standin.StoreFaults{}) })
-	case forget:
+		n.markFaulty(time.Now().Add(f.duration + residualEffectTime))
+		n.storeProxy.SetMode(f.mode)
+		r.schedule(f.duration, func() { n.storeProxy.SetMode(Pass) })
+	case disruptEndpointLink:
+		proxy := r.endpointProxy(f.endpoint)
+		r.markAllFaulty(f.duration + residualEffectTime)
+		proxy.SetMode(f.mode)
+		r.schedule(f.duration, func() { proxy.SetMode(Pass) })
+	case degradeStore:
+		r.markAllFaulty(f.duration + residualEffectTime)
+		r.store.SetFaults(f.faults)
+		r.schedule(f.duration, func() { r.store.SetFaults(standin.StoreFaults{}) })
+	case dropHistory:
 		r.store.DropHistory()
-	case leave:
-		r.replace(f.endpoint, func(e *standin.Endpoint) { e.Drain(serveOn) })
-	case crash:
+	case drainEndpoint:
+		r.replace(f.endpoint, func(e *standin.Endpoint) { e.Drain(drainTime) })
+	case crashEndpoint:
 		r.replace(f.endpoint, (*standin.Endpoint).Stop)
 	case reconfigure:
 		r.reconfigure()
 	}
 }
 
-func (r *run) stop(f stopNode) {
+func (r *run) sendSignal(f signalNode) {
 	n := r.nodes[f.node]
-	n.harm(time.Now().Add(f.lasting + grace + traces))
+	n.markFaulty(time.Now().Add(f.duration + gracePeriod + residualEffectTime))
 	n.signal(f.signal)
-	r.noteStop()
+	r.recordStop()
 	if f.signal == syscall.SIGSTOP {
-		r.later(f.lasting, func() { n.signal(syscall.SIGCONT) })
+		r.schedule(f.duration, func() { n.signal(syscall.SIGCONT) })
 	}
 }
 
 func describe(f fault) string {
 	switch f := f.(type) {
-	case stopNode:
-		return fmt.Sprintf("%v to node-%d, %v", f.signal, f.node, f.lasting)
-	case cutStore:
-		return fmt.Sprintf("store of node-%d: %v for %v", f.node, f.harm, f.lasting)
-	case harmEndpoint:
-		return fmt.Sprintf("endpoint %d: %v for %v", f.endpoint, f.harm, f.lasting)
-	case storeTrouble:
-		return fmt.Sprintf("store: %+v for %v", f.trouble, f.lasting)
-	case leave:
+	case signalNode:
+		return fmt.Sprintf("%v to node-%d, %v", f.signal, f.node, f.duration)
+	case disruptStoreLink:
+		return fmt.Sprintf("store of node-%d: %v for %v", f.node, f.mode, f.duration)
+	case disruptEndpointLink:
+		return fmt.Sprintf("endpoint %d: %v for %v", f.endpoint, f.mode, f.duration)
+	case degradeStore:
+		return fmt.Sprintf("store: %+v for %v", f.faults, f.duration)
+	case drainEndpoint:
 		return fmt.Sprintf("endpoint %d leaves", f.endpoint)
-	case crash:
+	case crashEndpoint:
 		return fmt.Sprintf("endpoint %d crashes", f.endpoint)
 	default:
 		return fmt.Sprintf("%T", f)
--- a/pkg/soak/limits.go
+++ b/pkg/soak/limits.go
@@ -8,8 +8,8 @@
 	"ironhollow/platform/standin"
 )
 
-// limitHeld is how long each limit of a run of RunLimits is named.
-const limitHeld = 8 * time.Second
+// limitDuration is how long each limit of a run of RunLimits is named.
+const limitDuration = 8 * time.Second
 
 // LimitsOutcome is what endpoints that named limits received.
 type LimitsOutcome struct {
@@ -24,12 +24,12 @@
 // raise it while the store is away, and withdraw it.
 func RunLimits(ctx context.Context, o Options) (Outcome, LimitsOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, LimitsOutcome{}, err
 	}
 	stopCallers := r.startCallers(ctx)
-	r.wait(ctx, noticeSettle)
+	r.wait(ctx, warmUpTime)
 	servedBefore, failedBefore := r.report.totals()
 	limited := []*standin.Endpoint{r.endpoints[0], r.endpoints[plainEndpoints]}
 	for _, perSecond := range []float64{4, 1, 8} {
@@ -38,27 +38,27 @@
 		for _, e := range limited {
 			e.AdvertiseLimit(perSecond)
 		}
-		r.wait(ctx, limitHeld)
+		r.wait(ctx, limitDuration)
 	}
 	r.store.SetFaults(standin.StoreFaults{})
 	served, failed := r.report.totals()
 	for _, e := range limited {
 		e.AdvertiseLimit(0)
 	}
-	r.wait(ctx, recovery)
-	before := r.ledger.ArrivalCount(limited[0].ID())
-	r.wait(ctx, calm)
-	after := r.ledger.ArrivalCount(limited[0].ID()) - before
+	r.wait(ctx, recoveryTime)
+	before := r.requestLog.ArrivalCount(limited[0].ID())
+	r.wait(ctx, calmTime)
+	after := r.requestLog.ArrivalCount(limited[0].ID()) - before
 	stopCallers()
-	r.checkRuns()
-	return r.outcome(), LimitsOutcome{r.ledger.AdvertisedLimits(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
+	r.checkInvariants()
+	return r.outcome(), LimitsOutcome{r.requestLog.AdvertisedLimits(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
 }
 
-// limitsRequests has an endpoint name a limit.
-type limitsRequests struct {
+// limitFault has an endpoint name a limit.
+type limitFault struct {
 	after     time.Duration
 	endpoint  int
-	lasting   time.Duration
+	duration  time.Duration
 	perSecond float64
 }
 
@@ -66,32 +66,32 @@
 	// limitStream is the stream of random numbers of limits, mostLimits how many there are in
 	// a run at most.
 	limitStream = 1 << 34
-	mostLimits  = 3
+	maxLimits   = 3
 )
 
-// drawLimits draws them by numbers of their own: the other faults of a seed stay.
-func drawLimits(o Options, endpoints int) []limitsRequests {
+// randomLimits draws them by numbers of their own: the other faults of a seed stay.
+func randomLimits(o Options, endpoints int) []limitFault {
 	random := rand.New(rand.NewPCG(o.Seed, limitStream))
-	drawn := make([]limitsRequests, random.IntN(mostLimits+1))
-	for i := range drawn {
-		drawn[i] = limitsRequests{
+	limits := make([]limitFault, random.IntN(maxLimits+1))
+	for i := range limits {
+		limits[i] = limitFault{
 			after: time.Duration(random.Int64N(int64(o.Length))), endpoint: random.IntN(endpoints),
-			lasting: limitHeld + time.Duration(random.Int64N(int64(limitHeld))), perSecond: 0.2 + 4*random.Float64(),
+			duration: limitDuration + time.Duration(random.Int64N(int64(limitDuration))), perSecond: 0.2 + 4*random.Float64(),
 		}
 	}
-	return drawn
+	return limits
 }
 
 // startLimits begins the limits drawn.
 func (r *run) startLimits() {
-	for _, f := range drawLimits(r.options, len(r.endpoints)) {
-		r.later(f.after, func() {
-			r.log("endpoint %d names a limit of %.2f a second for %v", f.endpoint, f.perSecond, f.lasting)
+	for _, f := range randomLimits(r.options, len(r.endpoints)) {
+		r.schedule(f.after, func() {
+			r.log("endpoint %d names a limit of %.2f a second for %v", f.endpoint, f.perSecond, f.duration)
 			r.mu.Lock()
 			e := r.endpoints[f.endpoint]
 			r.mu.Unlock()
 			e.AdvertiseLimit(f.perSecond)
-			time.AfterFunc(f.lasting, func() { e.AdvertiseLimit(0) })
+			time.AfterFunc(f.duration, func() { e.AdvertiseLimit(0) })
 		})
 	}
 }
@@ -99,10 +99,10 @@
 // checkLimits checks that no endpoint got more than the limit that it named allows, but for
 // times after a host was stopped, which has to be told again.
 func (r *run) checkLimits() {
-	for _, l := range r.ledger.AdvertisedLimits() {
-		came, allowed := l.MaxArrivalsExcept(func(from, to time.Time) bool { return r.anyStopped(from, to) })
-		if came > allowed {
-			r.report.wrong("%s named a limit of %.2f a second and got %d requests in a window, %d allowed", l.Endpoint, l.Limit, came, allowed)
+	for _, l := range r.requestLog.AdvertisedLimits() {
+		received, allowed := l.MaxArrivalsExcept(func(from, to time.Time) bool { return r.anyStopped(from, to) })
+		if received > allowed {
+			r.report.addViolation("%s named a limit of %.2f a second and got %d requests in a window, %d allowed", l.Endpoint, l.Limit, received, allowed)
 		}
 	}
 }
--- a/pkg/soak/limits_test.go
+++ b/pkg/soak/limits_test.go
@@ -15,18 +15,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Violations {
-		t.Error(what)
+	for _, violation := range outcome.Violations {
+		t.Error(violation)
 	}
 	if got, want := len(limits.Limits), 6; got != want {
 		t.Errorf("limits named: got %d, want %d", got, want)
 	}
 	for _, l := range limits.Limits {
-		came, allowed := l.MaxArrivals()
-		if came > allowed {
-			t.Errorf("%s named %v a second: got %d requests in 4 s, want %d at most", l.Endpoint, l.Limit, came, allowed)
+		received, allowed := l.MaxArrivals()
+		if received > allowed {
+			t.Errorf("%s named %v a second: got %d requests in 4 s, want %d at most", l.Endpoint, l.Limit, received, allowed)
 		}
-		t.Logf("%s, %v a second: %d of %d in 4 s, %d in all", l.Endpoint, l.Limit, came, allowed, len(l.Arrivals))
+		t.Logf("%s, %v a second: %d of %d in 4 s, %d in all", l.Endpoint, l.Limit, received, allowed, len(l.Arrivals))
 	}
 	if limits.ServedAfterWithdrawal < 10 {
 		t.Errorf("after the limit was withdrawn: got %d requests in 3 s, want 10 at least", limits.ServedAfterWithdrawal)
--- a/pkg/soak/notices.go
+++ b/pkg/soak/notices.go
@@ -10,13 +10,13 @@
 
 // Figures of a run in which endpoints say in their answers that they leave or ask for backoff.
 const (
-	// noticeSettle is how long callers send before anything happens.
-	noticeSettle = time.Second
-	// noticeServeOn is how long endpoints serve on that leave while the store is away.
-	noticeServeOn = 7 * time.Second
-	// turnAway is how long an endpoint turns requests away, noticeBackoff the backoff that it
+	// warmUpTime is how long callers send before anything happens.
+	warmUpTime = time.Second
+	// noticeDrainTime is how long endpoints serve on that leave while the store is away.
+	noticeDrainTime = 7 * time.Second
+	// rejectTime is how long an endpoint turns requests away, noticeBackoff the backoff that it
 	// asks for each time.
-	turnAway      = 5 * time.Second
+	rejectTime    = 5 * time.Second
 	noticeBackoff = 2 * time.Second
 )
 
@@ -35,83 +35,83 @@
 // away, that they leave, and others ask for backoff afterwards.
 func RunNotices(ctx context.Context, o Options) (Outcome, NoticesOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, NoticesOutcome{}, err
 	}
 	stopCallers := r.startCallers(ctx)
-	r.wait(ctx, noticeSettle)
-	r.leaveUnwritten(ctx)
-	r.wait(ctx, recovery)
+	r.wait(ctx, warmUpTime)
+	r.leaveWithoutStore(ctx)
+	r.wait(ctx, recoveryTime)
 	var notices NoticesOutcome
-	notices.Served, notices.Failed = r.turnAway(ctx)
+	notices.Served, notices.Failed = r.rejectRequests(ctx)
 	stopCallers()
-	r.checkRuns()
-	notices.LateRequests = len(r.ledger.LateAfterNotice())
-	notices.Backoffs = r.ledger.Backoffs()
+	r.checkInvariants()
+	notices.LateRequests = len(r.requestLog.LateAfterNotice())
+	notices.Backoffs = r.requestLog.Backoffs()
 	return r.outcome(), notices, ctx.Err()
 }
 
-// leaveUnwritten has an endpoint of each service leave while the store is away.
-func (r *run) leaveUnwritten(ctx context.Context) {
+// leaveWithoutStore has an endpoint of each service leave while the store is away.
+func (r *run) leaveWithoutStore(ctx context.Context) {
 	r.log("the store is away; an endpoint of each service leaves")
-	r.harmAll(noticeServeOn + traces)
+	r.markAllFaulty(noticeDrainTime + residualEffectTime)
 	r.store.SetFaults(standin.StoreFaults{Down: true})
-	r.endpoints[0].Drain(noticeServeOn)
-	r.endpoints[plainEndpoints].Drain(noticeServeOn)
-	r.wait(ctx, noticeServeOn)
+	r.endpoints[0].Drain(noticeDrainTime)
+	r.endpoints[plainEndpoints].Drain(noticeDrainTime)
+	r.wait(ctx, noticeDrainTime)
 	r.store.SetFaults(standin.StoreFaults{})
 }
 
-// turnAway has another endpoint of each service turn requests away and returns what
+// rejectRequests has another endpoint of each service turn requests away and returns what
 // became of callers' requests meanwhile.
-func (r *run) turnAway(ctx context.Context) (served, failed int) {
+func (r *run) rejectRequests(ctx context.Context) (served, failed int) {
 	r.log("an endpoint of each service turns requests away")
 	servedBefore, failedBefore := r.report.totals()
-	r.endpoints[1].RejectRequests(turnAway, noticeBackoff)
-	r.endpoints[plainEndpoints+1].RejectRequests(turnAway, noticeBackoff)
-	r.wait(ctx, turnAway+noticeBackoff)
+	r.endpoints[1].RejectRequests(rejectTime, noticeBackoff)
+	r.endpoints[plainEndpoints+1].RejectRequests(rejectTime, noticeBackoff)
+	r.wait(ctx, rejectTime+noticeBackoff)
 	served, failed = r.report.totals()
 	return served - servedBefore, failed - failedBefore
 }
 
-// turnsAway has an endpoint turn requests away, asking for backoff.
-type turnsAway struct {
-	after            time.Duration
-	endpoint         int
-	lasting, backoff time.Duration
+// rejectFault has an endpoint turn requests away, asking for backoff.
+type rejectFault struct {
+	after             time.Duration
+	endpoint          int
+	duration, backoff time.Duration
 }
 
 const (
 	// noticeStream is the stream of random numbers of such times, mostTurnsAway how many
 	// there are in a run at most.
 	noticeStream  = 1 << 33
-	mostTurnsAway = 3
+	maxRejections = 3
 )
 
-// drawTurnsAway draws them by numbers of their own: the other faults of a seed stay.
-func drawTurnsAway(o Options, endpoints int) []turnsAway {
+// randomRejections draws them by numbers of their own: the other faults of a seed stay.
+func randomRejections(o Options, endpoints int) []rejectFault {
 	random := rand.New(rand.NewPCG(o.Seed, noticeStream))
-	drawn := make([]turnsAway, random.IntN(mostTurnsAway+1))
+	rejections := make([]rejectFault, random.IntN(maxRejections+1))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
-	for i := range drawn {
-		drawn[i] = turnsAway{
+	for i := range rejections {
+		rejections[i] = rejectFault{
 			after: upTo(o.Length), endpoint: random.IntN(endpoints),
-			lasting: time.Second + upTo(4*time.Second), backoff: time.Second + upTo(3*time.Second),
+			duration: time.Second + upTo(4*time.Second), backoff: time.Second + upTo(3*time.Second),
 		}
 	}
-	return drawn
+	return rejections
 }
 
-// startTurnsAway begins the times drawn.
-func (r *run) startTurnsAway() {
-	for _, f := range drawTurnsAway(r.options, len(r.endpoints)) {
-		r.later(f.after, func() {
-			r.log("endpoint %d turns requests away for %v, asking for a backoff of %v", f.endpoint, f.lasting, f.backoff)
+// startRejections begins the times drawn.
+func (r *run) startRejections() {
+	for _, f := range randomRejections(r.options, len(r.endpoints)) {
+		r.schedule(f.after, func() {
+			r.log("endpoint %d turns requests away for %v, asking for a backoff of %v", f.endpoint, f.duration, f.backoff)
 			r.mu.Lock()
 			e := r.endpoints[f.endpoint]
 			r.mu.Unlock()
-			e.RejectRequests(f.lasting, f.backoff)
+			e.RejectRequests(f.duration, f.backoff)
 		})
 	}
 }
@@ -119,23 +119,23 @@
 // checkNotices checks that what endpoints said in answers was kept by all hosts, but for
 // what a host forgot that was stopped since.
 func (r *run) checkNotices() {
-	for _, late := range r.ledger.LateAfterNotice() {
+	for _, late := range r.requestLog.LateAfterNotice() {
 		if !r.anyStopped(late.At.Add(-late.After), late.At) {
-			r.report.wrong("%s came to an endpoint %v after an answer had said that it leaves", late.Request, late.After)
+			r.report.addViolation("%s came to an endpoint %v after an answer had said that it leaves", late.Request, late.After)
 		}
 	}
-	for _, backoff := range r.ledger.Backoffs() {
-		if most := 2 * len(r.nodes); backoff.Requests > most && !r.anyStopped(backoff.Start, backoff.End) {
-			r.report.wrong("%s had asked for a backoff of %v and got %d requests from %d hosts", backoff.Endpoint, backoff.End.Sub(backoff.Start), backoff.Requests, len(r.nodes))
+	for _, backoff := range r.requestLog.Backoffs() {
+		if allowed := 2 * len(r.nodes); backoff.Requests > allowed && !r.anyStopped(backoff.Start, backoff.End) {
+			r.report.addViolation("%s had asked for a backoff of %v and got %d requests from %d hosts", backoff.Endpoint, backoff.End.Sub(backoff.Start), backoff.Requests, len(r.nodes))
 		}
 	}
 }
 
-// noteStop notes that a host is stopped now.
-func (r *run) noteStop() {
+// recordStop notes that a host is stopped now.
+func (r *run) recordStop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stops = append(r.stops, time.Now())
+	r.stopTimes = append(r.stopTimes, time.Now())
 }
 
 // anyStopped reports whether a host was stopped, killed or frozen between two moments,
@@ -143,8 +143,8 @@
 func (r *run) anyStopped(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, at := range r.stops {
-		if at.After(from.Add(-grace)) && at.Before(to) {
+	for _, at := range r.stopTimes {
+		if at.After(from.Add(-gracePeriod)) && at.Before(to) {
 			return true
 		}
 	}
--- a/pkg/soak/notices_test.go
+++ b/pkg/soak/notices_test.go
@@ -16,8 +16,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Violations {
-		t.Error(what)
+	for _, violation := range outcome.Violations {
+		t.Error(violation)
 	}
 	if notices.LateRequests > 0 {
 		t.Errorf("requests at endpoints whose answers had said for 2 s that they leave: got %d, want 0", notices.LateRequests)
@@ -26,9 +26,9 @@
 		t.Error("got no endpoint that asked for backoff, want two: nothing is shown")
 	}
 	for _, backoff := range notices.Backoffs {
-		const most = 2 * hosts
-		if backoff.Requests > most {
-			t.Errorf("%s asked for backoff and got %d requests in that time, want %d at most from %d hosts", backoff.Endpoint, backoff.Requests, most, hosts)
+		const allowed = 2 * hosts
+		if backoff.Requests > allowed {
+			t.Errorf("%s asked for backoff and got %d requests in that time, want %d at most from %d hosts", backoff.Endpoint, backoff.Requests, allowed, hosts)
 		}
 	}
 	if sent := notices.Served + notices.Failed; notices.Failed*20 > sent {
--- a/pkg/soak/process.go
+++ b/pkg/soak/process.go
@@ -19,37 +19,37 @@
 
 // node is one host: the same addresses over all its processes.
 type node struct {
-	file    standin.NodeSettings
-	program string
-	folder  string
-	// store is the proxy between this host and the store.
-	store *Proxy
+	settings standin.NodeSettings
+	program  string
+	folder   string
+	// storeProxy is the proxy between this host and the storeProxy.
+	storeProxy *Proxy
 
 	mu      sync.Mutex
 	process *exec.Cmd
 	done    chan struct{}
-	ended   bool
-	// harmedUntil is until when faults or their traces are at this host.
-	harmedUntil time.Time
+	stopped bool
+	// faultyUntil is until when faults or their traces are at this host.
+	faultyUntil time.Time
 }
 
 // Ports of hosts lie below those that the kernel gives to outgoing connections:
 // a restarted process must find its own free. Several soaks may run at once.
 const (
 	firstPort = 10_000
-	portSpan  = 20_000
+	portCount = 20_000
 )
 
-// portAt counts the ports tried by all fleets of this process; each process begins somewhere
+// portCounter counts the ports tried by all fleets of this process; each process begins somewhere
 // else.
-var portAt atomic.Int64
+var portCounter atomic.Int64
 
-func init() { portAt.Store(int64(os.Getpid() * 97)) }
+func init() { portCounter.Store(int64(os.Getpid() * 97)) }
 
 // freePort returns a loopback address that is free.
 func freePort() (string, int, error) {
-	for range portSpan {
-		port := firstPort + int(portAt.Add(1)%portSpan)
+	for range portCount {
+		port := firstPort + int(portCounter.Add(1)%portCount)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -65,49 +65,49 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &node{program: program, folder: folder, store: proxy}
-	n.file = standin.NodeSettings{
+	n := &node{program: program, folder: folder, storeProxy: proxy}
+	n.settings = standin.NodeSettings{
 		Name: fmt.Sprintf("node-%d", number), Store: proxy.Address(), Cloud: cloudAddress,
-		GraceS: int(grace / time.Second), LeaseMS: 3000, ReportWindowS: 2, RetryWindowS: 10,
+		GraceS: int(gracePeriod / time.Second), LeaseMS: 3000, ReportWindowS: 2, RetryWindowS: 10,
 	}
-	for _, address := range []*string{&n.file.Callers, &n.file.Ready, &n.file.Directory, &n.file.Admin} {
+	for _, address := range []*string{&n.settings.Callers, &n.settings.Ready, &n.settings.Directory, &n.settings.Admin} {
 		if *address, _, err = freePort(); err != nil {
 			return nil, err
 		}
 	}
-	if _, n.file.PeerPort, err = freePort(); err != nil {
+	if _, n.settings.PeerPort, err = freePort(); err != nil {
 		return nil, err
 	}
-	path := filepath.Join(folder, n.file.Name+".toml")
-	return n, os.WriteFile(path, []byte(n.file.TOML()), 0o600)
+	path := filepath.Join(folder, n.settings.Name+".toml")
+	return n, os.WriteFile(path, []byte(n.settings.TOML()), 0o600)
 }
 
 // start starts a process, and another whenever it ends, until end.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.ended {
+	if n.stopped {
 		return nil
 	}
-	log, err := os.OpenFile(filepath.Join(n.folder, n.file.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(n.folder, n.settings.Name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	n.process = exec.Command(n.program)
-	n.process.Env = append(os.Environ(), platform.SettingsPathVariable+"="+filepath.Join(n.folder, n.file.Name+".toml"))
+	n.process.Env = append(os.Environ(), platform.SettingsPathVariable+"="+filepath.Join(n.folder, n.settings.Name+".toml"))
 	n.process.Stdout, n.process.Stderr = log, log
 	n.done = make(chan struct{})
 	if err := n.process.Start(); err != nil {
 		return errors.Join(err, log.Close())
 	}
-	go n.watch(n.process, n.done, log)
+	go n.restartOnExit(n.process, n.done, log)
 	return nil
 }
 
 // restartPause is the time from a process's end to the next one's start.
 const restartPause = 300 * time.Millisecond
 
-func (n *node) watch(process *exec.Cmd, done chan struct{}, log *os.File) {
+func (n *node) restartOnExit(process *exec.Cmd, done chan struct{}, log *os.File) {
 	// How it ended stands in its log.
 	_ = process.Wait()
 	_ = log.Close()
@@ -126,37 +126,37 @@
 	_ = n.process.Process.Signal(s)
 }
 
-// end ends the node for good and waits for its process.
-func (n *node) end() {
+// stop ends the node for good and waits for its process.
+func (n *node) stop() {
 	n.mu.Lock()
-	n.ended = true
+	n.stopped = true
 	process, done := n.process, n.done
 	n.mu.Unlock()
-	n.store.Close()
+	n.storeProxy.Close()
 	if process != nil {
 		_ = process.Process.Kill()
 		<-done
 	}
 }
 
-// harm notes that faults are at this host until some time.
-func (n *node) harm(until time.Time) {
+// markFaulty notes that faults are at this host until some time.
+func (n *node) markFaulty(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if until.After(n.harmedUntil) {
-		n.harmedUntil = until
+	if until.After(n.faultyUntil) {
+		n.faultyUntil = until
 	}
 }
 
-func (n *node) harmed(at time.Time) bool {
+func (n *node) faulty(at time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return at.Before(n.harmedUntil)
+	return at.Before(n.faultyUntil)
 }
 
 // ready asks the node whether it is ready.
 func (n *node) ready(client *http.Client) bool {
-	response, err := client.Get(standin.ReadyURL(n.file.Ready))
+	response, err := client.Get(standin.ReadyURL(n.settings.Ready))
 	if err != nil {
 		return false
 	}
--- a/pkg/soak/proxy.go
+++ b/pkg/soak/proxy.go
@@ -28,12 +28,12 @@
 )
 
 // String names the harm.
-func (h Mode) String() string {
-	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[h]
+func (m Mode) String() string {
+	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[m]
 }
 
-// delay is how long Delay holds a piece back.
-const delay = 150 * time.Millisecond
+// delayTime is how long Delay holds a piece back.
+const delayTime = 150 * time.Millisecond
 
 // Proxy is a loopback proxy of one address. It is safe for concurrent use.
 type Proxy struct {
@@ -41,14 +41,14 @@
 	target   string
 
 	mu    sync.Mutex
-	harm  Mode
+	mode  Mode
 	conns map[net.Conn]bool
 	// changed is closed when the harm changes.
 	changed chan struct{}
 }
 
 // NewProxy starts a proxy to a target.
-func NewProxy(target string) (*Proxy, error) { return NewProxyAt(freeAddress, target) }
+func NewProxy(target string) (*Proxy, error) { return NewProxyAt(anyPortAddress, target) }
 
 // NewProxyAt starts a proxy to a target at an address.
 func NewProxyAt(address, target string) (*Proxy, error) {
@@ -71,23 +71,23 @@
 }
 
 // SetMode changes what the proxy does.
-func (p *Proxy) SetMode(h Mode) {
+func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harm = h
+	p.mode = mode
 	close(p.changed)
 	p.changed = make(chan struct{})
-	if h == Reset {
+	if mode == Reset {
 		for c := range p.conns {
 			reset(c)
 		}
 	}
 }
 
-func (p *Proxy) state() (Mode, chan struct{}) {
+func (p *Proxy) currentMode() (Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm, p.changed
+	return p.mode, p.changed
 }
 
 func reset(c net.Conn) {
@@ -99,30 +99,30 @@
 
 func (p *Proxy) accept() {
 	for {
-		inner, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if h, _ := p.state(); h == Reset {
-			reset(inner)
+		if mode, _ := p.currentMode(); mode == Reset {
+			reset(client)
 			continue
 		}
-		go p.connect(inner)
+		go p.forward(client)
 	}
 }
 
-func (p *Proxy) connect(inner net.Conn) {
-	outer, err := net.DialTimeout("tcp", p.target, time.Second)
+func (p *Proxy) forward(client net.Conn) {
+	upstream, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		reset(inner)
+		reset(client)
 		return
 	}
-	p.keep(inner, outer)
-	go p.copy(outer, inner, false)
-	p.copy(inner, outer, true)
+	p.track(client, upstream)
+	go p.copyDirection(upstream, client, false)
+	p.copyDirection(client, upstream, true)
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -130,7 +130,7 @@
 	}
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -139,13 +139,13 @@
 	}
 }
 
-// copy carries one direction; answers says that it is the way back.
-func (p *Proxy) copy(to, from net.Conn, answers bool) {
+// copyDirection carries one direction; answers says that it is the way back.
+func (p *Proxy) copyDirection(to, from net.Conn, responses bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			p.hold(answers)
+			p.applyMode(responses)
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				break
@@ -155,7 +155,7 @@
 			if tcp, ok := to.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
 			}
-			if !answers {
+			if !responses {
 				// The caller is done sending: the way back goes on.
 				return
 			}
@@ -166,18 +166,18 @@
 			break
 		}
 	}
-	p.drop(to, from)
+	p.closeConns(to, from)
 }
 
-// hold waits as the harm asks before a piece is passed on.
-func (p *Proxy) hold(answers bool) {
+// applyMode waits as the harm asks before a piece is passed on.
+func (p *Proxy) applyMode(responses bool) {
 	for {
-		h, changed := p.state()
+		mode, changed := p.currentMode()
 		switch {
-		case h == Delay:
-			time.Sleep(delay)
+		case mode == Delay:
+			time.Sleep(delayTime)
 			return
-		case h == Silence, h == OneWay && answers:
+		case mode == Silence, mode == OneWay && responses:
 			<-changed
 		default:
 			return
--- a/pkg/soak/restores.go
+++ b/pkg/soak/restores.go
@@ -21,10 +21,10 @@
 	reissueTime = 3 * time.Second
 	// applyTime is how long hosts may take to apply a configuration once the store is up again.
 	applyTime = 3 * time.Second
-	// leastBackupAge and mostBackupAge bound the age of a randomly chosen backup when the store is
+	// minBackupAge and mostBackupAge bound the age of a randomly chosen backup when the store is
 	// taken down.
-	leastBackupAge = 500 * time.Millisecond
-	mostBackupAge  = 3 * time.Second
+	minBackupAge = 500 * time.Millisecond
+	maxBackupAge = 3 * time.Second
 )
 
 // RestoresOutcome is the state of hosts after restores of the store.
@@ -39,14 +39,14 @@
 // reissues the version numbers that hosts have seen.
 func RunRestores(ctx context.Context, o Options, restores int) (Outcome, RestoresOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, RestoresOutcome{}, err
 	}
 	stopCallers := r.startCallers(ctx)
 	var restored RestoresOutcome
 	for i := range restores {
-		r.wait(ctx, noticeSettle)
+		r.wait(ctx, warmUpTime)
 		backup := r.store.Backup()
 		r.wait(ctx, stepPause)
 		r.reconfigure()
@@ -56,9 +56,9 @@
 		r.wait(ctx, applyTime)
 		restored.Outdated = append(restored.Outdated, r.outdated(ctx)...)
 	}
-	r.checkCalm(ctx)
+	r.checkRecovery(ctx)
 	stopCallers()
-	r.checkRuns()
+	r.checkInvariants()
 	return r.outcome(), restored, ctx.Err()
 }
 
@@ -66,7 +66,7 @@
 // the given outage.
 func (r *run) restore(ctx context.Context, backup standin.Backup, outage time.Duration, write func()) {
 	before, _ := r.store.Version()
-	r.harmAll(stepPause + outage + traces)
+	r.markAllFaulty(stepPause + outage + residualEffectTime)
 	r.store.SetFaults(standin.StoreFaults{Down: true})
 	r.wait(ctx, stepPause)
 	r.store.Restore(backup)
@@ -81,9 +81,9 @@
 func (r *run) reconfigure() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.version++
-	if err := standin.PutConfiguration(r.store, r.version, r.version); err != nil {
-		r.report.wrong("configuration: %v", err)
+	r.configVersion++
+	if err := standin.PutConfiguration(r.store, r.configVersion, r.configVersion); err != nil {
+		r.report.addViolation("configuration: %v", err)
 	}
 }
 
@@ -94,10 +94,10 @@
 	defer client.CloseIdleConnections()
 	var hosts []string
 	for _, n := range r.nodes {
-		added, errAdded := r.probe(ctx, client, n, r.version)
-		removed, errRemoved := r.probe(ctx, client, n, r.version-1)
+		added, errAdded := r.probe(ctx, client, n, r.configVersion)
+		removed, errRemoved := r.probe(ctx, client, n, r.configVersion-1)
 		if added != http.StatusOK || removed != http.StatusNotFound {
-			hosts = append(hosts, fmt.Sprintf("%s: added route %d %v, removed route %d %v", n.file.Name, added, errAdded, removed, errRemoved))
+			hosts = append(hosts, fmt.Sprintf("%s: added route %d %v, removed route %d %v", n.settings.Name, added, errAdded, removed, errRemoved))
 		}
 	}
 	return hosts
@@ -105,7 +105,7 @@
 
 // probe sends a request to a host on a route of the given generation and returns the status.
 func (r *run) probe(ctx context.Context, client *http.Client, n *node, generation int) (int, error) {
-	request, err := standin.NewRequest(n.file.Callers, standin.Safe, fmt.Sprintf("probe-%s-%d-%d", n.file.Name, generation, time.Now().UnixNano()), "")
+	request, err := standin.NewRequest(n.settings.Callers, standin.Safe, fmt.Sprintf("probe-%s-%d-%d", n.settings.Name, generation, time.Now().UnixNano()), "")
 	if err != nil {
 		return 0, err
 	}
@@ -120,8 +120,8 @@
 const (
 	// restoreStream is the stream of random numbers that determines the restores of a run.
 	restoreStream = 1 << 35
-	// mostRestores is the maximum number of restores in a run.
-	mostRestores = 2
+	// maxRestores is the maximum number of restores in a run.
+	maxRestores = 2
 )
 
 // startRestores schedules a random number of restores of the store from backups. It uses a separate
@@ -129,11 +129,11 @@
 func (r *run) startRestores(ctx context.Context) {
 	random := rand.New(rand.NewPCG(r.options.Seed, restoreStream))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(d))) }
-	restores := random.IntN(mostRestores + 1)
+	restores := random.IntN(maxRestores + 1)
 	var restoring sync.Mutex
 	for range restores {
-		after, age := upTo(r.options.Length), leastBackupAge+upTo(mostBackupAge-leastBackupAge)
-		r.later(after, func() {
+		after, age := upTo(r.options.Length), minBackupAge+upTo(maxBackupAge-minBackupAge)
+		r.schedule(after, func() {
 			restoring.Lock()
 			defer restoring.Unlock()
 			backup := r.store.Backup()
--- a/pkg/soak/restores_test.go
+++ b/pkg/soak/restores_test.go
@@ -15,8 +15,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Violations {
-		t.Error(what)
+	for _, violation := range outcome.Violations {
+		t.Error(violation)
 	}
 	for _, host := range restored.Outdated {
 		t.Errorf("3 s after the store is up again: got an older configuration at %s, want the newest", host)
--- a/pkg/soak/rollout.go
+++ b/pkg/soak/rollout.go
@@ -43,49 +43,49 @@
 
 // Figures of a run of roll-outs.
 const (
-	// stateLate is how long after the period the state is waited for.
-	stateLate = 10 * time.Second
-	// betweenOrders is the time before each order, in which hosts learn what is usual.
-	betweenOrders = 4 * time.Second
-	// drainsAfter is how long after a revert the target's endpoints end.
-	drainsAfter = 2 * time.Second
-	// meanwhile is the part of the period after which the rollout's own fault comes.
-	meanwhile = 0.4
-	pollState = 20 * time.Millisecond
-	// afterEnd is how long after the end failed requests are still counted to it.
-	afterEnd = time.Second
+	// stateTimeout is how long after the period the state is waited for.
+	stateTimeout = 10 * time.Second
+	// baselineTime is the time before each order, in which hosts learn what is usual.
+	baselineTime = 4 * time.Second
+	// revertDrainTime is how long after a revert the target's endpoints end.
+	revertDrainTime = 2 * time.Second
+	// injectAtShare is the part of the period after which the rollout's own fault comes.
+	injectAtShare     = 0.4
+	statePollInterval = 20 * time.Millisecond
+	// failureCountTime is how long after the end failed requests are still counted to it.
+	failureCountTime = time.Second
 )
 
 // RunRollouts gives orders one after the other, for the plain service.
 func RunRollouts(ctx context.Context, o Options, orders []Rollout) (Outcome, []RolloutOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, nil, err
 	}
 	stopCallers := r.startCallers(ctx)
-	running := firstVersion
+	current := initialVersion
 	var outcomes []RolloutOutcome
 	for _, order := range orders {
-		r.wait(ctx, betweenOrders)
-		outcome, err := r.rollout(ctx, order, &running)
+		r.wait(ctx, baselineTime)
+		outcome, err := r.runRollout(ctx, order, &current)
 		if err != nil {
 			stopCallers()
 			return Outcome{}, nil, err
 		}
 		outcomes = append(outcomes, outcome)
 	}
-	r.wait(ctx, calm)
+	r.wait(ctx, calmTime)
 	stopCallers()
-	r.checkRuns()
+	r.checkInvariants()
 	return r.outcome(), outcomes, ctx.Err()
 }
 
-// rollout gives an order and does what the platform does with its end. running is the
+// runRollout gives an order and does what the platform does with its end. running is the
 // version in use.
-func (r *run) rollout(ctx context.Context, order Rollout, running *string) (RolloutOutcome, error) {
+func (r *run) runRollout(ctx context.Context, order Rollout, current *string) (RolloutOutcome, error) {
 	service := standin.PlainService
-	before := r.ledger.RunsOfVersion(*running)
+	before := r.requestLog.RunsOfVersion(*current)
 	_, failedBefore := r.report.totals()
 	r.log("order of %s", order.Target.Name)
 	value := map[string]any{"service": service, "target_version": order.Target.Name, "period_s": order.Period.Seconds()}
@@ -96,30 +96,30 @@
 	r.wait(ctx, order.BootTime)
 	first := len(r.endpoints)
 	for i := range plainEndpoints {
-		if err := r.addVersion(first+i, order.Target); err != nil {
+		if err := r.addEndpoint(first+i, order.Target); err != nil {
 			return RolloutOutcome{}, err
 		}
 	}
 	if order.InjectFault != nil {
-		r.later(time.Until(ordered.Add(time.Duration(meanwhile*float64(order.Period)))), func() { order.InjectFault(r) })
+		r.schedule(time.Until(ordered.Add(time.Duration(injectAtShare*float64(order.Period)))), func() { order.InjectFault(r) })
 	}
-	state := r.awaitState(ctx, service, order.Target.Name, ordered.Add(order.Period+stateLate))
+	state := r.awaitState(ctx, service, order.Target.Name, ordered.Add(order.Period+stateTimeout))
 	outcome := RolloutOutcome{State: state, Elapsed: time.Since(ordered)}
-	outcome.TargetRequests = r.ledger.RunsOfVersion(order.Target.Name)
+	outcome.TargetRequests = r.requestLog.RunsOfVersion(order.Target.Name)
 	switch state {
 	case "completed":
 		// The others stop at once.
-		r.endVersion(*running)
+		r.stopVersion(*current)
 	case "reverted":
-		r.wait(ctx, drainsAfter)
-		outcome.TargetRequests = r.ledger.RunsOfVersion(order.Target.Name)
-		r.endVersion(order.Target.Name)
+		r.wait(ctx, revertDrainTime)
+		outcome.TargetRequests = r.requestLog.RunsOfVersion(order.Target.Name)
+		r.stopVersion(order.Target.Name)
 	}
-	outcome.Requests = r.ledger.RunsOfVersion(*running) - before + outcome.TargetRequests
+	outcome.Requests = r.requestLog.RunsOfVersion(*current) - before + outcome.TargetRequests
 	if state == "completed" {
-		*running = order.Target.Name
+		*current = order.Target.Name
 	}
-	r.wait(ctx, afterEnd)
+	r.wait(ctx, failureCountTime)
 	_, outcome.Failed = r.report.totals()
 	outcome.Failed -= failedBefore
 	r.timers.Wait()
@@ -127,16 +127,16 @@
 	return outcome, nil
 }
 
-func (r *run) addVersion(i int, version standin.Version) error {
+func (r *run) addEndpoint(i int, version standin.Version) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.made++
+	r.endpointsStarted++
 	r.endpoints, r.proxies = append(r.endpoints, nil), append(r.proxies, nil)
-	return r.startVersion(i, standin.PlainService, version, freeAddress)
+	return r.startEndpointAt(i, standin.PlainService, version, anyPortAddress)
 }
 
-// endVersion ends all plain endpoints of a version at once.
-func (r *run) endVersion(version string) {
+// stopVersion ends all plain endpoints of a version at once.
+func (r *run) stopVersion(version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.endpoints {
@@ -147,17 +147,17 @@
 }
 
 // awaitState waits until the operator reads an end, and returns what is read then.
-func (r *run) awaitState(ctx context.Context, service, target string, until time.Time) string {
+func (r *run) awaitState(ctx context.Context, service, target string, deadline time.Time) string {
 	var status struct {
 		Target string `json:"target_version"`
 		State  string `json:"state"`
 	}
-	for time.Now().Before(until) && ctx.Err() == nil {
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		value := r.store.Value("status", "rollout/"+service)
 		if json.Unmarshal(value, &status) == nil && status.Target == target && status.State != "in_progress" {
 			return status.State
 		}
-		time.Sleep(pollState)
+		time.Sleep(statePollInterval)
 	}
 	return status.State
 }
@@ -165,31 +165,31 @@
 // KillLeaseHolder kills the process whose name the lease's row has.
 func (r *run) KillLeaseHolder() {
 	for _, n := range r.nodes {
-		if r.holds(n) {
-			r.log("kill %s, which owns the roll-out", n.file.Name)
+		if r.holdsLease(n) {
+			r.log("kill %s, which owns the roll-out", n.settings.Name)
 			n.signal(syscall.SIGKILL)
 		}
 	}
 }
 
-// holds reports whether a host's process holds the lease, as the store has it.
-func (r *run) holds(n *node) bool {
+// holdsLease reports whether a host's process holdsLease the lease, as the store has it.
+func (r *run) holdsLease(n *node) bool {
 	var stored struct {
 		Value []byte `json:"v"`
 	}
-	var held struct {
+	var lease struct {
 		Holder string `json:"holder"`
 	}
-	if json.Unmarshal(r.store.Value("lease", "0000"), &stored) != nil || json.Unmarshal(stored.Value, &held) != nil {
+	if json.Unmarshal(r.store.Value("lease", "0000"), &stored) != nil || json.Unmarshal(stored.Value, &lease) != nil {
 		return false
 	}
-	return strings.HasPrefix(held.Holder, n.file.Name+".")
+	return strings.HasPrefix(lease.Holder, n.settings.Name+".")
 }
 
 // TakeStoreDown turns all calls to the store away for a time.
-func (r *run) TakeStoreDown(lasting time.Duration) {
-	r.log("store down for %v", lasting)
+func (r *run) TakeStoreDown(duration time.Duration) {
+	r.log("store down for %v", duration)
 	r.store.SetFaults(standin.StoreFaults{Down: true})
-	time.Sleep(lasting)
+	time.Sleep(duration)
 	r.store.SetFaults(standin.StoreFaults{})
 }
--- a/pkg/soak/rollout_test.go
+++ b/pkg/soak/rollout_test.go
@@ -22,27 +22,27 @@
 		{soak.Rollout{Target: standin.Version{Name: "v2"}, Period: period, BootTime: 500 * time.Millisecond}, "completed"},
 		{soak.Rollout{
 			Target: standin.Version{Name: "v3", SlowShare: 0.6, SlowDelay: 60 * time.Millisecond}, Period: period, BootTime: 2500 * time.Millisecond,
-			InjectFault: func(h soak.FaultInjector) { h.TakeStoreDown(2 * time.Second) },
+			InjectFault: func(faults soak.FaultInjector) { faults.TakeStoreDown(2 * time.Second) },
 		}, "reverted"},
 		{soak.Rollout{
 			Target: standin.Version{Name: "v4", FailShare: 0.5}, Period: period, BootTime: 2500 * time.Millisecond,
-			InjectFault: func(h soak.FaultInjector) { h.KillLeaseHolder() },
+			InjectFault: func(faults soak.FaultInjector) { faults.KillLeaseHolder() },
 		}, "reverted"},
 	}
-	var list []soak.Rollout
+	var rollouts []soak.Rollout
 	for _, o := range orders {
-		list = append(list, o.Rollout)
+		rollouts = append(rollouts, o.Rollout)
 	}
-	outcome, ended, err := soak.RunRollouts(context.Background(), soak.Options{
+	outcome, outcomes, err := soak.RunRollouts(context.Background(), soak.Options{
 		Program: buildNode(t), Folder: t.TempDir(), Seed: 1, Nodes: 3, Callers: 16, Log: t.Output(),
-	}, list)
+	}, rollouts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, what := range outcome.Violations {
-		t.Error(what)
+	for _, violation := range outcome.Violations {
+		t.Error(violation)
 	}
-	for i, got := range ended {
+	for i, got := range outcomes {
 		o := orders[i]
 		if got.State != o.want {
 			t.Errorf("%s: got %q after %v, want %q", o.Target.Name, got.State, got.Elapsed, o.want)
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -39,90 +39,90 @@
 
 // Figures of a run.
 const (
-	// grace is the time from SIGTERM to SIGKILL.
-	grace = 3 * time.Second
-	// serveOn is how long an endpoint serves after it said that it leaves.
-	serveOn = 3 * time.Second
+	// gracePeriod is the time from SIGTERM to SIGKILL.
+	gracePeriod = 3 * time.Second
+	// drainTime is how long an endpoint serves after it said that it leaves.
+	drainTime = 3 * time.Second
 	// faultPause is the mean time between two faults: they overlap.
 	faultPause = 700 * time.Millisecond
-	// recovery is how long after the last fault all must be well again, and
+	// recoveryTime is how long after the last fault all must be well again, and
 	// calm how long it is watched then.
-	recovery = 8 * time.Second
-	calm     = 3 * time.Second
-	// servedShare is the share of requests that must be served when all is well.
-	servedShare = 0.98
+	recoveryTime = 8 * time.Second
+	calmTime     = 3 * time.Second
+	// minServedShare is the share of requests that must be served when all is well.
+	minServedShare = 0.98
 	// plainEndpoints and streamEndpoints are how many of each there are.
 	plainEndpoints  = 3
 	streamEndpoints = 3
-	startTime       = 10 * time.Second
-	// freeAddress is where a proxy listens that may be anywhere.
-	freeAddress = "127.0.0.1:0"
-	// backAfter is how long an endpoint is away that a request has ended.
-	backAfter = 1500 * time.Millisecond
-	// dumpTime is how long a process that is not ready has to print why.
-	dumpTime = 500 * time.Millisecond
-	// readyTime is how long all hosts together may take to say that they are
+	startTimeout    = 10 * time.Second
+	// anyPortAddress is where a proxy listens that may be anywhere.
+	anyPortAddress = "127.0.0.1:0"
+	// endpointRestartDelay is how long an endpoint is away that a request has ended.
+	endpointRestartDelay = 1500 * time.Millisecond
+	// stackDumpTime is how long a process that is not ready has to print why.
+	stackDumpTime = 500 * time.Millisecond
+	// readyTimeout is how long all hosts together may take to say that they are
 	// ready when all is well: each is asked with a second's patience.
-	readyTime = 5 * time.Second
+	readyTimeout = 5 * time.Second
 )
 
 // run is a run in progress.
 type run struct {
-	options Options
-	random  *rand.Rand
-	store   *standin.Store
-	cloud   *standin.Cloud
-	ledger  *standin.RequestLog
-	nodes   []*node
-	report  *report
-	version int
-	started time.Time
-	timers  sync.WaitGroup
+	options       Options
+	random        *rand.Rand
+	store         *standin.Store
+	cloud         *standin.Cloud
+	requestLog    *standin.RequestLog
+	nodes         []*node
+	report        *report
+	configVersion int
+	started       time.Time
+	timers        sync.WaitGroup
 
-	mu        sync.Mutex
-	endpoints []*standin.Endpoint
-	proxies   []*Proxy
-	made      int
-	// stops is when hosts were stopped, killed or frozen.
-	stops []time.Time
-	// over says that no endpoint is started any more.
-	over bool
+	mu               sync.Mutex
+	endpoints        []*standin.Endpoint
+	proxies          []*Proxy
+	endpointsStarted int
+	// stopTimes is when hosts were stopped, killed or frozen.
+	stopTimes []time.Time
+	// stopped says that no endpoint is started any more.
+	stopped bool
 }
 
 // Run makes one run. The error says that it could not be made.
 func Run(ctx context.Context, o Options) (Outcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, err
 	}
 	stopCallers := r.startCallers(ctx)
 	stopCrashing := r.startCrashing(ctx)
-	r.startTurnsAway()
+	r.startRejections()
 	r.startLimits()
 	r.startRestores(ctx)
-	r.faults(ctx)
+	r.injectFaults(ctx)
 	r.timers.Wait()
-	r.wait(ctx, recovery)
+	r.wait(ctx, recoveryTime)
 	calmSince := time.Now()
-	r.checkCalm(ctx)
+	r.checkRecovery(ctx)
 	stopCrashing()
 	stopCallers()
 	r.checkHeldBack(calmSince)
-	r.checkRuns()
+	r.checkInvariants()
 	return r.outcome(), ctx.Err()
 }
 
 // outcome is how the run ended, once callers have stopped and all is checked.
 func (r *run) outcome() Outcome {
 	served, failed := r.report.totals()
-	return Outcome{served, failed, r.cloud.ReportedWindows(), append(r.report.broken, r.cloud.Violations()...)}
+	return Outcome{served, failed, r.cloud.ReportedWindows(), append(r.report.violations, r.cloud.Violations()...)}
 }
 
 func newRun(o Options) *run {
 	return &run{
 		options: o, random: rand.New(rand.NewPCG(o.Seed, 0)), store: standin.NewStore(), cloud: standin.NewCloud(),
-		ledger: standin.NewRequestLog(), report: newReport(), version: 1, started: time.Now(),
+		requestLog: standin.NewRequestLog(), report: newReport(), configVersion: 1, started: time.Now(),
 	}
 }
 
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	if err := standin.PutConfiguration(r.store, r.version, r.version); err != nil {
+	if err := standin.PutConfiguration(r.store, r.configVersion, r.configVersion); err != nil {
 		return err
 	}
 	for i := range plainEndpoints + streamEndpoints {
@@ -175,19 +175,19 @@
 			return err
 		}
 	}
-	return r.waitReady(startTime)
+	return r.waitReady(startTimeout)
 }
 
-func (r *run) waitReady(within time.Duration) error {
+func (r *run) waitReady(timeout time.Duration) error {
 	client := &http.Client{Timeout: time.Second}
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for _, n := range r.nodes {
 		for !n.ready(client) {
 			if time.Now().After(deadline) {
 				// The program prints what its goroutines do, into its log.
 				n.signal(syscall.SIGQUIT)
-				time.Sleep(dumpTime)
-				return fmt.Errorf("%s is not ready after %v", n.file.Name, within)
+				time.Sleep(stackDumpTime)
+				return fmt.Errorf("%s is not ready after %v", n.settings.Name, timeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -198,23 +198,23 @@
 func (r *run) startEndpoint(i int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.made++
+	r.endpointsStarted++
 	service := standin.PlainService
 	if i >= plainEndpoints {
 		service = standin.StreamService
 	}
-	return r.startVersion(i, service, standin.Version{Name: firstVersion}, freeAddress)
+	return r.startEndpointAt(i, service, standin.Version{Name: initialVersion}, anyPortAddress)
 }
 
-// firstVersion is the software of all endpoints at the start.
-const firstVersion = "v1"
+// initialVersion is the software of all endpoints at the start.
+const initialVersion = "v1"
 
-// startVersion starts an endpoint at a place, told at an address. The lock is held.
-func (r *run) startVersion(i int, service string, version standin.Version, at string) error {
+// startEndpointAt starts an endpoint at a place, told at an address. The lock is held.
+func (r *run) startEndpointAt(i int, service string, version standin.Version, listenAddress string) error {
 	var proxy *Proxy
-	e, err := standin.StartEndpoint(fmt.Sprintf("i-%d-%d", i, r.made), service, version, r.store, r.ledger, func(address string) (string, error) {
+	e, err := standin.StartEndpoint(fmt.Sprintf("i-%d-%d", i, r.endpointsStarted), service, version, r.store, r.requestLog, func(address string) (string, error) {
 		var err error
-		if proxy, err = NewProxyAt(at, address); err != nil {
+		if proxy, err = NewProxyAt(listenAddress, address); err != nil {
 			return "", err
 		}
 		return proxy.Address(), nil
@@ -222,57 +222,57 @@
 	if err != nil {
 		return err
 	}
-	e.OnCrash(func() { r.crashed(i, service, version, proxy) })
+	e.OnCrash(func() { r.handleCrash(i, service, version, proxy) })
 	r.endpoints[i], r.proxies[i] = e, proxy
 	return nil
 }
 
-// crashed ends what stands before an endpoint that a request has ended, and starts
+// handleCrash ends what stands before an endpoint that a request has ended, and starts
 // another at its address after a while.
-func (r *run) crashed(i int, service string, version standin.Version, proxy *Proxy) {
+func (r *run) handleCrash(i int, service string, version standin.Version, proxy *Proxy) {
 	proxy.Close()
 	r.log("endpoint %d is ended by a request", i)
-	time.AfterFunc(backAfter, func() {
+	time.AfterFunc(endpointRestartDelay, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.over || r.proxies[i] != proxy {
+		if r.stopped || r.proxies[i] != proxy {
 			return
 		}
-		r.made++
-		if err := r.startVersion(i, service, version, proxy.Address()); err != nil {
-			r.report.wrong("endpoint %d: %v", i, err)
+		r.endpointsStarted++
+		if err := r.startEndpointAt(i, service, version, proxy.Address()); err != nil {
+			r.report.addViolation("endpoint %d: %v", i, err)
 		}
 	})
 }
 
-func (r *run) proxyOf(i int) *Proxy {
+func (r *run) endpointProxy(i int) *Proxy {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.proxies[i]
 }
 
 // replace ends an endpoint in some way and starts another in its place.
-func (r *run) replace(i int, end func(*standin.Endpoint)) {
+func (r *run) replace(i int, stop func(*standin.Endpoint)) {
 	r.mu.Lock()
 	old := r.endpoints[i]
 	r.mu.Unlock()
 	if err := r.startEndpoint(i); err != nil {
-		r.report.wrong("endpoint %d: %v", i, err)
+		r.report.addViolation("endpoint %d: %v", i, err)
 		return
 	}
-	end(old)
+	stop(old)
 }
 
-func (r *run) later(after time.Duration, what func()) {
+func (r *run) schedule(after time.Duration, action func()) {
 	r.timers.Go(func() {
 		time.Sleep(after)
-		what()
+		action()
 	})
 }
 
-func (r *run) harmAll(lasting time.Duration) {
+func (r *run) markAllFaulty(duration time.Duration) {
 	for _, n := range r.nodes {
-		n.harm(time.Now().Add(lasting))
+		n.markFaulty(time.Now().Add(duration))
 	}
 }
 
@@ -283,63 +283,63 @@
 	}
 }
 
-// faults injects faults for the run's length.
-func (r *run) faults(ctx context.Context) {
+// injectFaults injects injectFaults for the run's length.
+func (r *run) injectFaults(ctx context.Context) {
 	r.wait(ctx, time.Second)
 	for end := time.Now().Add(r.options.Length); time.Now().Before(end) && ctx.Err() == nil; {
-		r.inject(draw(r.random, len(r.nodes), len(r.endpoints)))
+		r.inject(randomFault(r.random, len(r.nodes), len(r.endpoints)))
 		r.wait(ctx, time.Duration(r.random.Int64N(int64(2*faultPause))))
 	}
 }
 
-// checkCalm checks that all is well again after the faults.
-func (r *run) checkCalm(ctx context.Context) {
-	if err := r.waitReady(readyTime); err != nil {
-		r.report.wrong("%v after the faults ended: %v", recovery, err)
+// checkRecovery checks that all is well again after the faults.
+func (r *run) checkRecovery(ctx context.Context) {
+	if err := r.waitReady(readyTimeout); err != nil {
+		r.report.addViolation("%v after the faults ended: %v", recoveryTime, err)
 	}
 	servedBefore, failedBefore := r.report.totals()
-	r.wait(ctx, calm)
+	r.wait(ctx, calmTime)
 	served, failed := r.report.totals()
 	served, failed = served-servedBefore, failed-failedBefore
-	if float64(served) < servedShare*float64(served+failed) || served == 0 {
-		r.report.wrong("after the faults ended %d requests were served and %d failed", served, failed)
+	if float64(served) < minServedShare*float64(served+failed) || served == 0 {
+		r.report.addViolation("after the faults ended %d requests were served and %d failed", served, failed)
 	}
 }
 
-// checkRuns checks what endpoints ran against what callers were told.
-func (r *run) checkRuns() {
-	for _, id := range r.report.once {
-		if runs := r.ledger.Runs(id); runs > 1 {
-			r.report.wrong("%s may run once and ran %d times", id, runs)
+// checkInvariants checks what endpoints ran against what callers were told.
+func (r *run) checkInvariants() {
+	for _, id := range r.report.atMostOnce {
+		if runs := r.requestLog.Runs(id); runs > 1 {
+			r.report.addViolation("%s may run once and ran %d times", id, runs)
 		}
 	}
-	for _, id := range r.report.promised {
-		if r.ledger.Runs(id) > 0 {
-			r.report.wrong("%s was said not to have run, and ran", id)
+	for _, id := range r.report.reportedNotRun {
+		if r.requestLog.Runs(id) > 0 {
+			r.report.addViolation("%s was said not to have run, and ran", id)
 		}
 	}
 	r.checkNotices()
 	r.checkLimits()
-	r.checkAnswered()
-	for _, late := range r.ledger.LateRequests() {
-		calmThen := true
+	r.checkDeadlines()
+	for _, late := range r.requestLog.LateRequests() {
+		noFaults := true
 		for _, n := range r.nodes {
-			calmThen = calmThen && !n.harmed(late.At)
+			noFaults = noFaults && !n.faulty(late.At)
 		}
-		if calmThen {
-			r.report.wrong("%s came to an endpoint %v after it said that it leaves", late.Request, late.After)
+		if noFaults {
+			r.report.addViolation("%s came to an endpoint %v after it said that it leaves", late.Request, late.After)
 		}
 	}
 }
 
-// end ends all processes that this run started, and its stand-ins.
-func (r *run) end() {
+// stop ends all processes that this run started, and its stand-ins.
+func (r *run) stop() {
 	for _, n := range r.nodes {
-		n.end()
+		n.stop()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
+	r.stopped = true
 	for i, e := range r.endpoints {
 		if e != nil {
 			e.Stop()
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -44,8 +44,8 @@
 		if closeErr := faults.Close(); err != nil || closeErr != nil {
 			t.Fatal(err, closeErr)
 		}
-		for _, what := range outcome.Violations {
-			t.Errorf("seed %d: %s", seed, what)
+		for _, violation := range outcome.Violations {
+			t.Errorf("seed %d: %s", seed, violation)
 		}
 		if outcome.Served < 100 || outcome.ReportedWindows == 0 {
 			t.Errorf("seed %d: got %d served, %d windows reported, want some", seed, outcome.Served, outcome.ReportedWindows)
