--- a/pkg/app/soak/soak.go
+++ b/pkg/app/soak/soak.go
@@ -1,4 +1,4 @@
-// Package soak is the command line of the fault soak.
+// Package soak implements the command line of the fault soak test.
 package soak
 
 import (
@@ -24,7 +24,7 @@
 	var keepLogs bool
 	command := &cobra.Command{
 		Use:           "ironhollow-soak",
-		Short:         "Run processes under faults drawn from seeds and check their promises",
+		Short:         "Run processes under random faults and check their guarantees",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -36,12 +36,12 @@
 	}
 	flags := command.Flags()
 	flags.StringVar(&o.Program, "program", "bin/ironhollow-node", "path of ironhollow-node")
-	flags.Uint64Var(&firstSeed, "seed", uint64(time.Now().Unix()), "first seed; fresh ones by the clock if left out")
-	flags.IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
+	flags.Uint64Var(&firstSeed, "seed", uint64(time.Now().Unix()), "first seed; the current time if omitted")
+	flags.IntVar(&seeds, "seeds", 1, "number of seeds to run one after the other")
 	flags.DurationVar(&o.Length, "length", 15*time.Second, "how long faults are injected for each seed")
-	flags.IntVar(&o.Nodes, "nodes", 4, "how many processes")
-	flags.IntVar(&o.Callers, "callers", 12, "how many callers")
-	flags.StringVar(&o.Folder, "folder", os.TempDir(), "where the logs of failed seeds are kept")
+	flags.IntVar(&o.Nodes, "nodes", 4, "number of host processes")
+	flags.IntVar(&o.Callers, "callers", 12, "number of callers")
+	flags.StringVar(&o.Folder, "folder", os.TempDir(), "folder for the logs of failed seeds")
 	flags.BoolVar(&keepLogs, "keep", false, "keep the logs of all seeds")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -50,7 +50,7 @@
 	return process.ExitOK
 }
 
-// runSeeds runs the seeds and tells of each.
+// runSeeds runs the seeds and prints the result of each.
 func runSeeds(ctx context.Context, o soak.Options, firstSeed uint64, seeds int, keepLogs bool, out io.Writer) error {
 	failed := 0
 	for seed := firstSeed; seed < firstSeed+uint64(seeds) && ctx.Err() == nil; seed++ {
@@ -63,7 +63,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", failed, seeds)
+		return fmt.Errorf("%d of %d seeds violated a guarantee", failed, seeds)
 	}
 	return ctx.Err()
 }
@@ -83,7 +83,7 @@
 	if err != nil {
 		return false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, folder)
 	}
-	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d promises broken\n", seed, outcome.Served, outcome.Failed, outcome.ReportedWindows, len(outcome.Violations))
+	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d violations\n", seed, outcome.Served, outcome.Failed, outcome.ReportedWindows, len(outcome.Violations))
 	for _, violation := range outcome.Violations {
 		_, _ = fmt.Fprintln(out, "  ", violation)
 	}
--- a/pkg/soak/busy.go
+++ b/pkg/soak/busy.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// underLoadPause is the mean time between two requests of a caller in a run of RunBusy.
+// underLoadPause is the mean time between two requests of a caller in RunUnderLoad.
 const underLoadPause = 15 * time.Millisecond
 
-// deadlineSlack is how long after its deadline a request must have been answered.
+// deadlineSlack is how long after its deadline a request may still be answered.
 const deadlineSlack = time.Second
 
-// overdueRequest is a request that was not answered in time.
+// overdueRequest is a request that was not answered by its deadline plus deadlineSlack.
 type overdueRequest struct {
 	id, address string
 	sent, ended time.Time
 }
 
-// RunUnderLoad has callers send without pause and injects no faults: every request must be
-// answered by its deadline.
+// RunUnderLoad runs callers with a short pause between requests and injects no faults. Every
+// request must be answered by its deadline.
 func RunUnderLoad(ctx context.Context, o Options) (Outcome, error) {
 	o.RequestPause = underLoadPause
 	r := newRun(o)
@@ -31,13 +31,13 @@
 	stopCallers()
 	r.checkInvariants()
 	if err := r.waitReady(readyTimeout); err != nil {
-		r.report.addViolation("after %v of load: %v", o.Length, err)
+		r.report.addViolation("after %v under load: %v", o.Length, err)
 	}
 	return r.outcome(), ctx.Err()
 }
 
-// checkDeadlines checks that each request was answered by its deadline, unless its host was
-// harmed or any was stopped.
+// checkDeadlines checks that each request was answered by its deadline, unless its host had a
+// fault or any host was stopped.
 func (r *run) checkDeadlines() {
 	for _, u := range r.report.overdue {
 		if !r.anyStopped(u.sent, u.ended) && !r.faultyAt(u.address, u.sent) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// faultyAt reports whether the host with an address was harmed at a moment.
+// faultyAt reports whether the host with the given address had a fault at the given time.
 func (r *run) faultyAt(address string, at time.Time) bool {
 	for _, n := range r.nodes {
 		if n.settings.Callers == address {
--- a/pkg/soak/busy_test.go
+++ b/pkg/soak/busy_test.go
@@ -9,7 +9,7 @@
 	"ironhollow/pkg/soak"
 )
 
-// Guards against hosts that hang for good under load, with several fleets beside each other.
+// Guards against hosts that hang permanently under load, with several fleets running in parallel.
 func TestBusyHostsDoNotHang(t *testing.T) {
 	program := buildNode(t)
 	const fleets = 3
--- a/pkg/soak/caller.go
+++ b/pkg/soak/caller.go
@@ -16,13 +16,13 @@
 	"ironhollow/platform/standin"
 )
 
-// report collects what callers saw. It is safe for concurrent use.
+// report collects the results that callers observe. It is safe for concurrent use.
 type report struct {
 	mu     sync.Mutex
 	served map[standin.RequestKind]int
 	failed map[standin.RequestKind]int
-	// atMostOnce are requests that may run atMostOnce at most; reportedNotRun those of them that
-	// were said not to have run.
+	// atMostOnce are requests that may run once at most; reportedNotRun are those of them whose
+	// response said that they did not run.
 	atMostOnce, reportedNotRun []string
 	violations                 []string
 	overdue                    []overdueRequest
@@ -48,14 +48,14 @@
 	r.failed[kind]++
 }
 
-// addOverdue notes a request that was not answered in time.
+// addOverdue records a request that was not answered in time.
 func (r *report) addOverdue(u overdueRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overdue = append(r.overdue, u)
 }
 
-// totals returns served and failed requests so far.
+// totals returns the numbers of served and failed requests so far.
 func (r *report) totals() (served, failed int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,8 +68,8 @@
 	return served, failed
 }
 
-// caller asks for entries now and then and sends requests on open connections,
-// which it keeps until they end.
+// caller periodically fetches the list of entries and sends requests to them over connections
+// that it keeps open.
 type caller struct {
 	name      string
 	random    *rand.Rand
@@ -95,12 +95,12 @@
 
 // Timing of callers.
 const (
-	// entriesTTL is how long a caller keeps the answer of which entries to use.
+	// entriesTTL is how long a caller uses a list of entries before it fetches a new one.
 	entriesTTL = 2 * time.Second
 	// requestPause is the mean time between two requests of a caller.
 	requestPause = 60 * time.Millisecond
-	// callerTimeout is how long a caller waits for a whole answer: its deadline and
-	// some time for what is under way.
+	// callerTimeout is how long a caller waits for a complete response: the request's deadline
+	// and some time for what is still in transit.
 	callerTimeout = 6 * time.Second
 )
 
@@ -118,7 +118,7 @@
 	c.client.CloseIdleConnections()
 }
 
-// refreshEntries asks a node which entries to use.
+// refreshEntries fetches the list of entries from a random node if the current one has expired.
 func (c *caller) refreshEntries() {
 	if time.Since(c.entriesAt) < entriesTTL {
 		return
@@ -128,7 +128,7 @@
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, standin.DirectoryURL(n.settings.Directory), nil)
 	if err != nil {
-		c.report.addViolation("directory: %v", err)
+		c.report.addViolation("directory request: %v", err)
 		return
 	}
 	response, err := c.client.Do(r)
@@ -145,7 +145,7 @@
 	}
 }
 
-// send sends one request and checks what comes back.
+// send sends one request and checks the response.
 func (c *caller) send(kind standin.RequestKind, address string) {
 	c.requests++
 	id := fmt.Sprintf("%s-%s-%d", c.name, kind, c.requests)
@@ -173,7 +173,7 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if got := response.Header.Get("X-Attempt-Id"); got != id {
-		c.report.addViolation("%s got the answer of %q", id, got)
+		c.report.addViolation("%s got the response to %q", id, got)
 	}
 	switch {
 	case response.StatusCode == http.StatusOK && (kind == standin.Stream || kind == standin.Resume):
@@ -188,7 +188,7 @@
 func (c *caller) recordFailure(kind standin.RequestKind, id string, status int) {
 	c.report.count(kind, false)
 	if status == http.StatusNotFound || status == http.StatusUnauthorized {
-		c.report.addViolation("%s was answered %d although its route and key were there all the time", id, status)
+		c.report.addViolation("%s got status %d although its route and key existed all the time", id, status)
 	}
 	if standin.MeansNotRun(status) && (kind == standin.Once || kind == standin.Stream) {
 		c.report.mu.Lock()
@@ -212,8 +212,8 @@
 	return true
 }
 
-// checkStream checks events as they come: each once, in order, all of them if
-// the stream ends in order.
+// checkStream checks events as they arrive: each comes once and in order, and none is missing if
+// the stream ends without an error.
 func (c *caller) checkStream(id string, body io.Reader) bool {
 	reader := bufio.NewReader(body)
 	var event bytes.Buffer
@@ -223,7 +223,7 @@
 		event.WriteString(line)
 		if err == io.EOF && event.Len() == 0 {
 			if number <= standin.EventCount(id) {
-				c.report.addViolation("the stream of %s ended as whole after %d of %d events", id, number-1, standin.EventCount(id))
+				c.report.addViolation("the stream of %s ended without an error after %d of %d events", id, number-1, standin.EventCount(id))
 				return false
 			}
 			return true
@@ -235,7 +235,7 @@
 			continue
 		}
 		if want := standin.Event(id, number); event.String() != want {
-			c.report.addViolation("the stream of %s has %q, want %q", id, event.String(), want)
+			c.report.addViolation("the stream of %s: got event %q, want %q", id, event.String(), want)
 			return false
 		}
 		event.Reset()
--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -12,36 +12,35 @@
 	"ironhollow/platform/standin"
 )
 
-// CrashingRequest is a request that ends each endpoint that runs it and comes again, with new
-// ids, at any host.
+// CrashingRequest is a request that crashes each endpoint that runs it and is sent repeatedly, with
+// a new id each time, to random hosts.
 type CrashingRequest struct {
 	Kind standin.RequestKind
-	// Interval is the time between two tries, Duration how long they come.
+	// Interval is the mean time between two sends, Duration how long the request is sent.
 	Interval, Duration time.Duration
-	// KillAll kills all hosts at once when half of that is over.
+	// KillAll kills all hosts at once after half of Duration.
 	KillAll bool
 }
 
-// CrashingOutcome is what came of it.
+// CrashingOutcome is the result of sending one CrashingRequest.
 type CrashingOutcome struct {
-	// Sent is how many were sent, Crashes how many endpoints they ended.
+	// Sent is how often the request was sent, Crashes how many endpoints it crashed.
 	Sent, Crashes int
-	// LateCrashes is how many came to an endpoint later than contactTime after the third that
-	// they ended.
+	// LateCrashes is the number of crashes later than propagationTime and standin.CrashDelay after
+	// the third one.
 	LateCrashes int
-	// Rejected is how many were answered at once that they did not run.
+	// Rejected is the number of responses that said that the request did not run.
 	Rejected int
 }
 
 const (
-	// propagationTime is how long hosts have to learn of an end from each other.
+	// propagationTime is how long hosts may take to inform each other of a crash.
 	propagationTime = 3 * time.Second
-	// crashThreshold is after how many ends a request should come to no endpoint any more.
+	// crashThreshold is the number of crashes after which a request must not reach any endpoint.
 	crashThreshold = 3
 )
 
-// RunCrashing sends crashing requests beside what callers send, each to a host drawn
-// anew.
+// RunCrashing sends crashing requests to random hosts while callers send their usual requests.
 func RunCrashing(ctx context.Context, o Options, requests []CrashingRequest) (Outcome, []CrashingOutcome, error) {
 	r := newRun(o)
 	defer r.stop()
@@ -61,11 +60,11 @@
 	return r.outcome(), outcomes, ctx.Err()
 }
 
-// maxCrashing is how many requests that end endpoints come in a run at most.
+// maxCrashing is the maximum number of crashing requests in a run.
 const maxCrashing = 2
 
-// randomCrashing draws the requests of a run that end endpoints and when they begin, by
-// numbers of their own: the other faults of a seed stay.
+// randomCrashing returns the crashing requests of a run and their start times. It uses a separate
+// random number generator, so that crashing requests do not change the other faults of a seed.
 func randomCrashing(o Options) (requests []CrashingRequest, after []time.Duration) {
 	random := rand.New(rand.NewPCG(o.Seed, crashingStream))
 	kinds := []standin.RequestKind{standin.Safe, standin.Once, standin.Stream, standin.Resume}
@@ -77,10 +76,10 @@
 	return requests, after
 }
 
-// crashingStream is the stream of random numbers of such requests.
+// crashingStream is the stream of random numbers that determines the crashing requests of a run.
 const crashingStream = 1 << 32
 
-// startCrashing has the requests drawn come until the function returned is called.
+// startCrashing sends the run's crashing requests until the returned function is called.
 func (r *run) startCrashing(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var senders sync.WaitGroup
@@ -88,7 +87,7 @@
 	for i, c := range requests {
 		senders.Go(func() {
 			r.wait(ctx, after[i])
-			r.log("request %d ends endpoints, %s, every %v", i, c.Kind, c.Interval)
+			r.log("send crashing request %d: %s, every %v", i, c.Kind, c.Interval)
 			r.repeatCrashing(ctx, i, c)
 		})
 	}
@@ -98,8 +97,8 @@
 	}
 }
 
-// checkHeldBack checks that requests which have ended three endpoints long ago come to no
-// others while all is well, but for what is allowed.
+// checkHeldBack checks that requests with at least crashThreshold crashes before the given time
+// crash no more than maxLate endpoints after it, when no faults are injected.
 func (r *run) checkHeldBack(since time.Time) {
 	const maxLate = 3
 	requests, _ := randomCrashing(r.options)
@@ -112,14 +111,14 @@
 			}
 		}
 		if before := len(crashes) - late; before >= crashThreshold && late > maxLate {
-			r.report.addViolation("request %d had ended %d endpoints and came to %d more when all was well", i, before, late)
+			r.report.addViolation("request %d had crashed %d endpoints and crashed %d more after recovery", i, before, late)
 		}
 	}
 }
 
 func crashingBody(number int) string { return fmt.Sprintf("%s%d", standin.CrashBodyPrefix, number) }
 
-// repeatCrashing sends one crashing request's tries.
+// repeatCrashing sends a crashing request repeatedly for its duration.
 func (r *run) repeatCrashing(ctx context.Context, number int, c CrashingRequest) CrashingOutcome {
 	body := crashingBody(number)
 	random := rand.New(rand.NewPCG(r.options.Seed, crashingStream+1+uint64(number)))
@@ -160,7 +159,8 @@
 	return outcome
 }
 
-// sendCrashing sends one try and reports whether it was refused as not run.
+// sendCrashing sends a crashing request once and reports whether the response said that it did not
+// run.
 func (r *run) sendCrashing(client *http.Client, kind standin.RequestKind, address, id, body string) bool {
 	request, err := standin.NewRequest(address, standin.Once, id, body)
 	if err != nil {
@@ -170,17 +170,17 @@
 	request.URL.Path = "/" + string(kind) + "/x"
 	response, err := client.Do(request)
 	if err != nil {
-		// Its endpoint ended midway, or the host was killed.
+		// The endpoint crashed while it ran the request, or the host was killed.
 		return false
 	}
 	defer func() { _ = response.Body.Close() }()
 	if standin.MeansNotRun(response.StatusCode) && r.requestLog.Runs(id) > 0 {
-		r.report.addViolation("%s was said not to have run, and ran", id)
+		r.report.addViolation("%s ran although its response said that it did not", id)
 	}
 	return standin.MeansNotRun(response.StatusCode)
 }
 
-// killAll kills all hosts' processes at once; they are started again.
+// killAll kills the processes of all hosts at once; they are restarted.
 func (r *run) killAll() {
 	r.log("kill all hosts")
 	r.recordStop()
--- a/pkg/soak/crashing_test.go
+++ b/pkg/soak/crashing_test.go
@@ -9,7 +9,8 @@
 	"ironhollow/platform/standin"
 )
 
-// Guards against a request that ends each endpoint that runs it, sent on to the next.
+// Guards against sending a request that crashes each endpoint that runs it to one endpoint after
+// another.
 func TestCrashingRequestIsHeldBack(t *testing.T) {
 	requests := []soak.CrashingRequest{
 		{Kind: standin.Resume, Interval: 250 * time.Millisecond, Duration: 9 * time.Second},
@@ -28,14 +29,14 @@
 	for i, got := range outcomes {
 		const maxLate = 3
 		if got.Crashes < 3 {
-			t.Errorf("%s: got %d endpoints ended of %d tries, want 3 or more: nothing is shown", requests[i].Kind, got.Crashes, got.Sent)
+			t.Errorf("%s: got %d endpoints crashed by %d requests, want at least 3 for the test to be valid", requests[i].Kind, got.Crashes, got.Sent)
 		}
 		if got.LateCrashes > maxLate {
-			t.Errorf("%s: got %d tries at endpoints after the third end was known, want %d at most; %d ended, %d tries",
+			t.Errorf("%s: got %d crashes after the third one was known, want %d at most; %d crashes, %d requests sent",
 				requests[i].Kind, got.LateCrashes, maxLate, got.Crashes, got.Sent)
 		}
 		if got.Rejected == 0 {
-			t.Errorf("%s: got no try of %d refused as not run, want those after the third end", requests[i].Kind, got.Sent)
+			t.Errorf("%s: got none of %d requests rejected as not run, want those after the third crash", requests[i].Kind, got.Sent)
 		}
 	}
 	t.Logf("%d served, %d failed", outcome.Served, outcome.Failed)
--- a/pkg/soak/fault.go
+++ b/pkg/soak/fault.go
@@ -9,48 +9,48 @@
 	"ironhollow/platform/standin"
 )
 
-// fault is one thing that goes wrong: stopNode, cutStore, harmEndpoint,
-// storeTrouble, forget, leave, crash or reconfigure.
+// fault is a fault to inject: signalNode, disruptStoreLink, disruptEndpointLink, degradeStore,
+// dropHistory, drainEndpoint, crashEndpoint or reconfigure.
 type fault interface{ fault() }
 
-// signalNode signals a host's process. A stopped one is started again; a frozen one
-// is woken after a time.
+// signalNode sends a signal to a host's process. A process that ends is restarted; one that SIGSTOP
+// suspends is resumed after the duration.
 type signalNode struct {
 	node     int
 	signal   syscall.Signal
 	duration time.Duration
 }
 
-// disruptStoreLink harms the way from a host to the store.
+// disruptStoreLink changes the proxy mode between one host and the store.
 type disruptStoreLink struct {
 	node     int
 	mode     Mode
 	duration time.Duration
 }
 
-// disruptEndpointLink harms the way from all hosts to an endpoint.
+// disruptEndpointLink changes the proxy mode between all hosts and one endpoint.
 type disruptEndpointLink struct {
 	endpoint int
 	mode     Mode
 	duration time.Duration
 }
 
-// degradeStore makes the store down, slow or lossy for all.
+// degradeStore makes the store unavailable, slow or lossy for all hosts.
 type degradeStore struct {
 	faults   standin.StoreFaults
 	duration time.Duration
 }
 
-// dropHistory makes the store dropHistory its history.
+// dropHistory makes the store drop its history of changes.
 type dropHistory struct{}
 
-// drainEndpoint replaces an endpoint in order, crashEndpoint at once.
+// drainEndpoint and crashEndpoint replace an endpoint, with and without draining it.
 type (
 	drainEndpoint struct{ endpoint int }
 	crashEndpoint struct{ endpoint int }
 )
 
-// reconfigure puts another configuration in force.
+// reconfigure writes the next configuration.
 type reconfigure struct{}
 
 func (signalNode) fault()          {}
@@ -62,7 +62,7 @@
 func (crashEndpoint) fault()       {}
 func (reconfigure) fault()         {}
 
-// randomFault draws a fault.
+// randomFault returns a random fault.
 func randomFault(random *rand.Rand, nodes, endpoints int) fault {
 	duration := 500*time.Millisecond + time.Duration(random.Int64N(int64(3*time.Second)))
 	mode := Mode(1 + random.IntN(int(Reset)))
@@ -92,10 +92,10 @@
 	}
 }
 
-// residualEffectTime is how long after a fault its residualEffectTime may show at a host.
+// residualEffectTime is how long after a fault its effects may still show at a host.
 const residualEffectTime = 4 * time.Second
 
-// inject carries a fault out; what lasts is ended by a timer.
+// inject injects a fault; a fault with a duration is ended by a timer.
 func (r *run) inject(f fault) {
 	r.log("%s", describe(f))
 	switch f := f.(type) {
@@ -139,11 +139,11 @@
 func describe(f fault) string {
 	switch f := f.(type) {
 	case signalNode:
-		return fmt.Sprintf("%v to node-%d, %v", f.signal, f.node, f.duration)
+		return fmt.Sprintf("%v to node-%d, duration %v", f.signal, f.node, f.duration)
 	case disruptStoreLink:
-		return fmt.Sprintf("store of node-%d: %v for %v", f.node, f.mode, f.duration)
+		return fmt.Sprintf("link from node-%d to the store: %v for %v", f.node, f.mode, f.duration)
 	case disruptEndpointLink:
-		return fmt.Sprintf("endpoint %d: %v for %v", f.endpoint, f.mode, f.duration)
+		return fmt.Sprintf("link to endpoint %d: %v for %v", f.endpoint, f.mode, f.duration)
 	case degradeStore:
 		return fmt.Sprintf("store: %+v for %v", f.faults, f.duration)
 	case drainEndpoint:
--- a/pkg/soak/limits.go
+++ b/pkg/soak/limits.go
@@ -8,20 +8,21 @@
 	"ironhollow/platform/standin"
 )
 
-// limitDuration is how long each limit of a run of RunLimits is named.
+// limitDuration is how long each limit in RunLimits is advertised.
 const limitDuration = 8 * time.Second
 
-// LimitsOutcome is what endpoints that named limits received.
+// LimitsOutcome is what endpoints received while they advertised limits.
 type LimitsOutcome struct {
 	Limits []standin.AdvertisedLimit
-	// ServedAfterWithdrawal is how many requests the endpoint that withdrew its limit served in the end.
+	// ServedAfterWithdrawal is how many requests reached the plain endpoint that withdrew its limit
+	// during calmTime, which starts recoveryTime after the withdrawal.
 	ServedAfterWithdrawal int
-	// Served and Failed are of requests sent while limits were named.
+	// Served and Failed count requests sent while limits were advertised.
 	Served, Failed int
 }
 
-// RunLimits has one endpoint of each service name a limit of requests a second, lower it,
-// raise it while the store is away, and withdraw it.
+// RunLimits lets one endpoint of each service advertise a limit of requests per second, lower it,
+// raise it while the store is down, and withdraw it.
 func RunLimits(ctx context.Context, o Options) (Outcome, LimitsOutcome, error) {
 	r := newRun(o)
 	defer r.stop()
@@ -33,7 +34,7 @@
 	servedBefore, failedBefore := r.report.totals()
 	limited := []*standin.Endpoint{r.endpoints[0], r.endpoints[plainEndpoints]}
 	for _, perSecond := range []float64{4, 1, 8} {
-		r.log("an endpoint of each service names a limit of %v a second", perSecond)
+		r.log("an endpoint of each service advertises a limit of %v requests per second", perSecond)
 		r.store.SetFaults(standin.StoreFaults{Down: perSecond == 8})
 		for _, e := range limited {
 			e.AdvertiseLimit(perSecond)
@@ -54,7 +55,7 @@
 	return r.outcome(), LimitsOutcome{r.requestLog.AdvertisedLimits(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
 }
 
-// limitFault has an endpoint name a limit.
+// limitFault makes an endpoint advertise a limit for some time.
 type limitFault struct {
 	after     time.Duration
 	endpoint  int
@@ -63,13 +64,14 @@
 }
 
 const (
-	// limitStream is the stream of random numbers of limits, mostLimits how many there are in
-	// a run at most.
+	// limitStream is the stream of random numbers that determines the limits of a run, maxLimits
+	// the maximum number of limits.
 	limitStream = 1 << 34
 	maxLimits   = 3
 )
 
-// randomLimits draws them by numbers of their own: the other faults of a seed stay.
+// randomLimits returns the limits of a run. It uses a separate random number generator, so that
+// limits do not change the other faults of a seed.
 func randomLimits(o Options, endpoints int) []limitFault {
 	random := rand.New(rand.NewPCG(o.Seed, limitStream))
 	limits := make([]limitFault, random.IntN(maxLimits+1))
@@ -82,7 +84,7 @@
 	return limits
 }
 
-// startLimits begins the limits drawn.
+// startLimits schedules the limits of a run.
 func (r *run) startLimits() {
 	for _, f := range randomLimits(r.options, len(r.endpoints)) {
 		r.schedule(f.after, func() {
@@ -96,13 +98,13 @@
 	}
 }
 
-// checkLimits checks that no endpoint got more than the limit that it named allows, but for
-// times after a host was stopped, which has to be told again.
+// checkLimits checks that no endpoint received more requests than its advertised limit allows. It
+// ignores times after a host was stopped, because a restarted host has to learn the limit again.
 func (r *run) checkLimits() {
 	for _, l := range r.requestLog.AdvertisedLimits() {
 		received, allowed := l.MaxArrivalsExcept(func(from, to time.Time) bool { return r.anyStopped(from, to) })
 		if received > allowed {
-			r.report.addViolation("%s named a limit of %.2f a second and got %d requests in a window, %d allowed", l.Endpoint, l.Limit, received, allowed)
+			r.report.addViolation("%s advertised a limit of %.2f requests per second: got %d requests in a window, want %d at most", l.Endpoint, l.Limit, received, allowed)
 		}
 	}
 }
--- a/pkg/soak/notices.go
+++ b/pkg/soak/notices.go
@@ -8,31 +8,31 @@
 	"ironhollow/platform/standin"
 )
 
-// Figures of a run in which endpoints say in their answers that they leave or ask for backoff.
+// Timing of a run in which endpoints announce in responses that they leave or ask for backoff.
 const (
-	// warmUpTime is how long callers send before anything happens.
+	// warmUpTime is how long callers send before the first event.
 	warmUpTime = time.Second
-	// noticeDrainTime is how long endpoints serve on that leave while the store is away.
+	// noticeDrainTime is how long leaving endpoints keep serving while the store is down.
 	noticeDrainTime = 7 * time.Second
-	// rejectTime is how long an endpoint turns requests away, noticeBackoff the backoff that it
-	// asks for each time.
+	// rejectTime is how long an endpoint rejects requests, noticeBackoff the backoff that it
+	// asks for in each rejection.
 	rejectTime    = 5 * time.Second
 	noticeBackoff = 2 * time.Second
 )
 
-// NoticesOutcome is what came of what endpoints said.
+// NoticesOutcome is how hosts followed the notices of endpoints.
 type NoticesOutcome struct {
-	// LateRequests is how many requests came to an endpoint that leaves, from any host, later
-	// than the bound after its first answer that said so.
+	// LateRequests is how many requests reached a leaving endpoint, from any host, later than
+	// the bound after its first response that announced that it leaves.
 	LateRequests int
-	// Backoffs are those that were asked for.
+	// Backoffs are the backoffs that endpoints asked for.
 	Backoffs []standin.Backoff
-	// Served and Failed are of requests sent while endpoints turned others away.
+	// Served and Failed count requests sent while endpoints rejected some.
 	Served, Failed int
 }
 
-// RunNotices has endpoints of each service say in their answers alone, while the store is
-// away, that they leave, and others ask for backoff afterwards.
+// RunNotices lets one endpoint of each service leave while the store is down, so that only its
+// responses announce it, and afterwards lets another one ask for backoff.
 func RunNotices(ctx context.Context, o Options) (Outcome, NoticesOutcome, error) {
 	r := newRun(o)
 	defer r.stop()
@@ -52,9 +52,9 @@
 	return r.outcome(), notices, ctx.Err()
 }
 
-// leaveWithoutStore has an endpoint of each service leave while the store is away.
+// leaveWithoutStore lets one endpoint of each service leave while the store is down.
 func (r *run) leaveWithoutStore(ctx context.Context) {
-	r.log("the store is away; an endpoint of each service leaves")
+	r.log("store down; an endpoint of each service leaves")
 	r.markAllFaulty(noticeDrainTime + residualEffectTime)
 	r.store.SetFaults(standin.StoreFaults{Down: true})
 	r.endpoints[0].Drain(noticeDrainTime)
@@ -63,10 +63,10 @@
 	r.store.SetFaults(standin.StoreFaults{})
 }
 
-// rejectRequests has another endpoint of each service turn requests away and returns what
-// became of callers' requests meanwhile.
+// rejectRequests lets another endpoint of each service reject requests and returns the numbers of
+// requests that were served and failed meanwhile.
 func (r *run) rejectRequests(ctx context.Context) (served, failed int) {
-	r.log("an endpoint of each service turns requests away")
+	r.log("an endpoint of each service rejects requests")
 	servedBefore, failedBefore := r.report.totals()
 	r.endpoints[1].RejectRequests(rejectTime, noticeBackoff)
 	r.endpoints[plainEndpoints+1].RejectRequests(rejectTime, noticeBackoff)
@@ -75,7 +75,7 @@
 	return served - servedBefore, failed - failedBefore
 }
 
-// rejectFault has an endpoint turn requests away, asking for backoff.
+// rejectFault makes an endpoint reject requests and ask for backoff.
 type rejectFault struct {
 	after             time.Duration
 	endpoint          int
@@ -83,13 +83,14 @@
 }
 
 const (
-	// noticeStream is the stream of random numbers of such times, mostTurnsAway how many
-	// there are in a run at most.
+	// noticeStream is the stream of random numbers that determines the rejections of a run,
+	// maxRejections their maximum number.
 	noticeStream  = 1 << 33
 	maxRejections = 3
 )
 
-// randomRejections draws them by numbers of their own: the other faults of a seed stay.
+// randomRejections returns the rejections of a run. It uses a separate random number generator, so
+// that rejections do not change the other faults of a seed.
 func randomRejections(o Options, endpoints int) []rejectFault {
 	random := rand.New(rand.NewPCG(o.Seed, noticeStream))
 	rejections := make([]rejectFault, random.IntN(maxRejections+1))
@@ -103,11 +104,11 @@
 	return rejections
 }
 
-// startRejections begins the times drawn.
+// startRejections schedules the rejections of a run.
 func (r *run) startRejections() {
 	for _, f := range randomRejections(r.options, len(r.endpoints)) {
 		r.schedule(f.after, func() {
-			r.log("endpoint %d turns requests away for %v, asking for a backoff of %v", f.endpoint, f.duration, f.backoff)
+			r.log("endpoint %d rejects requests for %v and asks for a backoff of %v", f.endpoint, f.duration, f.backoff)
 			r.mu.Lock()
 			e := r.endpoints[f.endpoint]
 			r.mu.Unlock()
@@ -116,30 +117,30 @@
 	}
 }
 
-// checkNotices checks that what endpoints said in answers was kept by all hosts, but for
-// what a host forgot that was stopped since.
+// checkNotices checks that all hosts followed the notices in endpoints' responses. It ignores times
+// in which a host was stopped, because a stopped host loses the notices.
 func (r *run) checkNotices() {
 	for _, late := range r.requestLog.LateAfterNotice() {
 		if !r.anyStopped(late.At.Add(-late.After), late.At) {
-			r.report.addViolation("%s came to an endpoint %v after an answer had said that it leaves", late.Request, late.After)
+			r.report.addViolation("%s reached an endpoint %v after a response announced that it leaves", late.Request, late.After)
 		}
 	}
 	for _, backoff := range r.requestLog.Backoffs() {
 		if allowed := 2 * len(r.nodes); backoff.Requests > allowed && !r.anyStopped(backoff.Start, backoff.End) {
-			r.report.addViolation("%s had asked for a backoff of %v and got %d requests from %d hosts", backoff.Endpoint, backoff.End.Sub(backoff.Start), backoff.Requests, len(r.nodes))
+			r.report.addViolation("%s asked for a backoff of %v: got %d requests from %d hosts", backoff.Endpoint, backoff.End.Sub(backoff.Start), backoff.Requests, len(r.nodes))
 		}
 	}
 }
 
-// recordStop notes that a host is stopped now.
+// recordStop records that a host is being stopped now.
 func (r *run) recordStop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopTimes = append(r.stopTimes, time.Now())
 }
 
-// anyStopped reports whether a host was stopped, killed or frozen between two moments,
-// or shortly before: its way to the endpoint may have held requests up.
+// anyStopped reports whether a host was stopped, killed or suspended between two times, or less than
+// gracePeriod before: requests may have been delayed on the way from that host to the endpoint.
 func (r *run) anyStopped(from, to time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/soak/process.go
+++ b/pkg/soak/process.go
@@ -17,36 +17,36 @@
 	"ironhollow/platform/standin"
 )
 
-// node is one host: the same addresses over all its processes.
+// node is a host. It keeps its addresses when its process is restarted.
 type node struct {
 	settings standin.NodeSettings
 	program  string
 	folder   string
-	// storeProxy is the proxy between this host and the storeProxy.
+	// storeProxy is the proxy between this host and the store.
 	storeProxy *Proxy
 
 	mu      sync.Mutex
 	process *exec.Cmd
 	done    chan struct{}
 	stopped bool
-	// faultyUntil is until when faults or their traces are at this host.
+	// faultyUntil is the time until which this host has faults or residual effects of them.
 	faultyUntil time.Time
 }
 
-// Ports of hosts lie below those that the kernel gives to outgoing connections:
-// a restarted process must find its own free. Several soaks may run at once.
+// Ports of hosts are below the kernel's range for outgoing connections, so that a restarted process
+// finds its ports free. Several soak runs may use the machine at once.
 const (
 	firstPort = 10_000
 	portCount = 20_000
 )
 
-// portCounter counts the ports tried by all fleets of this process; each process begins somewhere
-// else.
+// portCounter counts the ports tried by all fleets of this process. Each process starts at a different
+// port.
 var portCounter atomic.Int64
 
 func init() { portCounter.Store(int64(os.Getpid() * 97)) }
 
-// freePort returns a loopback address that is free.
+// freePort returns a free loopback address and its port.
 func freePort() (string, int, error) {
 	for range portCount {
 		port := firstPort + int(portCounter.Add(1)%portCount)
@@ -57,7 +57,7 @@
 		}
 		return address, port, listener.Close()
 	}
-	return "", 0, errors.New("soak: no port is free")
+	return "", 0, errors.New("soak: no free port")
 }
 
 func newNode(number int, program, folder, storeAddress, cloudAddress string) (*node, error) {
@@ -82,7 +82,7 @@
 	return n, os.WriteFile(path, []byte(n.settings.TOML()), 0o600)
 }
 
-// start starts a process, and another whenever it ends, until end.
+// start starts a process, which is restarted whenever it ends until stop is called.
 func (n *node) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,11 +104,11 @@
 	return nil
 }
 
-// restartPause is the time from a process's end to the next one's start.
+// restartPause is the time between the end of a process and the start of the next one.
 const restartPause = 300 * time.Millisecond
 
 func (n *node) restartOnExit(process *exec.Cmd, done chan struct{}, log *os.File) {
-	// How it ended stands in its log.
+	// The process logs why it ended.
 	_ = process.Wait()
 	_ = log.Close()
 	close(done)
@@ -118,15 +118,15 @@
 	}
 }
 
-// signal sends a signal to the process that this node started.
+// signal sends a signal to the current process of this node.
 func (n *node) signal(s syscall.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	// It may just have ended: then there is nothing to signal.
+	// The error is ignored because the process may just have ended.
 	_ = n.process.Process.Signal(s)
 }
 
-// stop ends the node for good and waits for its process.
+// stop stops the node permanently and waits for its process.
 func (n *node) stop() {
 	n.mu.Lock()
 	n.stopped = true
@@ -139,7 +139,7 @@
 	}
 }
 
-// markFaulty notes that faults are at this host until some time.
+// markFaulty records that this host has faults until the given time.
 func (n *node) markFaulty(until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -154,7 +154,7 @@
 	return at.Before(n.faultyUntil)
 }
 
-// ready asks the node whether it is ready.
+// ready reports whether the node says that it is ready.
 func (n *node) ready(client *http.Client) bool {
 	response, err := client.Get(standin.ReadyURL(n.settings.Ready))
 	if err != nil {
--- a/pkg/soak/proxy.go
+++ b/pkg/soak/proxy.go
@@ -1,6 +1,5 @@
-// Package soak runs the real program as separate processes on one machine,
-// injects faults from outside, drawn from a seed, and checks what callers, back
-// ends and the platform see meanwhile.
+// Package soak runs the real program as separate processes on one machine, injects random faults
+// determined by a seed, and checks what callers, back ends and the platform observe.
 package soak
 
 import (
@@ -10,32 +9,32 @@
 	"time"
 )
 
-// Mode is what a proxy does to the connections through it.
+// Mode is how a proxy treats the connections through it.
 type Mode int
 
-// The harms.
+// Modes of a proxy.
 const (
-	// Pass does no harm.
+	// Pass forwards all data unchanged.
 	Pass Mode = iota
-	// Delay holds every piece back for a while.
+	// Delay delays each chunk by delayTime.
 	Delay
-	// Silence lets nothing through, either way; connections stay open.
+	// Silence forwards nothing in either direction; connections stay open.
 	Silence
-	// OneWay lets requests through and no answers.
+	// OneWay forwards requests but no responses.
 	OneWay
-	// Reset resets connections as they come, and those there are.
+	// Reset resets all open connections and each new one.
 	Reset
 )
 
-// String names the harm.
+// String returns the name of the mode.
 func (m Mode) String() string {
 	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[m]
 }
 
-// delayTime is how long Delay holds a piece back.
+// delayTime is how long Delay holds each chunk.
 const delayTime = 150 * time.Millisecond
 
-// Proxy is a loopback proxy of one address. It is safe for concurrent use.
+// Proxy is a loopback proxy to one address. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -43,14 +42,14 @@
 	mu    sync.Mutex
 	mode  Mode
 	conns map[net.Conn]bool
-	// changed is closed when the harm changes.
+	// changed is closed when the mode changes.
 	changed chan struct{}
 }
 
-// NewProxy starts a proxy to a target.
+// NewProxy starts a proxy to a target on any free port.
 func NewProxy(target string) (*Proxy, error) { return NewProxyAt(anyPortAddress, target) }
 
-// NewProxyAt starts a proxy to a target at an address.
+// NewProxyAt starts a proxy to a target that listens on the given address.
 func NewProxyAt(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,16 +60,16 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.SetMode(Reset)
 }
 
-// SetMode changes what the proxy does.
+// SetMode changes the mode of the proxy.
 func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,7 +138,7 @@
 	}
 }
 
-// copyDirection carries one direction; answers says that it is the way back.
+// copyDirection copies one direction of a connection; responses is true for the one from the target.
 func (p *Proxy) copyDirection(to, from net.Conn, responses bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -156,7 +155,7 @@
 				_ = tcp.CloseWrite()
 			}
 			if !responses {
-				// The caller is done sending: the way back goes on.
+				// The client has finished sending; responses are still copied.
 				return
 			}
 			break
@@ -169,7 +168,7 @@
 	p.closeConns(to, from)
 }
 
-// applyMode waits as the harm asks before a piece is passed on.
+// applyMode delays a chunk as the mode requires before it is forwarded.
 func (p *Proxy) applyMode(responses bool) {
 	for {
 		mode, changed := p.currentMode()
--- a/pkg/soak/restores_test.go
+++ b/pkg/soak/restores_test.go
@@ -19,7 +19,7 @@
 		t.Error(violation)
 	}
 	for _, host := range restored.Outdated {
-		t.Errorf("3 s after the store is up again: got an older configuration at %s, want the newest", host)
+		t.Errorf("3 s after the store came up: got an older configuration at %s, want the newest", host)
 	}
 	if outcome.ReportedWindows == 0 {
 		t.Error("got no usage windows reported, want some")
--- a/pkg/soak/rollout.go
+++ b/pkg/soak/rollout.go
@@ -10,53 +10,54 @@
 	"ironhollow/platform/standin"
 )
 
-// Rollout is an order that is given while callers send.
+// Rollout is a rollout order that is placed while callers send.
 type Rollout struct {
 	Target standin.Version
 	Period time.Duration
-	// BootTime is how long after the order its endpoints are there.
+	// BootTime is how long after the order the endpoints of the target start.
 	BootTime time.Duration
-	// InjectFault is done a while after the order, if not nil; it may signal hosts.
+	// InjectFault, if not nil, is called during the rollout to inject a fault.
 	InjectFault func(hosts FaultInjector)
 }
 
-// FaultInjector are those of a run, for what is done to them.
+// FaultInjector injects faults into a run.
 type FaultInjector interface {
-	// KillLeaseHolder kills the process that decides on roll-outs.
+	// KillLeaseHolder kills the process that decides on rollouts.
 	KillLeaseHolder()
-	// TakeStoreDown turns all calls to the store away for a time.
+	// TakeStoreDown makes the store reject all calls for the given duration.
 	TakeStoreDown(lasting time.Duration)
 }
 
-// RolloutOutcome is how an order ended.
+// RolloutOutcome is the result of a rollout.
 type RolloutOutcome struct {
-	// State is what the operator reads at the end of the period, with what was allowed
-	// for it to be written.
+	// State is the final state that the operator reads, or the last one read if stateTimeout passes
+	// after the period without a final state.
 	State   string
 	Elapsed time.Duration
-	// Requests is the requests to the service in the period, TargetRequests those of the target.
+	// Requests counts the requests to the service during the rollout, TargetRequests those of them
+	// that the target ran.
 	Requests, TargetRequests int
-	// Failed is the requests of all services that failed from the order until a while
+	// Failed counts the failed requests to all services from the order until failureCountTime
 	// after its end.
 	Failed int
 }
 
-// Figures of a run of roll-outs.
+// Timing of rollouts.
 const (
-	// stateTimeout is how long after the period the state is waited for.
+	// stateTimeout is how long after the period to wait for a final state.
 	stateTimeout = 10 * time.Second
-	// baselineTime is the time before each order, in which hosts learn what is usual.
+	// baselineTime is the time before each order in which hosts measure the usual behavior.
 	baselineTime = 4 * time.Second
-	// revertDrainTime is how long after a revert the target's endpoints end.
+	// revertDrainTime is the time from a revert to the stop of the target's endpoints.
 	revertDrainTime = 2 * time.Second
-	// injectAtShare is the part of the period after which the rollout's own fault comes.
+	// injectAtShare is the share of the period after which InjectFault is called.
 	injectAtShare     = 0.4
 	statePollInterval = 20 * time.Millisecond
-	// failureCountTime is how long after the end failed requests are still counted to it.
+	// failureCountTime is how long after the end failed requests still count towards the rollout.
 	failureCountTime = time.Second
 )
 
-// RunRollouts gives orders one after the other, for the plain service.
+// RunRollouts runs rollouts of the plain service one after the other.
 func RunRollouts(ctx context.Context, o Options, orders []Rollout) (Outcome, []RolloutOutcome, error) {
 	r := newRun(o)
 	defer r.stop()
@@ -81,13 +82,13 @@
 	return r.outcome(), outcomes, ctx.Err()
 }
 
-// runRollout gives an order and does what the platform does with its end. running is the
-// version in use.
+// runRollout places an order, waits for its result and stops the endpoints of the version that is no
+// longer used, as the platform does. current is the version in use.
 func (r *run) runRollout(ctx context.Context, order Rollout, current *string) (RolloutOutcome, error) {
 	service := standin.PlainService
 	before := r.requestLog.RunsOfVersion(*current)
 	_, failedBefore := r.report.totals()
-	r.log("order of %s", order.Target.Name)
+	r.log("order rollout of %s", order.Target.Name)
 	value := map[string]any{"service": service, "target_version": order.Target.Name, "period_s": order.Period.Seconds()}
 	if err := r.store.Put("op", "rollout/"+service, value); err != nil {
 		return RolloutOutcome{}, err
@@ -108,7 +109,7 @@
 	outcome.TargetRequests = r.requestLog.RunsOfVersion(order.Target.Name)
 	switch state {
 	case "completed":
-		// The others stop at once.
+		// The endpoints of the previous version stop without draining.
 		r.stopVersion(*current)
 	case "reverted":
 		r.wait(ctx, revertDrainTime)
@@ -123,7 +124,7 @@
 	_, outcome.Failed = r.report.totals()
 	outcome.Failed -= failedBefore
 	r.timers.Wait()
-	r.log("%s %s after %v, %d of %d requests", order.Target.Name, state, outcome.Elapsed, outcome.TargetRequests, outcome.Requests)
+	r.log("rollout of %s: %s after %v, %d of %d requests", order.Target.Name, state, outcome.Elapsed, outcome.TargetRequests, outcome.Requests)
 	return outcome, nil
 }
 
@@ -135,7 +136,7 @@
 	return r.startEndpointAt(i, standin.PlainService, version, anyPortAddress)
 }
 
-// stopVersion ends all plain endpoints of a version at once.
+// stopVersion stops all plain endpoints of a version at once.
 func (r *run) stopVersion(version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// awaitState waits until the operator reads an end, and returns what is read then.
+// awaitState waits for a final state until the deadline and returns the last state read.
 func (r *run) awaitState(ctx context.Context, service, target string, deadline time.Time) string {
 	var status struct {
 		Target string `json:"target_version"`
@@ -162,17 +163,17 @@
 	return status.State
 }
 
-// KillLeaseHolder kills the process whose name the lease's row has.
+// KillLeaseHolder kills the process that the stored lease names as its holder.
 func (r *run) KillLeaseHolder() {
 	for _, n := range r.nodes {
 		if r.holdsLease(n) {
-			r.log("kill %s, which owns the roll-out", n.settings.Name)
+			r.log("kill %s, the holder of the lease", n.settings.Name)
 			n.signal(syscall.SIGKILL)
 		}
 	}
 }
 
-// holdsLease reports whether a host's process holdsLease the lease, as the store has it.
+// holdsLease reports whether the store names a host's process as the holder of the lease.
 func (r *run) holdsLease(n *node) bool {
 	var stored struct {
 		Value []byte `json:"v"`
@@ -186,7 +187,7 @@
 	return strings.HasPrefix(lease.Holder, n.settings.Name+".")
 }
 
-// TakeStoreDown turns all calls to the store away for a time.
+// TakeStoreDown makes the store reject all calls for the given duration.
 func (r *run) TakeStoreDown(duration time.Duration) {
 	r.log("store down for %v", duration)
 	r.store.SetFaults(standin.StoreFaults{Down: true})
--- a/pkg/soak/rollout_test.go
+++ b/pkg/soak/rollout_test.go
@@ -9,10 +9,10 @@
 	"ironhollow/platform/standin"
 )
 
-// Three hosts as processes, callers, and versions one after the other: a good one takes
-// all requests and none fails when the others end at once; ones that are slow or fail are
-// taken back within what they may get, also while the store is away and when the process
-// that decides is killed.
+// Runs three hosts as processes and rolls out several versions one after the other. A good version
+// must take all requests, with no failure when the endpoints of the previous version stop at once.
+// Slow or failing versions must be reverted within the share of requests that they may receive, also
+// while the store is down and when the process that decides is killed.
 func TestRollouts(t *testing.T) {
 	const period = 9 * time.Second
 	orders := []struct {
@@ -51,7 +51,7 @@
 			t.Errorf("%s: ended after %v, want within %v", o.Target.Name, got.Elapsed, o.Period)
 		}
 		if o.want == "completed" && got.Failed > 0 {
-			t.Errorf("%s: %d requests failed while it took over, want none", o.Target.Name, got.Failed)
+			t.Errorf("%s: got %d failed requests during the rollout, want none", o.Target.Name, got.Failed)
 		}
 		if allowed := 0.1*float64(got.Requests) + 50; o.want == "reverted" && float64(got.TargetRequests) > allowed {
 			t.Errorf("%s: got %d of %d requests, want %.0f at most", o.Target.Name, got.TargetRequests, got.Requests, allowed)
--- a/pkg/soak/soak.go
+++ b/pkg/soak/soak.go
@@ -13,60 +13,60 @@
 	"ironhollow/platform/standin"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Program is the path of ironhollow-node, Folder where logs go.
+	// Program is the path of ironhollow-node, Folder the folder for settings and logs.
 	Program, Folder string
 	Seed            uint64
 	// Length is how long faults are injected.
 	Length  time.Duration
 	Nodes   int
 	Callers int
-	// RequestPause is the mean time between two requests of a caller, 0 for the usual.
+	// RequestPause is the mean time between two requests of a caller, 0 for the default.
 	RequestPause time.Duration
-	// Log takes a line for each fault.
+	// Log receives a line for each fault.
 	Log io.Writer
 }
 
-// Outcome is how a run ended.
+// Outcome is the result of a run.
 type Outcome struct {
 	Served, Failed int
-	// ReportedWindows is how many windows of usage were reported.
+	// ReportedWindows is how many usage windows were reported.
 	ReportedWindows int
-	// Violations is every broken promise.
+	// Violations describes each violation of a guarantee.
 	Violations []string
 }
 
-// Figures of a run.
+// Timing and sizes of a run.
 const (
 	// gracePeriod is the time from SIGTERM to SIGKILL.
 	gracePeriod = 3 * time.Second
-	// drainTime is how long an endpoint serves after it said that it leaves.
+	// drainTime is how long an endpoint keeps serving after it announces that it leaves.
 	drainTime = 3 * time.Second
-	// faultPause is the mean time between two faults: they overlap.
+	// faultPause is the mean time between two faults, which may overlap.
 	faultPause = 700 * time.Millisecond
-	// recoveryTime is how long after the last fault all must be well again, and
-	// calm how long it is watched then.
+	// recoveryTime is how long after the last fault the system must have recovered, and
+	// calmTime how long it is observed then.
 	recoveryTime = 8 * time.Second
 	calmTime     = 3 * time.Second
-	// minServedShare is the share of requests that must be served when all is well.
+	// minServedShare is the share of requests that must be served when no faults are injected.
 	minServedShare = 0.98
-	// plainEndpoints and streamEndpoints are how many of each there are.
+	// plainEndpoints and streamEndpoints are the numbers of endpoints of the two services.
 	plainEndpoints  = 3
 	streamEndpoints = 3
 	startTimeout    = 10 * time.Second
-	// anyPortAddress is where a proxy listens that may be anywhere.
+	// anyPortAddress lets a proxy listen on any free port.
 	anyPortAddress = "127.0.0.1:0"
-	// endpointRestartDelay is how long an endpoint is away that a request has ended.
+	// endpointRestartDelay is the time from a crash caused by a request to the restart.
 	endpointRestartDelay = 1500 * time.Millisecond
-	// stackDumpTime is how long a process that is not ready has to print why.
+	// stackDumpTime is how long a process that is not ready has to print its goroutine stacks.
 	stackDumpTime = 500 * time.Millisecond
-	// readyTimeout is how long all hosts together may take to say that they are
-	// ready when all is well: each is asked with a second's patience.
+	// readyTimeout is how long all hosts together may take to report that they are ready when
+	// no faults are injected. Each single query has a timeout of one second.
 	readyTimeout = 5 * time.Second
 )
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
 	options       Options
 	random        *rand.Rand
@@ -83,13 +83,13 @@
 	endpoints        []*standin.Endpoint
 	proxies          []*Proxy
 	endpointsStarted int
-	// stopTimes is when hosts were stopped, killed or frozen.
+	// stopTimes are the times at which hosts were stopped, killed or suspended.
 	stopTimes []time.Time
-	// stopped says that no endpoint is started any more.
+	// stopped is true once no more endpoints may be started.
 	stopped bool
 }
 
-// Run makes one run. The error says that it could not be made.
+// Run makes one run. It returns an error if the run could not be started or was canceled.
 func Run(ctx context.Context, o Options) (Outcome, error) {
 	r := newRun(o)
 	defer r.stop()
@@ -113,7 +113,7 @@
 	return r.outcome(), ctx.Err()
 }
 
-// outcome is how the run ended, once callers have stopped and all is checked.
+// outcome returns the result of the run. Callers must have stopped and all checks must be done.
 func (r *run) outcome() Outcome {
 	served, failed := r.report.totals()
 	return Outcome{served, failed, r.cloud.ReportedWindows(), append(r.report.violations, r.cloud.Violations()...)}
@@ -126,8 +126,8 @@
 	}
 }
 
-// startCallers has callers send until the function returned is called; it returns
-// once all have ended.
+// startCallers starts the callers and returns a function that stops them and waits until all have
+// ended.
 func (r *run) startCallers(ctx context.Context) (stop func()) {
 	callersCtx, cancel := context.WithCancel(ctx)
 	var callers sync.WaitGroup
@@ -184,7 +184,7 @@
 	for _, n := range r.nodes {
 		for !n.ready(client) {
 			if time.Now().After(deadline) {
-				// The program prints what its goroutines do, into its log.
+				// SIGQUIT makes the program print its goroutine stacks to its log.
 				n.signal(syscall.SIGQUIT)
 				time.Sleep(stackDumpTime)
 				return fmt.Errorf("%s is not ready after %v", n.settings.Name, timeout)
@@ -206,10 +206,11 @@
 	return r.startEndpointAt(i, service, standin.Version{Name: initialVersion}, anyPortAddress)
 }
 
-// initialVersion is the software of all endpoints at the start.
+// initialVersion is the version of all endpoints at the start of a run.
 const initialVersion = "v1"
 
-// startEndpointAt starts an endpoint at a place, told at an address. The lock is held.
+// startEndpointAt starts endpoint i behind a proxy that listens on the given address. The caller
+// holds r.mu.
 func (r *run) startEndpointAt(i int, service string, version standin.Version, listenAddress string) error {
 	var proxy *Proxy
 	e, err := standin.StartEndpoint(fmt.Sprintf("i-%d-%d", i, r.endpointsStarted), service, version, r.store, r.requestLog, func(address string) (string, error) {
@@ -227,11 +228,11 @@
 	return nil
 }
 
-// handleCrash ends what stands before an endpoint that a request has ended, and starts
-// another at its address after a while.
+// handleCrash closes the proxy of an endpoint that a request has crashed, and starts another endpoint
+// at the same address after endpointRestartDelay.
 func (r *run) handleCrash(i int, service string, version standin.Version, proxy *Proxy) {
 	proxy.Close()
-	r.log("endpoint %d is ended by a request", i)
+	r.log("endpoint %d crashed by a request", i)
 	time.AfterFunc(endpointRestartDelay, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -251,7 +252,7 @@
 	return r.proxies[i]
 }
 
-// replace ends an endpoint in some way and starts another in its place.
+// replace starts a new endpoint in place of another one and calls stop for the old one.
 func (r *run) replace(i int, stop func(*standin.Endpoint)) {
 	r.mu.Lock()
 	old := r.endpoints[i]
@@ -283,7 +284,7 @@
 	}
 }
 
-// injectFaults injects injectFaults for the run's length.
+// injectFaults injects random faults for the length of the run.
 func (r *run) injectFaults(ctx context.Context) {
 	r.wait(ctx, time.Second)
 	for end := time.Now().Add(r.options.Length); time.Now().Before(end) && ctx.Err() == nil; {
@@ -292,7 +293,7 @@
 	}
 }
 
-// checkRecovery checks that all is well again after the faults.
+// checkRecovery checks that the system has recovered from the faults.
 func (r *run) checkRecovery(ctx context.Context) {
 	if err := r.waitReady(readyTimeout); err != nil {
 		r.report.addViolation("%v after the faults ended: %v", recoveryTime, err)
@@ -302,20 +303,21 @@
 	served, failed := r.report.totals()
 	served, failed = served-servedBefore, failed-failedBefore
 	if float64(served) < minServedShare*float64(served+failed) || served == 0 {
-		r.report.addViolation("after the faults ended %d requests were served and %d failed", served, failed)
+		r.report.addViolation("after the faults ended: got %d requests served and %d failed", served, failed)
 	}
 }
 
-// checkInvariants checks what endpoints ran against what callers were told.
+// checkInvariants compares what endpoints ran with the responses that callers received, and checks
+// notices, limits and deadlines.
 func (r *run) checkInvariants() {
 	for _, id := range r.report.atMostOnce {
 		if runs := r.requestLog.Runs(id); runs > 1 {
-			r.report.addViolation("%s may run once and ran %d times", id, runs)
+			r.report.addViolation("%s ran %d times, want once at most", id, runs)
 		}
 	}
 	for _, id := range r.report.reportedNotRun {
 		if r.requestLog.Runs(id) > 0 {
-			r.report.addViolation("%s was said not to have run, and ran", id)
+			r.report.addViolation("%s ran although its response said that it did not", id)
 		}
 	}
 	r.checkNotices()
@@ -327,12 +329,12 @@
 			noFaults = noFaults && !n.faulty(late.At)
 		}
 		if noFaults {
-			r.report.addViolation("%s came to an endpoint %v after it said that it leaves", late.Request, late.After)
+			r.report.addViolation("%s reached an endpoint %v after it announced that it leaves", late.Request, late.After)
 		}
 	}
 }
 
-// stop ends all processes that this run started, and its stand-ins.
+// stop stops all processes that this run started, and its endpoints and proxies.
 func (r *run) stop() {
 	for _, n := range r.nodes {
 		n.stop()
--- a/pkg/soak/soak_test.go
+++ b/pkg/soak/soak_test.go
@@ -11,16 +11,16 @@
 	"ironhollow/pkg/soak"
 )
 
-// seeds are run in every CI: a short one, and each that ever failed, with a line
-// on the cause.
+// seeds are the seeds that every CI run uses: one for a short run, and each seed that has ever failed,
+// with its cause.
 var seeds = []uint64{
 	1,
-	// 115: a check of ours gave all hosts together one second to say that they are
-	// ready; on the busy machine one took longer. Their logs show them ready.
+	// 115: the check gave all hosts together one second to report that they are ready, which one of
+	// them exceeded on a busy machine. Their logs showed that they were ready.
 	115,
 }
 
-// buildNode builds the program of a host.
+// buildNode builds ironhollow-node and returns its path.
 func buildNode(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "ironhollow-node")
@@ -48,7 +48,7 @@
 			t.Errorf("seed %d: %s", seed, violation)
 		}
 		if outcome.Served < 100 || outcome.ReportedWindows == 0 {
-			t.Errorf("seed %d: got %d served, %d windows reported, want some", seed, outcome.Served, outcome.ReportedWindows)
+			t.Errorf("seed %d: got %d served, %d windows reported, want at least 100 served and 1 reported", seed, outcome.Served, outcome.ReportedWindows)
 		}
 	}
 }
