--- a/pkg/app/control/wire_gen.go
+++ b/pkg/app/control/wire_gen.go
@@ -21,9 +21,9 @@
 
 func build(ctx context.Context, settings Settings, incarnation Incarnation, logger *log.Logger, registry *prometheus.Registry, tracer *trace.TracerProvider) (*App, error) {
 	client := newHTTPClient()
-	guard := newGuard(settings, client)
-	writer := newWriter(guard, settings, incarnation)
-	holder := config.New()
+	guardedStore := newGuardedStore(settings, client)
+	writer := newWriter(guardedStore, settings, incarnation)
+	holder := config.NewHolder()
 	store := config.NewStore(writer)
 	table := membership.NewTable()
 	directory := endpoint.NewDirectory()
@@ -35,12 +35,12 @@
 	registerer := newRegisterer(registry)
 	counters := peer.NewCounters(registerer)
 	server := newPeers(ctx, mesh, tls, counters)
-	manager := newLeases(writer, settings)
-	api := newEngines(client)
-	cloudAPI := newCloud(settings, client)
-	source := newHosts(settings, client)
-	operatorapiAPI := newOperators(settings, store, holder)
+	manager := newLeaseManager(writer, settings)
+	api := newEngineAPI(client)
+	cloudAPI := newCloudAPI(settings, client)
+	source := newHostListSource(settings, client)
+	operatorapiAPI := newOperatorAPI(settings, store, holder)
 	controlCounters := NewCounters(registerer)
-	app := newApp(settings, logger, registry, tracer, guard, writer, holder, store, table, directory, mesh, server, manager, api, cloudAPI, source, operatorapiAPI, controlCounters, tls)
+	app := newApp(settings, logger, registry, tracer, guardedStore, writer, holder, store, table, directory, mesh, server, manager, api, cloudAPI, source, operatorapiAPI, controlCounters, tls)
 	return app, nil
 }
--- a/pkg/app/node/node.go
+++ b/pkg/app/node/node.go
@@ -67,7 +67,7 @@
 	log         *log.Logger
 	clock       *storeclock.Clock
 	lifecycle   *lifecycle
-	store       *storecalls.Counted
+	store       *storecalls.CountingStore
 	// storeCopy is the copy of the store that peers follow through this host.
 	storeCopy          *relay.Replica
 	relayClient        peerClient
--- a/pkg/app/node/quarantine.go
+++ b/pkg/app/node/quarantine.go
@@ -34,7 +34,7 @@
 func (n *node) syncQuarantine(ctx context.Context) {
 	go n.quarantineSyncer.Run(ctx)
 	n.awaitStore(ctx)
-	for n.clock.Running() < peerReportTime {
+	for n.clock.Uptime() < peerReportTime {
 		if n.view.Roster().Loaded() && n.view.Roster().IsAdvertised(n.settings.Node) {
 			n.quarantineSyncer.Load(ctx)
 			return
--- a/pkg/peer/bench_test.go
+++ b/pkg/peer/bench_test.go
@@ -14,7 +14,7 @@
 // newLargeMesh returns a mesh that knows a fleet of the planned size: 420 nodes and 1900 endpoints.
 func newLargeMesh() (*peer.Mesh, *endpoint.Directory, []endpoint.Info) {
 	nodes, directory := membership.NewTable(), endpoint.NewDirectory()
-	m := peer.NewMesh(membership.Node{ID: "n0", Incarnation: 1, DataCenter: "dc0"}, nodes, directory, config.New())
+	m := peer.NewMesh(membership.Node{ID: "n0", Incarnation: 1, DataCenter: "dc0"}, nodes, directory, config.NewHolder())
 	var update peer.Update
 	for i := 1; i < 420; i++ {
 		update.Nodes = append(update.Nodes, membership.Node{
--- a/pkg/peer/network_test.go
+++ b/pkg/peer/network_test.go
@@ -79,7 +79,7 @@
 }
 
 func (n *network) add(id, dataCenter string) *testNode {
-	m := &testNode{nodes: membership.NewTable(), endpoints: endpoint.NewDirectory(), config: config.New(), failed: map[string]int{}}
+	m := &testNode{nodes: membership.NewTable(), endpoints: endpoint.NewDirectory(), config: config.NewHolder(), failed: map[string]int{}}
 	self := membership.Node{ID: id, Incarnation: n.now.UnixMilli(), DataCenter: dataCenter, PeerAddress: id, Ready: true}
 	m.mesh = peer.NewMesh(self, m.nodes, m.endpoints, m.config)
 	n.nodes[id] = m
