--- a/pkg/soak/process.go
+++ b/pkg/soak/process.go
@@ -108,7 +108,7 @@
 const restartPause = 300 * time.Millisecond
 
 func (n *node) restartOnExit(process *exec.Cmd, done chan struct{}, log *os.File) {
-	// The process logs why it ended.
+	// The exit status is ignored: the reason is in the process's log.
 	_ = process.Wait()
 	_ = log.Close()
 	close(done)
--- a/pkg/soak/rollout.go
+++ b/pkg/soak/rollout.go
@@ -17,7 +17,7 @@
 	// BootTime is how long after the order the endpoints of the target start.
 	BootTime time.Duration
 	// InjectFault, if not nil, is called during the rollout to inject a fault.
-	InjectFault func(hosts FaultInjector)
+	InjectFault func(faults FaultInjector)
 }
 
 // FaultInjector injects faults into a run.
@@ -25,7 +25,7 @@
 	// KillLeaseHolder kills the process that decides on rollouts.
 	KillLeaseHolder()
 	// TakeStoreDown makes the store reject all calls for the given duration.
-	TakeStoreDown(lasting time.Duration)
+	TakeStoreDown(duration time.Duration)
 }
 
 // RolloutOutcome is the result of a rollout.
