--- a/pkg/app/entry/run.go
+++ b/pkg/app/entry/run.go
@@ -186,7 +186,7 @@
 	a.peers.Send(a.mesh.Leave())
 	ctx, cancel := context.WithTimeout(ctx, a.settings.drainTimeout)
 	defer cancel()
-	notice := max(a.settings.drainNotice, a.config.Current().Policy().EntriesKept())
+	notice := max(a.settings.drainNotice, a.config.Current().Policy().EntryListTTL())
 	pause.For(ctx, notice)
 	a.worker.Drain(ctx)
 	// The callers' keep-alive connections are closed when they become idle. A request that
