--- a/pkg/app/soak/soak.go
+++ b/pkg/app/soak/soak.go
@@ -1,4 +1,4 @@
-// Package soak is the command line of the fault soak.
+// Package soak implements the command line of the fault soak test.
 package soak
 
 import (
@@ -19,30 +19,30 @@
 // Main runs the command line and returns the exit code.
 func Main() int {
 	var o soak.Options
-	var first uint64
+	var firstSeed uint64
 	var seeds int
-	var keep bool
+	var keepLogs bool
 	command := &cobra.Command{
 		Use:           "ironhollow-soak",
-		Short:         "Run processes under faults drawn from seeds and check their promises",
+		Short:         "Run processes under random faults and check their guarantees",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt)
 			defer stop()
-			return all(ctx, o, first, seeds, keep, command.OutOrStdout())
+			return runSeeds(ctx, o, firstSeed, seeds, keepLogs, command.OutOrStdout())
 		},
 	}
 	flags := command.Flags()
 	flags.StringVar(&o.Program, "program", "bin/ironhollow-node", "path of ironhollow-node")
-	flags.Uint64Var(&first, "seed", uint64(time.Now().Unix()), "first seed; fresh ones by the clock if left out")
-	flags.IntVar(&seeds, "seeds", 1, "how many seeds to run, one after the other")
+	flags.Uint64Var(&firstSeed, "seed", uint64(time.Now().Unix()), "first seed; the current time if omitted")
+	flags.IntVar(&seeds, "seeds", 1, "number of seeds to run one after the other")
 	flags.DurationVar(&o.Length, "length", 15*time.Second, "how long faults are injected for each seed")
-	flags.IntVar(&o.Nodes, "nodes", 4, "how many processes")
-	flags.IntVar(&o.Callers, "callers", 12, "how many callers")
-	flags.StringVar(&o.Folder, "folder", os.TempDir(), "where the logs of failed seeds are kept")
-	flags.BoolVar(&keep, "keep", false, "keep the logs of all seeds")
+	flags.IntVar(&o.Nodes, "nodes", 4, "number of host processes")
+	flags.IntVar(&o.Callers, "callers", 12, "number of callers")
+	flags.StringVar(&o.Folder, "folder", os.TempDir(), "folder for the logs of failed seeds")
+	flags.BoolVar(&keepLogs, "keep", false, "keep the logs of all seeds")
 	if err := command.Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return process.ExitFailure
@@ -50,11 +50,11 @@
 	return process.ExitOK
 }
 
-// all runs the seeds and tells of each.
-func all(ctx context.Context, o soak.Options, first uint64, seeds int, keep bool, out io.Writer) error {
+// runSeeds runs the seeds and prints the result of each.
+func runSeeds(ctx context.Context, o soak.Options, firstSeed uint64, seeds int, keepLogs bool, out io.Writer) error {
 	failed := 0
-	for seed := first; seed < first+uint64(seeds) && ctx.Err() == nil; seed++ {
-		broken, err := one(ctx, o, seed, keep, out)
+	for seed := firstSeed; seed < firstSeed+uint64(seeds) && ctx.Err() == nil; seed++ {
+		broken, err := runSeed(ctx, o, seed, keepLogs, out)
 		if err != nil {
 			return err
 		}
@@ -63,12 +63,12 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d seeds broke a promise", failed, seeds)
+		return fmt.Errorf("%d of %d seeds violated a guarantee", failed, seeds)
 	}
 	return ctx.Err()
 }
 
-func one(ctx context.Context, o soak.Options, seed uint64, keep bool, out io.Writer) (broken bool, err error) {
+func runSeed(ctx context.Context, o soak.Options, seed uint64, keepLogs bool, out io.Writer) (broken bool, err error) {
 	folder, err := os.MkdirTemp(o.Folder, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		return false, err
@@ -83,13 +83,13 @@
 	if err != nil {
 		return false, fmt.Errorf("seed %d: %w (logs in %s)", seed, err, folder)
 	}
-	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d promises broken\n", seed, outcome.Served, outcome.Failed, outcome.Reports, len(outcome.Broken))
-	for _, what := range outcome.Broken {
-		_, _ = fmt.Fprintln(out, "  ", what)
+	_, err = fmt.Fprintf(out, "seed %d: %d served, %d failed, %d windows reported, %d violations\n", seed, outcome.Served, outcome.Failed, outcome.ReportedWindows, len(outcome.Violations))
+	for _, violation := range outcome.Violations {
+		_, _ = fmt.Fprintln(out, "  ", violation)
 	}
-	if len(outcome.Broken) > 0 || keep {
+	if len(outcome.Violations) > 0 || keepLogs {
 		_, _ = fmt.Fprintln(out, "   logs in", folder)
-		return len(outcome.Broken) > 0, err
+		return len(outcome.Violations) > 0, err
 	}
 	return false, os.RemoveAll(folder)
 }
--- a/pkg/soak/crashing.go
+++ b/pkg/soak/crashing.go
@@ -12,178 +12,178 @@
 	"ironhollow/platform/standin"
 )
 
-// Crashing is a request that ends each endpoint that runs it and comes again, with new
-// ids, at any host.
-type Crashing struct {
+// CrashingRequest is a request that crashes each endpoint that runs it and is sent repeatedly, with
+// a new id each time, to random hosts.
+type CrashingRequest struct {
 	Kind standin.RequestKind
-	// Every is the time between two tries, Lasting how long they come.
-	Every, Lasting time.Duration
-	// KillAll kills all hosts at once when half of that is over.
+	// Interval is the mean time between two sends, Duration how long the request is sent.
+	Interval, Duration time.Duration
+	// KillAll kills all hosts at once after half of Duration.
 	KillAll bool
 }
 
-// CrashingOutcome is what came of it.
+// CrashingOutcome is the result of sending one CrashingRequest.
 type CrashingOutcome struct {
-	// Tries is how many were sent, Ended how many endpoints they ended.
-	Tries, Ended int
-	// Late is how many came to an endpoint later than contactTime after the third that
-	// they ended.
-	Late int
-	// Refused is how many were answered at once that they did not run.
-	Refused int
+	// Sent is how often the request was sent, Crashes how many endpoints it crashed.
+	Sent, Crashes int
+	// LateCrashes is the number of crashes later than propagationTime and standin.CrashDelay after
+	// the third one.
+	LateCrashes int
+	// Rejected is the number of responses that said that the request did not run.
+	Rejected int
 }
 
 const (
-	// contactTime is how long hosts have to learn of an end from each other.
-	contactTime = 3 * time.Second
-	// heldAfter is after how many ends a request should come to no endpoint any more.
-	heldAfter = 3
+	// propagationTime is how long hosts may take to inform each other of a crash.
+	propagationTime = 3 * time.Second
+	// crashThreshold is the number of crashes after which a request must not reach any endpoint.
+	crashThreshold = 3
 )
 
-// RunCrashing sends crashing requests beside what callers send, each to a host drawn
-// anew.
-func RunCrashing(ctx context.Context, o Options, requests []Crashing) (Outcome, []CrashingOutcome, error) {
+// RunCrashing sends crashing requests to random hosts while callers send their usual requests.
+func RunCrashing(ctx context.Context, o Options, requests []CrashingRequest) (Outcome, []CrashingOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, nil, err
 	}
 	stopCallers := r.startCallers(ctx)
 	var outcomes []CrashingOutcome
 	for i, c := range requests {
-		outcomes = append(outcomes, r.sendCrashing(ctx, i, c))
+		outcomes = append(outcomes, r.repeatCrashing(ctx, i, c))
 	}
 	r.timers.Wait()
-	r.wait(ctx, recovery)
-	r.checkCalm(ctx)
+	r.wait(ctx, recoveryTime)
+	r.checkRecovery(ctx)
 	stopCallers()
-	r.checkRuns()
+	r.checkInvariants()
 	return r.outcome(), outcomes, ctx.Err()
 }
 
-// mostCrashing is how many requests that end endpoints come in a run at most.
-const mostCrashing = 2
+// maxCrashing is the maximum number of crashing requests in a run.
+const maxCrashing = 2
 
-// drawCrashing draws the requests of a run that end endpoints and when they begin, by
-// numbers of their own: the other faults of a seed stay.
-func drawCrashing(o Options) (requests []Crashing, after []time.Duration) {
+// randomCrashing returns the crashing requests of a run and their start times. It uses a separate
+// random number generator, so that crashing requests do not change the other faults of a seed.
+func randomCrashing(o Options) (requests []CrashingRequest, after []time.Duration) {
 	random := rand.New(rand.NewPCG(o.Seed, crashingStream))
 	kinds := []standin.RequestKind{standin.Safe, standin.Once, standin.Stream, standin.Resume}
-	for range random.IntN(mostCrashing + 1) {
-		every := 200*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
-		requests = append(requests, Crashing{Kind: kinds[random.IntN(len(kinds))], Every: every, Lasting: o.Length + recovery + calm})
+	for range random.IntN(maxCrashing + 1) {
+		interval := 200*time.Millisecond + time.Duration(random.Int64N(int64(time.Second)))
+		requests = append(requests, CrashingRequest{Kind: kinds[random.IntN(len(kinds))], Interval: interval, Duration: o.Length + recoveryTime + calmTime})
 		after = append(after, time.Duration(random.Int64N(int64(o.Length))))
 	}
 	return requests, after
 }
 
-// crashingStream is the stream of random numbers of such requests.
+// crashingStream is the stream of random numbers that determines the crashing requests of a run.
 const crashingStream = 1 << 32
 
-// startCrashing has the requests drawn come until the function returned is called.
+// startCrashing sends the run's crashing requests until the returned function is called.
 func (r *run) startCrashing(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	var sent sync.WaitGroup
-	requests, after := drawCrashing(r.options)
+	var senders sync.WaitGroup
+	requests, after := randomCrashing(r.options)
 	for i, c := range requests {
-		sent.Go(func() {
+		senders.Go(func() {
 			r.wait(ctx, after[i])
-			r.log("request %d ends endpoints, %s, every %v", i, c.Kind, c.Every)
-			r.sendCrashing(ctx, i, c)
+			r.log("send crashing request %d: %s, every %v", i, c.Kind, c.Interval)
+			r.repeatCrashing(ctx, i, c)
 		})
 	}
 	return func() {
 		cancel()
-		sent.Wait()
+		senders.Wait()
 	}
 }
 
-// checkHeldBack checks that requests which have ended three endpoints long ago come to no
-// others while all is well, but for what is allowed.
+// checkHeldBack checks that requests with at least crashThreshold crashes before the given time
+// crash no more than maxLate endpoints after it, when no faults are injected.
 func (r *run) checkHeldBack(since time.Time) {
-	const mostLate = 3
-	requests, _ := drawCrashing(r.options)
+	const maxLate = 3
+	requests, _ := randomCrashing(r.options)
 	for i := range requests {
-		ended := r.ledger.CrashTimes(crashingBody(i))
+		crashes := r.requestLog.CrashTimes(crashingBody(i))
 		late := 0
-		for _, at := range ended {
+		for _, at := range crashes {
 			if at.After(since) {
 				late++
 			}
 		}
-		if before := len(ended) - late; before >= heldAfter && late > mostLate {
-			r.report.wrong("request %d had ended %d endpoints and came to %d more when all was well", i, before, late)
+		if before := len(crashes) - late; before >= crashThreshold && late > maxLate {
+			r.report.addViolation("request %d had crashed %d endpoints and crashed %d more after recovery", i, before, late)
 		}
 	}
 }
 
 func crashingBody(number int) string { return fmt.Sprintf("%s%d", standin.CrashBodyPrefix, number) }
 
-// sendCrashing sends one crashing request's tries.
-func (r *run) sendCrashing(ctx context.Context, number int, c Crashing) CrashingOutcome {
+// repeatCrashing sends a crashing request repeatedly for its duration.
+func (r *run) repeatCrashing(ctx context.Context, number int, c CrashingRequest) CrashingOutcome {
 	body := crashingBody(number)
 	random := rand.New(rand.NewPCG(r.options.Seed, crashingStream+1+uint64(number)))
-	client := &http.Client{Timeout: callerTime, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	var (
 		outcome CrashingOutcome
 		mu      sync.Mutex
-		tries   sync.WaitGroup
+		pending sync.WaitGroup
 	)
 	killed := !c.KillAll
-	for began := time.Now(); time.Since(began) < c.Lasting && ctx.Err() == nil; {
-		if !killed && time.Since(began) > c.Lasting/2 {
+	for start := time.Now(); time.Since(start) < c.Duration && ctx.Err() == nil; {
+		if !killed && time.Since(start) > c.Duration/2 {
 			killed = true
 			r.killAll()
 		}
-		outcome.Tries++
-		id := fmt.Sprintf("crashing-%d-%d", number, outcome.Tries)
-		address := r.nodes[random.IntN(len(r.nodes))].file.Callers
-		tries.Go(func() {
-			if !r.tryCrashing(client, c.Kind, address, id, body) {
+		outcome.Sent++
+		id := fmt.Sprintf("crashing-%d-%d", number, outcome.Sent)
+		address := r.nodes[random.IntN(len(r.nodes))].settings.Callers
+		pending.Go(func() {
+			if !r.sendCrashing(client, c.Kind, address, id, body) {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			outcome.Refused++
+			outcome.Rejected++
 		})
-		r.wait(ctx, c.Every/2+time.Duration(random.Int64N(int64(c.Every))))
+		r.wait(ctx, c.Interval/2+time.Duration(random.Int64N(int64(c.Interval))))
 	}
-	tries.Wait()
-	ended := r.ledger.CrashTimes(body)
-	outcome.Ended = len(ended)
-	for _, at := range ended {
-		if len(ended) > heldAfter && at.Sub(ended[heldAfter-1]) > contactTime+standin.CrashDelay {
-			outcome.Late++
+	pending.Wait()
+	crashes := r.requestLog.CrashTimes(body)
+	outcome.Crashes = len(crashes)
+	for _, at := range crashes {
+		if len(crashes) > crashThreshold && at.Sub(crashes[crashThreshold-1]) > propagationTime+standin.CrashDelay {
+			outcome.LateCrashes++
 		}
 	}
 	r.log("crashing request %d: %+v", number, outcome)
 	return outcome
 }
 
-// tryCrashing sends one try and reports whether it was refused as not run.
-func (r *run) tryCrashing(client *http.Client, kind standin.RequestKind, address, id, body string) bool {
+// sendCrashing sends a crashing request once and reports whether the response said that it did not
+// run.
+func (r *run) sendCrashing(client *http.Client, kind standin.RequestKind, address, id, body string) bool {
 	request, err := standin.NewRequest(address, standin.Once, id, body)
 	if err != nil {
-		r.report.wrong("%s: %v", id, err)
+		r.report.addViolation("%s: %v", id, err)
 		return false
 	}
 	request.URL.Path = "/" + string(kind) + "/x"
 	response, err := client.Do(request)
 	if err != nil {
-		// Its endpoint ended midway, or the host was killed.
+		// The endpoint crashed while it ran the request, or the host was killed.
 		return false
 	}
 	defer func() { _ = response.Body.Close() }()
-	if standin.MeansNotRun(response.StatusCode) && r.ledger.Runs(id) > 0 {
-		r.report.wrong("%s was said not to have run, and ran", id)
+	if standin.MeansNotRun(response.StatusCode) && r.requestLog.Runs(id) > 0 {
+		r.report.addViolation("%s ran although its response said that it did not", id)
 	}
 	return standin.MeansNotRun(response.StatusCode)
 }
 
-// killAll kills all hosts' processes at once; they are started again.
+// killAll kills the processes of all hosts at once; they are restarted.
 func (r *run) killAll() {
 	r.log("kill all hosts")
-	r.noteStop()
+	r.recordStop()
 	for _, n := range r.nodes {
 		n.signal(syscall.SIGKILL)
 	}
--- a/pkg/soak/limits.go
+++ b/pkg/soak/limits.go
@@ -8,101 +8,103 @@
 	"ironhollow/platform/standin"
 )
 
-// limitHeld is how long each limit of a run of RunLimits is named.
-const limitHeld = 8 * time.Second
+// limitDuration is how long each limit in RunLimits is advertised.
+const limitDuration = 8 * time.Second
 
-// LimitsOutcome is what endpoints that named limits received.
+// LimitsOutcome is what endpoints received while they advertised limits.
 type LimitsOutcome struct {
-	Limited []standin.AdvertisedLimit
-	// After is how many requests the endpoint that withdrew its limit served in the end.
-	After int
-	// Served and Failed are of requests sent while limits were named.
+	Limits []standin.AdvertisedLimit
+	// ServedAfterWithdrawal is how many requests reached the plain endpoint that withdrew its limit
+	// during calmTime, which starts recoveryTime after the withdrawal.
+	ServedAfterWithdrawal int
+	// Served and Failed count requests sent while limits were advertised.
 	Served, Failed int
 }
 
-// RunLimits has one endpoint of each service name a limit of requests a second, lower it,
-// raise it while the store is away, and withdraw it.
+// RunLimits lets one endpoint of each service advertise a limit of requests per second, lower it,
+// raise it while the store is down, and withdraw it.
 func RunLimits(ctx context.Context, o Options) (Outcome, LimitsOutcome, error) {
 	r := newRun(o)
-	defer r.end()
+	defer r.stop()
 	if err := r.start(); err != nil {
 		return Outcome{}, LimitsOutcome{}, err
 	}
 	stopCallers := r.startCallers(ctx)
-	r.wait(ctx, noticeSettle)
+	r.wait(ctx, warmUpTime)
 	servedBefore, failedBefore := r.report.totals()
 	limited := []*standin.Endpoint{r.endpoints[0], r.endpoints[plainEndpoints]}
 	for _, perSecond := range []float64{4, 1, 8} {
-		r.log("an endpoint of each service names a limit of %v a second", perSecond)
+		r.log("an endpoint of each service advertises a limit of %v requests per second", perSecond)
 		r.store.SetFaults(standin.StoreFaults{Down: perSecond == 8})
 		for _, e := range limited {
 			e.AdvertiseLimit(perSecond)
 		}
-		r.wait(ctx, limitHeld)
+		r.wait(ctx, limitDuration)
 	}
 	r.store.SetFaults(standin.StoreFaults{})
 	served, failed := r.report.totals()
 	for _, e := range limited {
 		e.AdvertiseLimit(0)
 	}
-	r.wait(ctx, recovery)
-	before := r.ledger.ArrivalCount(limited[0].ID())
-	r.wait(ctx, calm)
-	after := r.ledger.ArrivalCount(limited[0].ID()) - before
+	r.wait(ctx, recoveryTime)
+	before := r.requestLog.ArrivalCount(limited[0].ID())
+	r.wait(ctx, calmTime)
+	after := r.requestLog.ArrivalCount(limited[0].ID()) - before
 	stopCallers()
-	r.checkRuns()
-	return r.outcome(), LimitsOutcome{r.ledger.AdvertisedLimits(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
+	r.checkInvariants()
+	return r.outcome(), LimitsOutcome{r.requestLog.AdvertisedLimits(), after, served - servedBefore, failed - failedBefore}, ctx.Err()
 }
 
-// limitsRequests has an endpoint name a limit.
-type limitsRequests struct {
+// limitFault makes an endpoint advertise a limit for some time.
+type limitFault struct {
 	after     time.Duration
 	endpoint  int
-	lasting   time.Duration
+	duration  time.Duration
 	perSecond float64
 }
 
 const (
-	// limitStream is the stream of random numbers of limits, mostLimits how many there are in
-	// a run at most.
+	// limitStream is the stream of random numbers that determines the limits of a run, maxLimits
+	// the maximum number of limits.
 	limitStream = 1 << 34
-	mostLimits  = 3
+	maxLimits   = 3
 )
 
-// drawLimits draws them by numbers of their own: the other faults of a seed stay.
-func drawLimits(o Options, endpoints int) []limitsRequests {
+// randomLimits returns the limits of a run. It uses a separate random number generator, so that
+// limits do not change the other faults of a seed.
+func randomLimits(o Options, endpoints int) []limitFault {
 	random := rand.New(rand.NewPCG(o.Seed, limitStream))
-	drawn := make([]limitsRequests, random.IntN(mostLimits+1))
-	for i := range drawn {
-		drawn[i] = limitsRequests{
+	limits := make([]limitFault, random.IntN(maxLimits+1))
+	for i := range limits {
+		limits[i] = limitFault{
 			after: time.Duration(random.Int64N(int64(o.Length))), endpoint: random.IntN(endpoints),
-			lasting: limitHeld + time.Duration(random.Int64N(int64(limitHeld))), perSecond: 0.2 + 4*random.Float64(),
+			duration: limitDuration + time.Duration(random.Int64N(int64(limitDuration))), perSecond: 0.2 + 4*random.Float64(),
 		}
 	}
-	return drawn
+	return limits
 }
 
-// startLimits begins the limits drawn.
+// startLimits schedules the limits of a run.
 func (r *run) startLimits() {
-	for _, f := range drawLimits(r.options, len(r.endpoints)) {
-		r.later(f.after, func() {
-			r.log("endpoint %d names a limit of %.2f a second for %v", f.endpoint, f.perSecond, f.lasting)
+	for _, f := range randomLimits(r.options, len(r.endpoints)) {
+		r.schedule(f.after, func() {
+			r.log("endpoint %d names a limit of %.2f a second for %v", f.endpoint, f.perSecond, f.duration)
 			r.mu.Lock()
 			e := r.endpoints[f.endpoint]
 			r.mu.Unlock()
 			e.AdvertiseLimit(f.perSecond)
-			time.AfterFunc(f.lasting, func() { e.AdvertiseLimit(0) })
+			time.AfterFunc(f.duration, func() { e.AdvertiseLimit(0) })
 		})
 	}
 }
 
-// checkLimits checks that no endpoint got more than the limit that it named allows, but for
-// times after a host was stopped, which has to be told again.
+// checkLimits checks that no endpoint received more requests than its advertised limit allows. It
+// ignores times after a host was stopped, because a restarted host has to learn the limit again.
 func (r *run) checkLimits() {
-	for _, l := range r.ledger.AdvertisedLimits() {
-		came, allowed := l.MaxArrivalsExcept(func(from, to time.Time) bool { return r.anyStopped(from, to) })
-		if came > allowed {
-			r.report.wrong("%s named a limit of %.2f a second and got %d requests in a window, %d allowed", l.Endpoint, l.Limit, came, allowed)
+	for _, l := range r.requestLog.AdvertisedLimits() {
+		received, allowed := l.MaxArrivalsExcept(func(from, to time.Time) bool { return r.anyStopped(from, to) })
+		if received > allowed {
+			r.report.addViolation("%s advertised a limit of %.2f requests per second: got %d requests in a window, want %d at most", l.Endpoint, l.Limit, received, allowed)
 		}
 	}
 }
--- a/pkg/soak/proxy.go
+++ b/pkg/soak/proxy.go
@@ -1,6 +1,5 @@
-// Package soak runs the real program as separate processes on one machine,
-// injects faults from outside, drawn from a seed, and checks what callers, back
-// ends and the platform see meanwhile.
+// Package soak runs the real program as separate processes on one machine, injects random faults
+// determined by a seed, and checks what callers, back ends and the platform observe.
 package soak
 
 import (
@@ -10,47 +9,47 @@
 	"time"
 )
 
-// Harm is what a proxy does to the connections through it.
-type Harm int
+// Mode is how a proxy treats the connections through it.
+type Mode int
 
-// The harms.
+// Modes of a proxy.
 const (
-	// Pass does no harm.
-	Pass Harm = iota
-	// Delay holds every piece back for a while.
+	// Pass forwards all data unchanged.
+	Pass Mode = iota
+	// Delay delays each chunk by delayTime.
 	Delay
-	// Silence lets nothing through, either way; connections stay open.
+	// Silence forwards nothing in either direction; connections stay open.
 	Silence
-	// OneWay lets requests through and no answers.
+	// OneWay forwards requests but no responses.
 	OneWay
-	// Reset resets connections as they come, and those there are.
+	// Reset resets all open connections and each new one.
 	Reset
 )
 
-// String names the harm.
-func (h Harm) String() string {
-	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[h]
+// String returns the name of the mode.
+func (m Mode) String() string {
+	return [...]string{"pass", "delay", "silence", "one-way", "reset"}[m]
 }
 
-// delay is how long Delay holds a piece back.
-const delay = 150 * time.Millisecond
+// delayTime is how long Delay holds each chunk.
+const delayTime = 150 * time.Millisecond
 
-// Proxy is a loopback proxy of one address. It is safe for concurrent use.
+// Proxy is a loopback proxy to one address. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	harm  Harm
+	mode  Mode
 	conns map[net.Conn]bool
-	// changed is closed when the harm changes.
+	// changed is closed when the mode changes.
 	changed chan struct{}
 }
 
-// NewProxy starts a proxy to a target.
-func NewProxy(target string) (*Proxy, error) { return NewProxyAt(freeAddress, target) }
+// NewProxy starts a proxy to a target on any free port.
+func NewProxy(target string) (*Proxy, error) { return NewProxyAt(anyPortAddress, target) }
 
-// NewProxyAt starts a proxy to a target at an address.
+// NewProxyAt starts a proxy to a target that listens on the given address.
 func NewProxyAt(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,33 +60,33 @@
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
-	p.Set(Reset)
+	p.SetMode(Reset)
 }
 
-// Set changes what the proxy does.
-func (p *Proxy) Set(h Harm) {
+// SetMode changes the mode of the proxy.
+func (p *Proxy) SetMode(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.harm = h
+	p.mode = mode
 	close(p.changed)
 	p.changed = make(chan struct{})
-	if h == Reset {
+	if mode == Reset {
 		for c := range p.conns {
 			reset(c)
 		}
 	}
 }
 
-func (p *Proxy) state() (Harm, chan struct{}) {
+func (p *Proxy) currentMode() (Mode, chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.harm, p.changed
+	return p.mode, p.changed
 }
 
 func reset(c net.Conn) {
@@ -99,30 +98,30 @@
 
 func (p *Proxy) accept() {
 	for {
-		inner, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if h, _ := p.state(); h == Reset {
-			reset(inner)
+		if mode, _ := p.currentMode(); mode == Reset {
+			reset(client)
 			continue
 		}
-		go p.connect(inner)
+		go p.forward(client)
 	}
 }
 
-func (p *Proxy) connect(inner net.Conn) {
-	outer, err := net.DialTimeout("tcp", p.target, time.Second)
+func (p *Proxy) forward(client net.Conn) {
+	upstream, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
-		reset(inner)
+		reset(client)
 		return
 	}
-	p.keep(inner, outer)
-	go p.copy(outer, inner, false)
-	p.copy(inner, outer, true)
+	p.track(client, upstream)
+	go p.copyDirection(upstream, client, false)
+	p.copyDirection(client, upstream, true)
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -130,7 +129,7 @@
 	}
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) closeConns(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -139,13 +138,13 @@
 	}
 }
 
-// copy carries one direction; answers says that it is the way back.
-func (p *Proxy) copy(to, from net.Conn, answers bool) {
+// copyDirection copies one direction of a connection; responses is true for the one from the target.
+func (p *Proxy) copyDirection(to, from net.Conn, responses bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
 		if n > 0 {
-			p.hold(answers)
+			p.applyMode(responses)
 			if _, writeErr := to.Write(buffer[:n]); writeErr != nil {
 				reset(from)
 				break
@@ -155,8 +154,8 @@
 			if tcp, ok := to.(*net.TCPConn); ok {
 				_ = tcp.CloseWrite()
 			}
-			if !answers {
-				// The caller is done sending: the way back goes on.
+			if !responses {
+				// The client has finished sending; responses are still copied.
 				return
 			}
 			break
@@ -166,18 +165,18 @@
 			break
 		}
 	}
-	p.drop(to, from)
+	p.closeConns(to, from)
 }
 
-// hold waits as the harm asks before a piece is passed on.
-func (p *Proxy) hold(answers bool) {
+// applyMode delays a chunk as the mode requires before it is forwarded.
+func (p *Proxy) applyMode(responses bool) {
 	for {
-		h, changed := p.state()
+		mode, changed := p.currentMode()
 		switch {
-		case h == Delay:
-			time.Sleep(delay)
+		case mode == Delay:
+			time.Sleep(delayTime)
 			return
-		case h == Silence, h == OneWay && answers:
+		case mode == Silence, mode == OneWay && responses:
 			<-changed
 		default:
 			return
