--- a/pkg/app/cli/status.go
+++ b/pkg/app/cli/status.go
@@ -150,7 +150,7 @@
 	return t.print(steps, func(w io.Writer) {
 		writeRow(w, "TIME", "HOST", "WHAT")
 		for _, s := range steps {
-			writeRow(w, s.Time.Format("15:04:05.000"), s.Node, s.Text)
+			writeRow(w, s.At.Format("15:04:05.000"), s.Node, s.Text)
 		}
 	})
 }
--- a/pkg/explain/logs.go
+++ b/pkg/explain/logs.go
@@ -73,7 +73,7 @@
 
 // Step is a step in the handling of a request.
 type Step struct {
-	Time time.Time
+	At   time.Time
 	Node string
 	Text string
 }
@@ -89,7 +89,7 @@
 			steps = append(steps, hostSteps(lines[:i], l)...)
 		}
 	}
-	sort.SliceStable(steps, func(i, j int) bool { return steps[i].Time.Before(steps[j].Time) })
+	sort.SliceStable(steps, func(i, j int) bool { return steps[i].At.Before(steps[j].At) })
 	return steps
 }
 
--- a/pkg/explain/logs_test.go
+++ b/pkg/explain/logs_test.go
@@ -27,7 +27,7 @@
 	steps := explain.Timeline(lines, "r1")
 	var got []string
 	for _, s := range steps {
-		got = append(got, s.Time.Format("05.000")+" "+s.Node+" "+s.Text)
+		got = append(got, s.At.Format("05.000")+" "+s.Node+" "+s.Text)
 	}
 	want := []string{
 		"01.000 a believed since then: configuration in force (version 7)",
